--- a/tests/holder.py
+++ b/tests/holder.py
@@ -31,7 +31,7 @@
     compare_fleets,
     note_models,
 )
-from waywell.version.lives import LifeBook
+from waywell.version.life_tracker import LifeBook
 from waywell.version.orders import Assignment, OrderResult
 
 if TYPE_CHECKING:
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -24,7 +24,7 @@
     Backpressure,
 )
 from waywell.version.fleet import BoxLife
-from waywell.version.lives import EndedLife
+from waywell.version.life_tracker import EndedLife
 
 REST = AnswerMark('a1', is_rejected=True, rest_seconds=3.0)
 
--- a/tests/test_joining.py
+++ b/tests/test_join_check.py
@@ -11,7 +11,7 @@
 from waywell.platform.orders import encode_order
 from waywell.version.box_report import BoxReport
 from waywell.version.fleet import FleetBox, MemberState
-from waywell.version.joining import check_joins
+from waywell.version.join_check import check_joins
 from waywell.version.orders import Assignment, Join
 
 GROUP = GroupId('small.9')
--- a/tests/test_lives.py
+++ b/tests/test_life_tracker.py
@@ -19,7 +19,7 @@
 from tests.boxes import make_fleet, make_group
 from waywell.ids import GroupId
 from waywell.version.fleet import Fleet, compare_fleets
-from waywell.version.lives import LifeBook
+from waywell.version.life_tracker import LifeBook
 
 GROUP = GroupId('notes.7')
 HEAD, MEMBER = make_group(GROUP, 'a', 'b')
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -21,7 +21,7 @@
 from waywell.knowledge.restored_entries import COPY_SECONDS, REWRITE_SECONDS
 from waywell.process.front_settings import PromiseSettings
 from waywell.version.fleet import FleetBox
-from waywell.version.lives import EndedLife
+from waywell.version.life_tracker import EndedLife
 
 
 def make_run(name: str, incarnation: int) -> FleetBox:
--- a/tests/test_turn_dealer.py
+++ b/tests/test_turn_dealer.py
@@ -26,7 +26,7 @@
 from waywell.limits.turn_bucket import URGENT_TURNS, TurnBucket
 from waywell.limits.turn_dealer import HANDOVER_SECONDS, TurnDealer
 from waywell.version.fleet import BoxLife
-from waywell.version.lives import EndedLife
+from waywell.version.life_tracker import EndedLife
 
 HALLS = ('hall-0', 'hall-1')
 
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -29,7 +29,7 @@
     FormingView,
 )
 from waywell.version.forming_memory import FormingMemory
-from waywell.version.joining import check_joins
+from waywell.version.join_check import check_joins
 from waywell.version.load_failures import LoadHistory
 from waywell.version.orders import (
     Assignment,
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -13,7 +13,7 @@
 from waywell.version.fleet import Fleet
 from waywell.version.forming import FormingPlanner, FormingView
 from waywell.version.forming_memory import FormingMemory
-from waywell.version.joining import check_joins
+from waywell.version.join_check import check_joins
 from waywell.version.orders import Assignment, Join, OrderResult
 
 if TYPE_CHECKING:
--- a/waywell/knowledge/outlook.py
+++ b/waywell/knowledge/outlook.py
@@ -21,7 +21,7 @@
     make_key,
     note_models,
 )
-from waywell.version.lives import EndedLife, LifeBook
+from waywell.version.life_tracker import EndedLife, LifeBook
 from waywell.version.routes import RouteIndex, RouteTable
 
 if TYPE_CHECKING:
--- a/waywell/knowledge/restored_entries.py
+++ b/waywell/knowledge/restored_entries.py
@@ -19,7 +19,7 @@
 
     from waywell.ids import BoxId
     from waywell.version.fleet import FleetBox
-    from waywell.version.lives import LifeBook
+    from waywell.version.life_tracker import LifeBook
 
 REWRITE_SECONDS = 2.2
 """Seconds after the store's return in which boxes that live and reach it have
--- a/waywell/limits/named_limits.py
+++ b/waywell/limits/named_limits.py
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from waywell.version.fleet import BoxLife
-    from waywell.version.lives import EndedLife
+    from waywell.version.life_tracker import EndedLife
 
 KEPT_SECONDS = 600.0
 """After which a limit that nothing was heard of is forgotten; a replica of
--- a/waywell/limits/turns.py
+++ b/waywell/limits/turns.py
@@ -36,7 +36,7 @@
     from waywell.membership.gossip import Gossip
     from waywell.process.clock import Clock
     from waywell.version.fleet import Replica
-    from waywell.version.lives import EndedLife
+    from waywell.version.life_tracker import EndedLife
 
 TURN_SECONDS = 0.5
 """For which a turn that was dealt may be used, from when it was asked for: a
--- a/waywell/request/backpressure.py
+++ b/waywell/request/backpressure.py
@@ -18,7 +18,7 @@
 
     from waywell.request.ask import AnswerMark
     from waywell.version.fleet import BoxLife, Replica
-    from waywell.version.lives import EndedLife
+    from waywell.version.life_tracker import EndedLife
 
 LEAVING_SECONDS = 3600.0
 """For which a box that said that it leaves gets nothing: it is to end within
--- a/waywell/request/running.py
+++ b/waywell/request/running.py
@@ -16,7 +16,7 @@
 
     from waywell.ids import GroupId, Trait
     from waywell.version.fleet import Replica
-    from waywell.version.lives import EndedLife
+    from waywell.version.life_tracker import EndedLife
 
 
 class RunningAttempts:
--- a/waywell/version/forming.py
+++ b/waywell/version/forming.py
@@ -31,9 +31,9 @@
     parse_group,
 )
 from waywell.version.group_changes import GroupChanges
-from waywell.version.group_verdicts import GroupJudge, Verdict
+from waywell.version.group_picker import GroupPicker
+from waywell.version.group_status import GroupJudge, Verdict
 from waywell.version.model_need import ModelNeed
-from waywell.version.new_groups import GroupPicker
 from waywell.version.orders import (
     Assignment,
     BoxOrder,
--- a/waywell/version/forming_memory.py
+++ b/waywell/version/forming_memory.py
@@ -12,8 +12,8 @@
 from waywell.version.box_report import ReportReading
 from waywell.version.domain_changes import PossibleChange
 from waywell.version.fleet import BoxLife, FleetBox, MemberState
-from waywell.version.group_rights import GroupRights
-from waywell.version.lives import LifeBook
+from waywell.version.group_openings import GroupRights
+from waywell.version.life_tracker import LifeBook
 from waywell.version.load_failures import LoadFailures, LoadKind
 from waywell.version.orders import (
     Assignment,
--- a/waywell/version/regrouping.py
+++ b/waywell/version/regrouping.py
@@ -16,7 +16,7 @@
 import attrs
 
 from waywell.ids import ModelName
-from waywell.version.closable import count_closable
+from waywell.version.closing_limit import count_closable
 from waywell.version.domain_changes import (
     Counts,
     Domain,
--- a/waywell/version/slow_groups.py
+++ b/waywell/version/slow_groups.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from waywell.version.closable import count_closable
+from waywell.version.closing_limit import count_closable
 from waywell.version.fleet import (
     FleetBox,
     FleetGroup,
