--- a/tests/holder.py
+++ b/tests/holder.py
@@ -31,11 +31,11 @@
     compare_fleets,
     note_models,
 )
-from waywell.version.life_tracker import LifeBook
+from waywell.version.life_tracker import LifeTracker
 from waywell.version.orders import Assignment, OrderResult
 
 if TYPE_CHECKING:
-    from tests.replicas import SimHouse, SimReplica
+    from tests.replicas import SimFleet, SimReplica
     from waywell.version.box_report import BoxReport
     from waywell.version.routes import Engine
 
@@ -44,7 +44,7 @@
 
 
 @attrs.define(eq=False)
-class FlyingOrder:
+class InFlightOrder:
     """An order that was sent."""
 
     box: BoxId
@@ -61,7 +61,7 @@
         """Let its replica take it, if it lives, and answer if asked still."""
         result = OrderResult.UNKNOWN
         if self.replica.is_alive:
-            result = decode_result(self.replica.take(self.body))
+            result = decode_result(self.replica.apply_order(self.body))
         if not self.answer.done():
             self.answer.set_result(result)
 
@@ -69,21 +69,21 @@
 class SimOrders(BoxOrders):
     """Sends orders to replicas and keeps them until they are carried out."""
 
-    def __init__(self, house: SimHouse) -> None:
-        self.house = house
-        self.flying: list[FlyingOrder] = []
+    def __init__(self, sim_fleet: SimFleet) -> None:
+        self.sim_fleet = sim_fleet
+        self.in_flight: list[InFlightOrder] = []
         self.changes_behind = 0
 
     async def give(self, assignment: Assignment, fence: int) -> OrderResult:
         name = assignment.box.box
-        replica = self.house.replicas[name]
+        replica = self.sim_fleet.replicas[name]
         answer = asyncio.get_running_loop().create_future()
         body = encode_order(assignment, fence)
-        self.flying.append(FlyingOrder(name, replica, body, answer))
+        self.in_flight.append(InFlightOrder(name, replica, body, answer))
         return await answer
 
     async def read_report(self, box: FleetBox) -> BoxReport | None:
-        replica = self.house.replicas[box.box]
+        replica = self.sim_fleet.replicas[box.box]
         if not replica.is_alive or not replica.is_reachable:
             return None
         return decode_report(box, replica.report(self.changes_behind))
@@ -113,12 +113,12 @@
 class Holder:
     """One node at a time holds the duty; its list may be old."""
 
-    def __init__(self, house: SimHouse, engine: Engine) -> None:
-        self.house = house
-        self.clock = house.clock
-        self.orders = SimOrders(house)
+    def __init__(self, sim_fleet: SimFleet, engine: Engine) -> None:
+        self.sim_fleet = sim_fleet
+        self.clock = sim_fleet.clock
+        self.orders = SimOrders(sim_fleet)
         self.demand: dict[ModelName, float] = {}
-        self.count_requests: dict[str, int] = {}
+        self.request_counts: dict[str, int] = {}
         self.loop = asyncio.new_event_loop()
         self._entries: dict[str, FleetBox] = {}
         self.last_models: dict[BoxLife, ModelName] = {}
@@ -128,7 +128,7 @@
             eras=EraTracker(),
             fleet=Fleet({}),
             last_models=self.last_models,
-            lives=LifeBook(),
+            lives=LifeTracker(),
             kept=frozenset(),
             get_boxes_age=lambda _now: 0.0,
         )
@@ -147,7 +147,7 @@
 
     def restart_node(self) -> None:
         """Let a node hold the duty that saw no list before."""
-        self._outlook.lives = LifeBook()
+        self._outlook.lives = LifeTracker()
         self._outlook.fleet = Fleet({})
         self.last_models.clear()
         self.take_over()
@@ -155,7 +155,7 @@
     def refresh(self) -> None:
         """Let the list that the holder sees be true."""
         self._entries = {}
-        for name in self.house.replicas:
+        for name in self.sim_fleet.replicas:
             self._read_entry(name)
         self._show_entries()
 
@@ -165,7 +165,7 @@
         self._show_entries()
 
     def _read_entry(self, name: str) -> None:
-        replica = self.house.replicas[name]
+        replica = self.sim_fleet.replicas[name]
         if replica.is_listed:
             entry = replica.make_entry()
             self._entries[name] = decode_server(name, entry)
@@ -178,7 +178,7 @@
         self._show_entries()
         return hidden
 
-    def show_again(self, *entries: FleetBox) -> None:
+    def relist(self, *entries: FleetBox) -> None:
         """Put entries back on the list as they were."""
         self._entries.update({entry.box: entry for entry in entries})
         self._show_entries()
@@ -192,7 +192,7 @@
         self.duty.post(FormingDuty.PlanTick())
         self.run_tasks()
 
-    def hear(self, group: str) -> None:
+    def report_group_heard(self, group: str) -> None:
         """Tell the holder that a doubted group goes on."""
         self.duty.post(FormingDuty.Heard(GroupId(group)))
         self.run_tasks()
@@ -212,32 +212,32 @@
             and not box.standing.rank
         )
 
-    def doubt(self, group: str) -> None:
+    def report_doubt(self, group: str) -> None:
         """Tell the holder that a node hears nothing of a group."""
         self.duty.post(FormingDuty.Doubted(GroupId(group)))
         self.run_tasks()
 
-    def carry_out(self, flying: FlyingOrder) -> None:
+    def carry_out(self, in_flight: InFlightOrder) -> None:
         """Let an order reach its replica now."""
-        self.orders.flying.remove(flying)
-        flying.carry_out()
+        self.orders.in_flight.remove(in_flight)
+        in_flight.carry_out()
         self.run_tasks()
 
     def carry_out_all(self) -> None:
         """Let all orders reach their replicas, in the order of sending."""
-        while self.orders.flying:
-            self.carry_out(self.orders.flying[0])
+        while self.orders.in_flight:
+            self.carry_out(self.orders.in_flight[0])
 
-    def time_out(self, flying: FlyingOrder) -> None:
+    def time_out(self, in_flight: InFlightOrder) -> None:
         """Let an order wait on; the holder gets no answer."""
-        flying.time_out()
+        in_flight.time_out()
         self.run_tasks()
 
-    def find_flying(self, box: str, operation: str) -> list[FlyingOrder]:
+    def find_in_flight(self, box: str, operation: str) -> list[InFlightOrder]:
         """Return the orders of a kind that are on their way to a box."""
         return [
             one
-            for one in self.orders.flying
+            for one in self.orders.in_flight
             if one.box == box and one.body['operation'] == operation
         ]
 
@@ -256,7 +256,7 @@
         before, after = self._outlook.fleet, Fleet(dict(self._entries))
         change = compare_fleets(before, after)
         note_models(self.last_models, before, change)
-        self._outlook.lives.note(after, change, self.clock.now)
+        self._outlook.lives.update(after, change, self.clock.now)
         self._outlook.fleet = after
 
     def _make_duty(self) -> _HeldDuty:
@@ -270,7 +270,7 @@
             2.0,
             FormingSources(
                 lambda _now: self.demand,
-                lambda life: self.count_requests.get(life.box, 0),
+                lambda life: self.request_counts.get(life.box, 0),
             ),
         )
         duty.held_term = self._term
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -59,41 +59,41 @@
     """
 
     name: str
-    house: SimHouse
+    sim_fleet: SimFleet
     domain: str = DOMAIN
     is_alive: bool = True
     is_listed: bool = True
     is_reachable: bool = True
     born: int = 1
     orders_begun: int = 0
-    highest: int = 0
+    highest_epoch: int = 0
     staged: tuple[str, ...] = ()
     membership: Membership | None = None
-    told: list[dict[str, Any]] = attrs.Factory(list)
+    reports: list[dict[str, Any]] = attrs.Factory(list)
     """Reports from the oldest on; the last one tells how it is now."""
 
     def __attrs_post_init__(self) -> None:
         """Tell the first report."""
-        self.note_change()
+        self.record_report()
 
-    def take(self, order: dict[str, Any]) -> int:
+    def apply_order(self, order: dict[str, Any]) -> int:
         """Carry out an order; return the status of the answer."""
         expected = order.get('expect_rev')
         if expected is not None and expected != self.orders_begun:
             return HTTPStatus.CONFLICT
         operation = order['operation']
         if operation == 'stage':
-            return self._take_stage(order)
+            return self._apply_stage(order)
         if operation == 'join':
-            return self._take_join(order)
+            return self._apply_join(order)
         own = self.membership
         if own is None or (own.group, own.epoch) != _name_group(order):
             return HTTPStatus.CONFLICT
         if operation == 'leave':
             self.membership = None
-            self.house.note_left(self.name, own.group)
+            self.sim_fleet.record_left(self.name, own.group)
         elif operation == 'open':
-            return self._take_open(own)
+            return self._apply_open(own)
         else:
             self.set_state('ready')
         return self._begin()
@@ -101,22 +101,22 @@
     def restart(self) -> None:
         """Start again under the same id; only the host keeps what it had."""
         if self.membership is not None:
-            self.house.note_loss(self.membership.group)
+            self.sim_fleet.record_loss(self.membership.group)
         self.is_alive = True
         self.born += 1
         self.orders_begun = 0
-        self.highest = 0
+        self.highest_epoch = 0
         self.membership = None
-        self.told = []
-        self.note_change()
+        self.reports = []
+        self.record_report()
 
     def set_state(self, state: str) -> None:
         """Change how it stands in its group."""
         assert self.membership is not None
         self.membership = attrs.evolve(self.membership, state=state)
         if state == 'ready':
-            self.house.note_ready(self)
-        self.note_change()
+            self.sim_fleet.record_ready(self)
+        self.record_report()
 
     def finish_load(self) -> None:
         """Be ready, where it joins a group."""
@@ -130,10 +130,10 @@
             return False
         return (own.group, own.epoch) == (other.group, other.epoch)
 
-    def note_change(self) -> None:
+    def record_report(self) -> None:
         """Tell how it is now."""
         own = self.membership
-        self.told.append(
+        self.reports.append(
             {
                 'born': self.born,
                 'seq_no': self.orders_begun,
@@ -144,8 +144,10 @@
 
     def report(self, changes_behind: int = 0) -> bytes:
         """Return a report, perhaps one from before the last changes."""
-        latest = len(self.told) - 1
-        return json.dumps(self.told[max(0, latest - changes_behind)]).encode()
+        latest = len(self.reports) - 1
+        return json.dumps(
+            self.reports[max(0, latest - changes_behind)]
+        ).encode()
 
     def make_entry(self) -> dict[str, Any]:
         """Return its entry in the list as it is now."""
@@ -158,7 +160,7 @@
             'slots': 9,
             'state': 'ready',
             'cold_left_ms': 0,
-            'seq_no': len(self.told),
+            'seq_no': len(self.reports),
             'born': self.born,
             'domain': self.domain,
             'staged': list(self.staged),
@@ -167,46 +169,46 @@
 
     def _begin(self) -> int:
         self.orders_begun += 1
-        self.note_change()
+        self.record_report()
         return HTTPStatus.ACCEPTED
 
-    def _take_stage(self, order: dict[str, Any]) -> int:
+    def _apply_stage(self, order: dict[str, Any]) -> int:
         self.staged = (order['model'],)
         return self._begin()
 
-    def _take_join(self, order: dict[str, Any]) -> int:
+    def _apply_join(self, order: dict[str, Any]) -> int:
         own = self.membership
         members = tuple(order['members'])
-        if order['epoch'] < self.highest:
+        if order['epoch'] < self.highest_epoch:
             return HTTPStatus.PRECONDITION_FAILED
         if own is not None and (own.group, own.epoch) == _name_group(order):
             same = own.members == members
             return HTTPStatus.OK if same else HTTPStatus.PRECONDITION_FAILED
-        self.house.check_join(self, order)
-        self.highest = order['epoch']
+        self.sim_fleet.check_join(self, order)
+        self.highest_epoch = order['epoch']
         self.staged = (order['model'],)
         if own is not None:
-            self.house.note_left(self.name, own.group)
+            self.sim_fleet.record_left(self.name, own.group)
         rank = members.index(self.name)
         group, epoch = _name_group(order)
         self.membership = Membership(group, epoch, members, rank, 'joining')
         return self._begin()
 
-    def _take_open(self, own: Membership) -> int:
+    def _apply_open(self, own: Membership) -> int:
         if own.state != 'ready':
             return HTTPStatus.CONFLICT
-        self.house.check_open(own)
+        self.sim_fleet.check_open(own)
         self.set_state('open')
         return self._begin()
 
 
 @attrs.define(eq=False)
-class SimHouse:
+class SimFleet:
     """All replicas, with the rules that hold for their groups."""
 
     replicas: dict[str, SimReplica] = attrs.Factory(dict)
     was_ready: set[tuple[str, str, int]] = attrs.Factory(set)
-    broken: list[str] = attrs.Factory(list)
+    violations: list[str] = attrs.Factory(list)
     """Rules that were broken, in words."""
 
     clock: HeldClock = attrs.Factory(HeldClock)
@@ -223,7 +225,7 @@
         self.replicas[name] = SimReplica(name, self, staged=staged)
         return self.replicas[name]
 
-    def note_ready(self, replica: SimReplica) -> None:
+    def record_ready(self, replica: SimReplica) -> None:
         """Remember that a member was ready in its group."""
         own = replica.membership
         assert own is not None
@@ -239,16 +241,16 @@
                 continue
             if self._counts_on(other, joining):
                 own = other
-                self.broken.append(
+                self.violations.append(
                     f'{joining.name} joins {order["group"]} while'
                     f' {own.group} is open',
                 )
 
-    def note_left(self, name: str, group: str) -> None:
+    def record_left(self, name: str, group: str) -> None:
         """Remember that a replica has left a group in good order."""
         self.left[group].add(name)
 
-    def note_loss(self, group: str) -> None:
+    def record_loss(self, group: str) -> None:
         """Remember when a group lost its first member by a restart."""
         self.lost_at.setdefault(group, self.clock.now)
 
@@ -269,7 +271,7 @@
         """Note a group that opens before all its members were ready."""
         for member in own.members:
             if (member, own.group, own.epoch) not in self.was_ready:
-                self.broken.append(f'{own.group} opens before {member}')
+                self.violations.append(f'{own.group} opens before {member}')
 
 
 def _name_group(order: dict[str, Any]) -> tuple[str, int]:
--- a/tests/test_crashing_loads.py
+++ b/tests/test_crashing_loads.py
@@ -13,7 +13,7 @@
 
 from tests.boxes import make_box, make_fleet
 from tests.holder import Holder
-from tests.replicas import SimHouse, SimReplica
+from tests.replicas import SimFleet, SimReplica
 from waywell.duties.forming import SETTLE_SECONDS
 from waywell.ids import ModelName, ServiceName
 from waywell.version.load_failures import (
@@ -52,18 +52,18 @@
 
     def __init__(self, holder: Holder) -> None:
         self.holder = holder
-        self.house = holder.house
+        self.sim_fleet = holder.sim_fleet
         self.crashes = 0
         self.is_deadly = True
 
     def play(self, seconds: float) -> None:
         """Let the holder plan and boxes act for some time."""
         for _step in range(int(seconds / STEP_SECONDS)):
-            self.house.clock.now += STEP_SECONDS
+            self.sim_fleet.clock.now += STEP_SECONDS
             self.holder.refresh()
             self.holder.plan()
             self.holder.carry_out_all()
-            for replica in self.house.replicas.values():
+            for replica in self.sim_fleet.replicas.values():
                 self._act(replica)
 
     def count_open(self, model: ModelName) -> int:
@@ -72,7 +72,7 @@
             replica.membership is not None
             and replica.membership.state == 'open'
             and replica.membership.group.startswith(model)
-            for replica in self.house.replicas.values()
+            for replica in self.sim_fleet.replicas.values()
         )
 
     def _act(self, replica: SimReplica) -> None:
@@ -92,13 +92,13 @@
 @pytest.fixture
 def weights() -> Iterator[DeadlyWeights]:
     """Return boxes without any weights before a holder."""
-    house = SimHouse()
+    sim_fleet = SimFleet()
     for number in range(BOXES):
-        house.add(f'b{number:02}')
-    holder = Holder(house, ENGINE)
+        sim_fleet.add(f'b{number:02}')
+    holder = Holder(sim_fleet, ENGINE)
     holder.refresh()
     holder.plan()
-    house.clock.now += SETTLE_SECONDS
+    sim_fleet.clock.now += SETTLE_SECONDS
     yield DeadlyWeights(holder)
     holder.close()
 
@@ -164,7 +164,7 @@
     model: ModelName = DEADLY,
 ) -> None:
     for box in boxes:
-        failures.note_begun(box, model, LoadKind.STAGE, now)
+        failures.record_start(box, model, LoadKind.STAGE, now)
 
 
 def _crash_alone(failures: LoadFailures, count: int, start: float) -> float:
@@ -236,7 +236,7 @@
     weights.play(QUIET_SECONDS)
     before = weights.count_open(DEADLY)
     failures = weights.holder.duty.loads.get(ServiceName('llm'))
-    now = weights.house.clock.now
+    now = weights.sim_fleet.clock.now
     _crash_alone(failures, 8, now - 80.0)
     weights.holder.demand = {GOOD: 60.0, DEADLY: 0.0}
     weights.play(QUIET_SECONDS)
@@ -252,4 +252,4 @@
     duty = weights.holder.duty
     weights.holder.loop.run_until_complete(duty.take_up())
     duty.lay_down()
-    assert duty.loads.count()[f'llm/{DEADLY}'] >= CRASH_LIMIT
+    assert duty.loads.count_crashes()[f'llm/{DEADLY}'] >= CRASH_LIMIT
--- a/tests/test_forming.py
+++ b/tests/test_forming.py
@@ -22,9 +22,9 @@
     OrderResult,
     Stage,
 )
-from waywell.version.regroup_planner import SEARCH_SECONDS
+from waywell.version.regroup_planner import SEARCH_INTERVAL_SECONDS
 from waywell.version.routes import Engine, EngineModel
-from waywell.version.staging import BESIDE_PART
+from waywell.version.staging import SERVING_LOAD_SHARE
 
 LLM = ServiceName('llm')
 BIG, SMALL = ModelName('big'), ModelName('small')
@@ -74,7 +74,7 @@
     """Return the memory of a holder that formed some groups."""
     memory = FormingMemory()
     for group in groups:
-        memory.rights.note_formed(GroupId(group), [])
+        memory.openings.record_formed(GroupId(group), [])
     return memory
 
 
@@ -136,7 +136,7 @@
     assert [one.box.box for one in pick(orders, Leave)] == ['a']
     assert len(orders) == 1
     left = msgspec.structs.replace(boxes[0], standing=None)
-    memory.settled.add(GroupId('small.1000007'))
+    memory.groups_left_by_head.add(GroupId('small.1000007'))
     joins = pick(plan([left, boxes[1]], memory, 1.5), Join)
     assert {one.order.epoch for one in joins} == {2_000_001}
 
@@ -228,7 +228,7 @@
     boxes = make_group('small.7', 'a', 'b', head_state=MemberState.READY)
     assert pick(plan(boxes, make_own('small.7'), 2.0), Open)
     memory = make_own('small.7')
-    memory.rights.note_formed(GroupId('small.8'), [boxes[1]])
+    memory.openings.record_formed(GroupId('small.8'), [boxes[1]])
     for now in (2.0, 20.0, 200.0):
         assert not pick(plan(boxes, memory, now), Open)
         memory.pending.clear()
@@ -242,7 +242,7 @@
     boxes = make_group('small.7', 'a', 'b', head_state=MemberState.READY)
     standing = boxes[1].standing
     ending = order(standing.group, standing.epoch)
-    assert memory.note_order(boxes[1], ending, 1.0)
+    assert memory.record_order(boxes[1], ending, 1.0)
     memory.pending.clear()
     assert not pick(plan(boxes, memory, 20.0), Open)
 
@@ -399,7 +399,7 @@
         | {make_life(name): BIG for name in 'wxyz'},
     )
     stages = pick(plan(boxes, memory, 1.0, {BIG: 4.0, SMALL: 4.0}), Stage)
-    most = math.ceil(BESIDE_PART * ENGINE.loads_at_once)
+    most = math.ceil(SERVING_LOAD_SHARE * ENGINE.loads_at_once)
     assert [one.order.model for one in stages] == [BIG] * most
     assert {one.box.box for one in stages} <= {'a', 'b', 'c', 'd'}
     # The other places at the weight store are left to idle boxes.
@@ -441,7 +441,7 @@
 @pytest.mark.parametrize(
     # It loads already, for an earlier holder; or the order may be lost.
     ('result', 'is_free_at_once'),
-    [(OrderResult.MISFIT, True), (OrderResult.UNKNOWN, False)],
+    [(OrderResult.CONFLICT, True), (OrderResult.UNKNOWN, False)],
 )
 def test_a_load_that_a_box_did_not_take_is_given_back(
     result: OrderResult,
@@ -455,7 +455,7 @@
     first = pick(plan(boxes, memory, 1.0, demand), Stage)
     assert first
     for one in first:
-        memory.note_result(one, result, 1.1)
+        memory.record_result(one, result, 1.1)
     asked = {one.box.box for one in first}
     others = pick(plan(boxes, memory, 1.2, demand), Stage)
     assert bool(others) is is_free_at_once
@@ -475,7 +475,7 @@
         orders = plan(boxes, memory, now, {BIG: 4.0, SMALL: 4.0})
         for one in pick(orders, Stage):
             begun += 1
-            memory.note_result(one, OrderResult.UNKNOWN, now)
+            memory.record_result(one, OrderResult.UNKNOWN, now)
     assert begun <= ENGINE.loads_at_once
 
 
@@ -521,7 +521,9 @@
     assert not pick(plan(boxes, memory, 5.0, calm), Close)
     short = {BIG: 9.0, SMALL: 2.0}
     assert not pick(plan(boxes, memory, 5.1, short), Close)
-    assert pick(plan(boxes, memory, 5.01 + SEARCH_SECONDS, short), Close)
+    assert pick(
+        plan(boxes, memory, 5.01 + SEARCH_INTERVAL_SECONDS, short), Close
+    )
 
 
 def test_groups_stay_where_no_box_is_idle_and_models_are_as_full() -> None:
--- a/tests/test_forming_machine.py
+++ b/tests/test_forming_machine.py
@@ -18,12 +18,15 @@
     rule,
 )
 
-from tests.holder import FlyingOrder, Holder
-from tests.replicas import SimHouse, SimReplica
+from tests.holder import Holder, InFlightOrder
+from tests.replicas import SimFleet, SimReplica
 from waywell.duties.forming import FormingDuty
 from waywell.ids import ModelName
 from waywell.version.box_report import BoxReport
-from waywell.version.forming_memory import GATHER_SECONDS, PENDING_SECONDS
+from waywell.version.forming_memory import (
+    JOIN_TIMEOUT_SECONDS,
+    ORDER_TIMEOUT_SECONDS,
+)
 from waywell.version.routes import Engine, EngineModel
 
 BIG, SMALL = ModelName('big'), ModelName('small')
@@ -55,10 +58,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.house = SimHouse()
+        self.sim_fleet = SimFleet()
         for number in range(self.box_count):
-            self.house.add(f'b{number}')
-        self.holder = Holder(self.house, ENGINE)
+            self.sim_fleet.add(f'b{number}')
+        self.holder = Holder(self.sim_fleet, ENGINE)
 
     def teardown(self) -> None:
         self.holder.close()
@@ -70,7 +73,7 @@
     def begin(self, rounds: int, model: ModelName) -> None:
         """Groups stand already, or all boxes are free and hold weights."""
         if not rounds:
-            for replica in self.house.replicas.values():
+            for replica in self.sim_fleet.replicas.values():
                 replica.staged = (model,)
         for _round in range(rounds):
             self.settle()
@@ -81,25 +84,25 @@
     def plan_unanswered(self) -> None:
         """The holder waits in vain for the answers to a plan's orders."""
         self.holder.plan()
-        for flying in tuple(self.holder.orders.flying):
-            self.holder.time_out(flying)
-        self.holder.clock.now += GATHER_SECONDS + 1
+        for in_flight in tuple(self.holder.orders.in_flight):
+            self.holder.time_out(in_flight)
+        self.holder.clock.now += JOIN_TIMEOUT_SECONDS + 1
 
     @rule()
     def plan_again(self) -> None:
         """The holder plans by a true list, orders being long on their way."""
-        self.holder.clock.now += PENDING_SECONDS + 1
+        self.holder.clock.now += ORDER_TIMEOUT_SECONDS + 1
         self.holder.refresh()
         self.holder.plan()
 
     @rule(choice=ANY, is_answered=st.booleans())
     def carry_out(self, choice: int, is_answered: bool) -> None:
         """A box carries out an order, early or late."""
-        flying = self._pick_flying(choice)
-        if flying is not None:
+        in_flight = self._pick_flying(choice)
+        if in_flight is not None:
             if not is_answered:
-                self.holder.time_out(flying)
-            self.holder.carry_out(flying)
+                self.holder.time_out(in_flight)
+            self.holder.carry_out(in_flight)
 
     @rule(choice=ANY)
     def carry_out_group(self, choice: int) -> None:
@@ -108,17 +111,17 @@
         if chosen is None:
             return
         group = chosen.body.get('group')
-        for flying in tuple(self.holder.orders.flying):
-            if flying.body.get('group') == group:
-                self.holder.carry_out(flying)
+        for in_flight in tuple(self.holder.orders.in_flight):
+            if in_flight.body.get('group') == group:
+                self.holder.carry_out(in_flight)
         self.finish_loads()
 
     @rule(newest_first=st.booleans())
     def carry_out_all(self, newest_first: bool) -> None:
         """All orders reach their boxes."""
-        flying = self.holder.orders.flying
-        while flying:
-            self.holder.carry_out(flying[-1 if newest_first else 0])
+        in_flight = self.holder.orders.in_flight
+        while in_flight:
+            self.holder.carry_out(in_flight[-1 if newest_first else 0])
 
     @rule(choice=ANY)
     def start_again(self, choice: int) -> None:
@@ -128,7 +131,7 @@
     @invariant()
     def keeps_its_promises(self) -> None:
         """No box joins while its group is open; no group opens too early."""
-        assert not self.house.broken
+        assert not self.sim_fleet.violations
 
     def settle(self) -> None:
         """All goes well for a while: groups are ready, then open."""
@@ -140,16 +143,16 @@
 
     def finish_loads(self) -> None:
         """All boxes that join are ready."""
-        for replica in self.house.replicas.values():
+        for replica in self.sim_fleet.replicas.values():
             replica.finish_load()
 
     def _pick(self, choice: int) -> SimReplica:
-        names = list(self.house.replicas)
-        return self.house.replicas[names[choice % len(names)]]
+        names = list(self.sim_fleet.replicas)
+        return self.sim_fleet.replicas[names[choice % len(names)]]
 
-    def _pick_flying(self, choice: int) -> FlyingOrder | None:
-        flying = self.holder.orders.flying
-        return flying[choice % len(flying)] if flying else None
+    def _pick_flying(self, choice: int) -> InFlightOrder | None:
+        in_flight = self.holder.orders.in_flight
+        return in_flight[choice % len(in_flight)] if in_flight else None
 
 
 class FormingMachine(LateOrdersMachine):
@@ -203,14 +206,14 @@
         """A node hears nothing of a group: its members are asked."""
         own = self._pick(choice).membership
         if own is not None:
-            self.holder.doubt(own.group)
+            self.holder.report_doubt(own.group)
 
     @rule(choice=ANY)
     def time_out(self, choice: int) -> None:
         """The holder waits no longer for an order that is on its way."""
-        flying = self._pick_flying(choice)
-        if flying is not None:
-            self.holder.time_out(flying)
+        in_flight = self._pick_flying(choice)
+        if in_flight is not None:
+            self.holder.time_out(in_flight)
 
     @rule(choice=ANY)
     def break_group(self, choice: int) -> None:
@@ -219,7 +222,7 @@
         own = replica.membership
         if own is None or own.rank or own.state != 'open':
             return
-        mates = [self.house.replicas[name] for name in own.members]
+        mates = [self.sim_fleet.replicas[name] for name in own.members]
         if not all(mate.stands_in(own) for mate in mates):
             replica.set_state('broken')
 
@@ -251,8 +254,8 @@
         if replica.is_alive:
             return
         replica.is_listed = False
-        lives = len(self.house.replicas)
-        self.house.add(f'b{lives}', replica.staged)
+        lives = len(self.sim_fleet.replicas)
+        self.sim_fleet.add(f'b{lives}', replica.staged)
 
     @rule(choice=ANY)
     def start_again_with_its_head(self, choice: int) -> None:
@@ -260,7 +263,7 @@
         own = self._pick(choice).membership
         if own is not None:
             for name in {own.members[0], self._pick(choice).name}:
-                self.house.replicas[name].restart()
+                self.sim_fleet.replicas[name].restart()
 
     @rule(choice=ANY, pace=st.sampled_from([1.0, 5.0]))
     def tell_pace(self, choice: int, pace: float) -> None:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -18,10 +18,10 @@
 import pytest
 
 from tests.holder import Holder
-from tests.replicas import STALL_SECONDS, SimHouse
+from tests.replicas import STALL_SECONDS, SimFleet
 from waywell.duties.forming import SETTLE_SECONDS
 from waywell.ids import ModelName
-from waywell.version.forming_memory import PENDING_SECONDS
+from waywell.version.forming_memory import ORDER_TIMEOUT_SECONDS
 from waywell.version.orders import Assignment, Leave
 from waywell.version.routes import Engine, EngineModel
 
@@ -42,20 +42,20 @@
 @pytest.fixture
 def holder() -> Iterator[Holder]:
     """Return a holder before one open group of two, and callers for more."""
-    started = Holder(SimHouse(), ENGINE)
+    started = Holder(SimFleet(), ENGINE)
     started.demand = {PAIR: 50.0}
     for name in 'ab':
-        started.house.add(name, ('pair',))
+        started.sim_fleet.add(name, ('pair',))
     started.refresh()
     started.plan()
     started.clock.now += SETTLE_SECONDS
     _take_a_step(started)
-    for replica in started.house.replicas.values():
+    for replica in started.sim_fleet.replicas.values():
         replica.finish_load()
     _take_a_step(started)
     assert _find_head(started).membership.state == 'open'
     # The order to open is seen, and what was ordered is over.
-    started.clock.now += PENDING_SECONDS + 10.0
+    started.clock.now += ORDER_TIMEOUT_SECONDS + 10.0
     started.refresh()
     started.plan()
     yield started
@@ -64,7 +64,7 @@
 
 def _take_a_step(holder: Holder) -> None:
     """Let the holder plan by a true list, and all orders be carried out."""
-    holder.clock.now += PENDING_SECONDS + 0.1
+    holder.clock.now += ORDER_TIMEOUT_SECONDS + 0.1
     holder.refresh()
     holder.plan()
     holder.carry_out_all()
@@ -73,7 +73,7 @@
 def _find_head(holder: Holder) -> SimReplica:
     return next(
         one
-        for one in holder.house.replicas.values()
+        for one in holder.sim_fleet.replicas.values()
         if one.membership and not one.membership.rank
     )
 
@@ -81,7 +81,7 @@
 def _find_member(holder: Holder) -> SimReplica:
     return next(
         one
-        for one in holder.house.replicas.values()
+        for one in holder.sim_fleet.replicas.values()
         if one.membership and one.membership.rank
     )
 
@@ -90,51 +90,51 @@
     holder: Holder,
 ) -> None:
     head, member = _find_head(holder), _find_member(holder)
-    holder.house.add('c', ('pair',))
+    holder.sim_fleet.add('c', ('pair',))
     member.restart()
     holder.refresh()
     holder.plan()
     # The head is told to leave and does not hear it.
-    assert not holder.find_flying(member.name, 'join')
-    holder.carry_out(*holder.find_flying(head.name, 'leave'))
-    holder.house.replicas['c'].is_listed = False
+    assert not holder.find_in_flight(member.name, 'join')
+    holder.carry_out(*holder.find_in_flight(head.name, 'leave'))
+    holder.sim_fleet.replicas['c'].is_listed = False
     holder.refresh()
     holder.plan()
     holder.clock.now += SETTLE_SECONDS
     holder.plan()
-    assert holder.find_flying(member.name, 'join')
+    assert holder.find_in_flight(member.name, 'join')
     holder.carry_out_all()
-    assert not holder.house.broken
+    assert not holder.sim_fleet.violations
 
 
 def test_a_member_waits_no_longer_than_a_head_can_stand_still(
     holder: Holder,
 ) -> None:
     head, member = _find_head(holder), _find_member(holder)
-    holder.house.add('c', ('pair',))
+    holder.sim_fleet.add('c', ('pair',))
     head.is_listed = False
     head.is_reachable = False
     member.restart()
     holder.refresh()
     holder.plan()
-    assert not holder.find_flying(member.name, 'join')
+    assert not holder.find_in_flight(member.name, 'join')
     holder.clock.now += STALL_SECONDS + 2.0
     holder.refresh()
     holder.plan()
-    assert holder.find_flying(member.name, 'join')
+    assert holder.find_in_flight(member.name, 'join')
 
 
 def test_a_new_holder_that_saw_no_restart_waits_as_well(
     holder: Holder,
 ) -> None:
     head, member = _find_head(holder), _find_member(holder)
-    holder.house.add('c', ('pair',))
+    holder.sim_fleet.add('c', ('pair',))
     member.restart()
     holder.restart_node()
     holder.refresh()
     holder.plan()
-    assert holder.find_flying(head.name, 'leave')
-    assert not holder.find_flying(member.name, 'join')
+    assert holder.find_in_flight(head.name, 'leave')
+    assert not holder.find_in_flight(member.name, 'join')
 
 
 def test_the_others_are_free_once_their_head_has_returned_empty(
@@ -144,10 +144,10 @@
     head.restart()
     holder.refresh()
     holder.plan()
-    assert holder.find_flying(member.name, 'join')
-    assert holder.find_flying(head.name, 'join')
+    assert holder.find_in_flight(member.name, 'join')
+    assert holder.find_in_flight(head.name, 'join')
     holder.carry_out_all()
-    assert not holder.house.broken
+    assert not holder.sim_fleet.violations
 
 
 def test_an_order_to_the_former_life_keeps_nothing_from_the_new_one(
@@ -155,20 +155,20 @@
 ) -> None:
     """What is pending at a life, lost or slow ends with it."""
     head = _find_head(holder)
-    holder.house.add('c', ('pair',))
+    holder.sim_fleet.add('c', ('pair',))
     holder.refresh()
     holder.plan()
-    (pending,) = holder.find_flying('c', 'join') or [None]
+    (pending,) = holder.find_in_flight('c', 'join') or [None]
     if pending is not None:
         holder.time_out(pending)
     head.restart()
-    holder.house.replicas['c'].restart()
+    holder.sim_fleet.replicas['c'].restart()
     holder.refresh()
     holder.plan()
     joined = {
-        flying.box
-        for flying in holder.orders.flying
-        if flying.body['operation'] == 'join' and flying is not pending
+        in_flight.box
+        for in_flight in holder.orders.in_flight
+        if in_flight.body['operation'] == 'join' and in_flight is not pending
     }
     assert len(joined) == 2
 
@@ -196,7 +196,7 @@
     holder.refresh()
     giving = holder.duty._give(Assignment(entry, order), holder.duty.epoch)
     holder.loop.run_until_complete(giving)
-    assert not holder.orders.flying
+    assert not holder.orders.in_flight
 
 
 def test_a_box_that_tells_another_life_than_the_list_counts_as_lost(
@@ -206,9 +206,9 @@
     member = _find_member(holder)
     former = holder.find_entry(member.name).life
     member.restart()
-    holder.doubt('pair.1000001')
+    holder.report_doubt('pair.1000001')
     holder.plan()
-    assert holder.find_flying(_find_head(holder).name, 'leave')
+    assert holder.find_in_flight(_find_head(holder).name, 'leave')
     assert former in holder.duty._get_memory('llm').lost
     holder.refresh()
     holder.plan()
--- a/tests/test_join_check.py
+++ b/tests/test_join_check.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.boxes import make_box, make_group
-from tests.replicas import SimHouse
+from tests.replicas import SimFleet
 from waywell.ids import BoxId, Epoch, GroupId, ModelName
 from waywell.platform.orders import encode_order
 from waywell.version.box_report import BoxReport
@@ -86,8 +86,8 @@
 def test_of_two_joins_for_one_state_a_box_takes_one() -> None:
     """Whichever comes first, also when it is the later one that does."""
     for order in ((8, 9), (9, 8)):
-        box = SimHouse().add('a', ('small',))
-        box.take({'operation': 'stage', 'model': 'small'})
+        box = SimFleet().add('a', ('small',))
+        box.apply_order({'operation': 'stage', 'model': 'small'})
         members = (BoxId('a'),)
         listed = make_box('a')
         report = BoxReport(orders_begun=box.orders_begun)
@@ -97,7 +97,7 @@
             join = Join(group, Epoch(epoch), ModelName('small'), members)
             planned = (Assignment(listed, join),)
             (numbered,) = check_joins(planned, {listed.life: report}).joins
-            status = box.take(encode_order(numbered, 1))
+            status = box.apply_order(encode_order(numbered, 1))
             taken.append(status < 300)
         assert taken == [True, False]
 
--- a/tests/test_late_joins.py
+++ b/tests/test_late_joins.py
@@ -28,10 +28,13 @@
 import pytest
 
 from tests.holder import Holder
-from tests.replicas import SimHouse
+from tests.replicas import SimFleet
 from waywell.duties.forming import SETTLE_SECONDS
 from waywell.ids import ModelName
-from waywell.version.forming_memory import GATHER_SECONDS, PENDING_SECONDS
+from waywell.version.forming_memory import (
+    JOIN_TIMEOUT_SECONDS,
+    ORDER_TIMEOUT_SECONDS,
+)
 from waywell.version.routes import Engine, EngineModel
 
 if TYPE_CHECKING:
@@ -56,7 +59,7 @@
 @pytest.fixture
 def holder() -> Iterator[Holder]:
     """Return a holder whose callers ask for more than there is."""
-    started = Holder(SimHouse(), ENGINE)
+    started = Holder(SimFleet(), ENGINE)
     started.demand = {SMALL: 50.0}
     yield started
     started.close()
@@ -64,11 +67,11 @@
 
 def _join_elsewhere(holder: Holder) -> None:
     """Let the second join of ``b`` be under way while its group opens."""
-    house = holder.house
+    sim_fleet = holder.sim_fleet
     for name in 'ab':
-        house.add(name, ('small',))
+        sim_fleet.add(name, ('small',))
     # The former group of b is broken: its other member is gone.
-    house.replicas['b'].take(
+    sim_fleet.replicas['b'].apply_order(
         {
             'operation': 'join',
             'group': 'small.1',
@@ -77,25 +80,25 @@
             'members': ['b', 'x'],
         },
     )
-    house.replicas['b'].set_state('broken')
+    sim_fleet.replicas['b'].set_state('broken')
     holder.refresh()
     holder.clock.now += 2.0
     holder.plan()
-    holder.carry_out(*holder.find_flying('a', 'join'))
-    (first,) = holder.find_flying('b', 'join')
+    holder.carry_out(*holder.find_in_flight('a', 'join'))
+    (first,) = holder.find_in_flight('b', 'join')
     holder.time_out(first)
-    house.replicas['a'].set_state('ready')
-    house.add('c', ('small',))
-    holder.clock.now += PENDING_SECONDS + 0.1
+    sim_fleet.replicas['a'].set_state('ready')
+    sim_fleet.add('c', ('small',))
+    holder.clock.now += ORDER_TIMEOUT_SECONDS + 0.1
     holder.refresh()
     holder.plan()
-    holder.carry_out(*holder.find_flying('c', 'join'))
-    (_first, second) = holder.find_flying('b', 'join')
+    holder.carry_out(*holder.find_in_flight('c', 'join'))
+    (_first, second) = holder.find_in_flight('b', 'join')
     assert second.body['members'] != first.body['members']
     holder.time_out(second)
     holder.carry_out(first)
-    house.replicas['b'].set_state('ready')
-    holder.clock.now += PENDING_SECONDS + 0.1
+    sim_fleet.replicas['b'].set_state('ready')
+    holder.clock.now += ORDER_TIMEOUT_SECONDS + 0.1
     holder.refresh()
     holder.plan()
 
@@ -105,18 +108,18 @@
 ) -> None:
     _join_elsewhere(holder)
     for opening in (
-        *holder.find_flying('a', 'open'),
-        *holder.find_flying('b', 'open'),
+        *holder.find_in_flight('a', 'open'),
+        *holder.find_in_flight('b', 'open'),
     ):
         holder.carry_out(opening)
     states = {
         one.membership.state
-        for one in holder.house.replicas.values()
+        for one in holder.sim_fleet.replicas.values()
         if one.membership
     }
     assert 'open' in states
     holder.carry_out_all()
-    assert not holder.house.broken
+    assert not holder.sim_fleet.violations
 
 
 def test_a_group_that_was_off_the_list_may_still_have_been_opened() -> None:
@@ -127,37 +130,37 @@
     from before.  Cause: the holder forgot the order as the group was not
     listed, and took its boxes for free.  Found by reading.
     """
-    holder = Holder(SimHouse(), TRIPLE_ENGINE)
+    holder = Holder(SimFleet(), TRIPLE_ENGINE)
     holder.demand = {TRIPLE: 50.0}
-    house = holder.house
+    sim_fleet = holder.sim_fleet
     for name in 'abc':
-        house.add(name, ('triple',))
+        sim_fleet.add(name, ('triple',))
     holder.refresh()
     holder.plan()
     holder.clock.now += SETTLE_SECONDS
     holder.plan()
     holder.carry_out_all()
     for name in 'abc':
-        house.replicas[name].finish_load()
+        sim_fleet.replicas[name].finish_load()
     holder.refresh()
-    holder.clock.now += PENDING_SECONDS + 0.1
+    holder.clock.now += ORDER_TIMEOUT_SECONDS + 0.1
     holder.plan()
     holder.carry_out_all()
     head = next(
-        one for one in house.replicas.values() if not one.membership.rank
+        one for one in sim_fleet.replicas.values() if not one.membership.rank
     )
     assert head.membership.state == 'open'
-    holder.clock.now += GATHER_SECONDS
+    holder.clock.now += JOIN_TIMEOUT_SECONDS
     for name in 'de':
-        house.add(name, ('triple',))
+        sim_fleet.add(name, ('triple',))
         holder.refresh_one(name)
     before = holder.hide(*'abc')
     holder.plan()
     holder.clock.now += SETTLE_SECONDS
     holder.plan()
     lost = next(name for name in 'abc' if name != head.name)
-    holder.show_again(*(entry for entry in before if entry.box != lost))
+    holder.relist(*(entry for entry in before if entry.box != lost))
     holder.plan()
     holder.carry_out_all()
     holder.close()
-    assert not house.broken
+    assert not sim_fleet.violations
--- a/tests/test_life_tracker.py
+++ b/tests/test_life_tracker.py
@@ -19,18 +19,18 @@
 from tests.boxes import make_fleet, make_group
 from waywell.ids import GroupId
 from waywell.version.fleet import Fleet, compare_fleets
-from waywell.version.life_tracker import LifeBook
+from waywell.version.life_tracker import LifeTracker
 
 GROUP = GroupId('notes.7')
 HEAD, MEMBER = make_group(GROUP, 'a', 'b')
 BEFORE = msgspec.structs.replace(HEAD, standing=None)
 
 
-class Bench:
+class ListSequence:
     """Lists in the order in which they are put in force."""
 
     def __init__(self) -> None:
-        self.book = LifeBook()
+        self.book = LifeTracker()
         self.now = 100.0
         self._fleet = Fleet({})
 
@@ -38,23 +38,23 @@
         fleet = make_fleet(*boxes)
         self.now += 0.2
         change = compare_fleets(self._fleet, fleet)
-        self.book.note(fleet, change, self.now)
+        self.book.update(fleet, change, self.now)
         self._fleet = fleet
 
 
 def test_a_list_that_goes_back_ends_no_group_for_good() -> None:
-    bench = Bench()
-    bench.show(HEAD, MEMBER)
-    bench.show(BEFORE, MEMBER)
-    bench.show(HEAD, MEMBER)
+    lists = ListSequence()
+    lists.show(HEAD, MEMBER)
+    lists.show(BEFORE, MEMBER)
+    lists.show(HEAD, MEMBER)
     # Off the list it may well serve on.
-    bench.show(MEMBER)
-    assert not bench.book.has_ended(GROUP)
+    lists.show(MEMBER)
+    assert not lists.book.has_group_ended(GROUP)
 
 
 def test_a_group_whose_head_has_left_has_ended() -> None:
-    bench = Bench()
-    bench.show(HEAD, MEMBER)
-    bench.show(BEFORE, MEMBER)
-    bench.show(MEMBER)
-    assert bench.book.has_ended(GROUP)
+    lists = ListSequence()
+    lists.show(HEAD, MEMBER)
+    lists.show(BEFORE, MEMBER)
+    lists.show(MEMBER)
+    assert lists.book.has_group_ended(GROUP)
--- a/tests/test_regrouping.py
+++ b/tests/test_regrouping.py
@@ -16,7 +16,7 @@
 
 from tests.boxes import make_box, make_group, make_life
 from waywell.ids import BoxId, DomainName, ModelName
-from waywell.version.box_report import BoxReport, ReportReading
+from waywell.version.box_report import BoxReport, TimedReport
 from waywell.version.domain_changes import DomainChanges
 from waywell.version.fleet import BoxLife, Fleet, FleetBox, FleetGroup, Pools
 from waywell.version.forming_memory import FormingMemory
@@ -70,7 +70,7 @@
         )
 
     def slow_down(self, life: BoxLife, pace: float) -> None:
-        reading = ReportReading(BoxReport(pace=pace), 0.0)
+        reading = TimedReport(BoxReport(pace=pace), 0.0)
         self.memory.reports[life] = reading
 
     def search(
@@ -140,14 +140,14 @@
 def searched(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Return the domains that are searched, as they are."""
     found: list[str] = []
-    original = DomainChanges.list_possible
+    original = DomainChanges.list_candidates
 
     def note(changes: DomainChanges, domain: object) -> Iterator[object]:
         boxes = [*domain.idle, *domain.serving]  # type: ignore[attr-defined]
         found.append(str(boxes[0].domain))
         return original(changes, domain)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(DomainChanges, 'list_possible', note)
+    monkeypatch.setattr(DomainChanges, 'list_candidates', note)
     return found
 
 
@@ -173,7 +173,7 @@
         name: box for name, box in site.boxes.items() if box.domain != 'd3'
     }
     site.search(site.memory, demand)
-    assert set(site.memory.possible) == {'d0', 'd1', 'd2'}
+    assert set(site.memory.candidate_changes) == {'d0', 'd1', 'd2'}
 
 
 def make_survivors() -> Site:
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -119,7 +119,7 @@
     bench.list(2.0, head, member)
     bench.outlook.begin_recovery(3.0)
     assert bench.list(3.1, joining, member)['a'].standing == head.standing
-    assert not bench.outlook.lives.has_ended(GroupId('small.7'))
+    assert not bench.outlook.lives.has_group_ended(GroupId('small.7'))
     # The box has left its group since, and says so.
     left = msgspec.structs.replace(joining, entry_number=5)
     assert bench.list(3.2, left, member)['a'].standing is None
--- a/tests/test_server_orders.py
+++ b/tests/test_server_orders.py
@@ -54,8 +54,8 @@
 @pytest.mark.parametrize(
     ('status', 'result'),
     [
-        (202, OrderResult.TAKEN),
-        (409, OrderResult.MISFIT),
+        (202, OrderResult.ACCEPTED),
+        (409, OrderResult.CONFLICT),
         (412, OrderResult.OUTDATED),
         (421, OrderResult.GONE),
         (500, OrderResult.UNKNOWN),
--- a/tests/test_silent_domain.py
+++ b/tests/test_silent_domain.py
@@ -19,11 +19,11 @@
 import pytest
 
 from tests.holder import Holder
-from tests.replicas import SimHouse
+from tests.replicas import SimFleet
 from waywell.duties.box_survey import ASK_AGAIN_SECONDS, LISTENED_SECONDS
 from waywell.duties.forming import SETTLE_SECONDS
 from waywell.ids import ModelName, ServiceName
-from waywell.version.forming_memory import PENDING_SECONDS
+from waywell.version.forming_memory import ORDER_TIMEOUT_SECONDS
 from waywell.version.routes import Engine, EngineModel
 
 if TYPE_CHECKING:
@@ -47,23 +47,23 @@
 @pytest.fixture
 def holder() -> Iterator[Holder]:
     """Return a holder of one group that serves, and of two idle boxes."""
-    started = Holder(SimHouse(), ENGINE)
+    started = Holder(SimFleet(), ENGINE)
     started.demand = {TRIPLE: 50.0}
     for name in GROUPED:
-        started.house.add(name, ('triple',))
+        started.sim_fleet.add(name, ('triple',))
     started.refresh()
     started.plan()
     started.clock.now += SETTLE_SECONDS
     started.plan()
     started.carry_out_all()
     for name in GROUPED:
-        started.house.replicas[name].finish_load()
+        started.sim_fleet.replicas[name].finish_load()
     started.refresh()
-    started.clock.now += PENDING_SECONDS + 0.1
+    started.clock.now += ORDER_TIMEOUT_SECONDS + 0.1
     started.plan()
     started.carry_out_all()
     for name in IDLE:
-        started.house.add(name, ('triple',))
+        started.sim_fleet.add(name, ('triple',))
     started.refresh()
     yield started
     started.close()
@@ -71,11 +71,11 @@
 
 def _silence(holder: Holder, *names: str) -> None:
     for name in names:
-        holder.house.replicas[name].is_reachable = False
+        holder.sim_fleet.replicas[name].is_reachable = False
 
 
 def _find_group(holder: Holder) -> str:
-    membership = holder.house.replicas['a'].membership
+    membership = holder.sim_fleet.replicas['a'].membership
     assert membership is not None
     return membership.group
 
@@ -98,13 +98,13 @@
 ) -> None:
     member = next(
         one.name
-        for one in holder.house.replicas.values()
+        for one in holder.sim_fleet.replicas.values()
         if one.membership and one.membership.rank
     )
     _silence(holder, member, 'd')
     holder.plan()
     assert not holder.duty._get_memory(LLM).lost
-    holder.doubt(_find_group(holder))
+    holder.report_doubt(_find_group(holder))
     assert set(holder.duty._get_memory(LLM).lost) == {
         holder.find_entry(name).life for name in (member, 'd')
     }
@@ -114,7 +114,7 @@
     holder: Holder,
 ) -> None:
     asked = _note_questions(holder)
-    holder.doubt(_find_group(holder))
+    holder.report_doubt(_find_group(holder))
     assert sorted(asked) == sorted(GROUPED)
 
 
@@ -123,7 +123,7 @@
 ) -> None:
     asked = _note_questions(holder)
     _silence(holder, *GROUPED, *IDLE)
-    holder.doubt(_find_group(holder))
+    holder.report_doubt(_find_group(holder))
     # Each silent box is asked twice, as one packet may be lost.
     assert len(asked) == 2 * len(GROUPED + IDLE)
 
@@ -147,13 +147,13 @@
         12.91  order=leave box=h1 group=big.2 why=member_lost shown=big.2.open
     """
     group = _find_group(holder)
-    holder.count_requests = {holder.find_head(group): 9}
+    holder.request_counts = {holder.find_head(group): 9}
     _silence(holder, *GROUPED, *IDLE)
     holder.ask('d')
     holder.plan()
     lost = {life.box for life in holder.duty._get_memory(LLM).lost}
     assert lost == set(IDLE)
-    assert not holder.find_flying(holder.find_head(group), 'leave')
+    assert not holder.find_in_flight(holder.find_head(group), 'leave')
 
 
 def test_a_group_that_no_request_speaks_for_is_lost_with_its_boxes(
@@ -176,10 +176,10 @@
     of sixteen is doubted about once a second while it is sound (one day's log).
     """
     group = _find_group(holder)
-    holder.count_requests = {holder.find_head(group): 9}
+    holder.request_counts = {holder.find_head(group): 9}
     _silence(holder, *GROUPED, *IDLE)
-    holder.doubt(group)
-    holder.hear(group)
+    holder.report_doubt(group)
+    holder.report_group_heard(group)
     holder.clock.now += ASK_AGAIN_SECONDS + 0.1
     holder.plan()
     lost = {life.box for life in holder.duty._get_memory(LLM).lost}
@@ -188,10 +188,10 @@
 
 def test_a_doubted_group_that_stays_silent_is_lost(holder: Holder) -> None:
     group = _find_group(holder)
-    holder.count_requests = {holder.find_head(group): 9}
+    holder.request_counts = {holder.find_head(group): 9}
     _silence(holder, *GROUPED, *IDLE)
     holder.ask('d')
-    holder.doubt(group)
+    holder.report_doubt(group)
     holder.clock.now += LISTENED_SECONDS + 0.01
     holder.plan()
     lost = {life.box for life in holder.duty._get_memory(LLM).lost}
--- a/tests/test_slow_groups.py
+++ b/tests/test_slow_groups.py
@@ -7,9 +7,9 @@
 from tests.boxes import make_box, make_group, make_life
 from tests.test_forming import BIG, CALLERS, SMALL, pick, plan
 from waywell.ids import GroupId, ModelName
-from waywell.version.box_report import BoxReport, ReportReading
+from waywell.version.box_report import BoxReport, TimedReport
 from waywell.version.fleet import FleetBox, MemberState
-from waywell.version.forming_memory import PENDING_SECONDS, FormingMemory
+from waywell.version.forming_memory import ORDER_TIMEOUT_SECONDS, FormingMemory
 from waywell.version.orders import Close, Join, OrderReason
 
 QUIET = {BIG: 2.0, SMALL: 4.0}
@@ -26,7 +26,7 @@
         make_life(name): model for name, model in (lasts or {}).items()
     }
     for name in slow:
-        memory.reports[make_life(name)] = ReportReading(BoxReport(5.0), 0.0)
+        memory.reports[make_life(name)] = TimedReport(BoxReport(5.0), 0.0)
     return memory
 
 
@@ -151,4 +151,6 @@
     assert close_groups(boxes, memory, 1.0) == {'small.1'}
     assert close_groups(boxes, memory, 1.2) == set()
     # The head still says that it is open.
-    assert close_groups(boxes, memory, 1.1 + PENDING_SECONDS) == {'small.1'}
+    assert close_groups(boxes, memory, 1.1 + ORDER_TIMEOUT_SECONDS) == {
+        'small.1'
+    }
--- a/waywell/bench/search.py
+++ b/waywell/bench/search.py
@@ -116,7 +116,7 @@
 
     def search_whole(self) -> None:
         """Search as if nothing were known."""
-        self.memory.possible.clear()
+        self.memory.candidate_changes.clear()
         self.search()
 
     def search_changed(self) -> None:
--- a/waywell/duties/box_survey.py
+++ b/waywell/duties/box_survey.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from waywell.telemetry.events import log_event, log_warning
-from waywell.version.box_report import BoxReport, ReportReading
+from waywell.version.box_report import BoxReport, TimedReport
 from waywell.version.fleet import BoxLife, FleetBox, is_same_life
 
 if TYPE_CHECKING:
@@ -219,7 +219,7 @@
     ) -> None:
         """Keep what a box told; where it is slow, others may be as well."""
         was_slow = memory.is_slow(box.life)
-        memory.reports[box.life] = ReportReading(report, now)
+        memory.reports[box.life] = TimedReport(report, now)
         if report.is_slow() != was_slow:
             event = 'box_slow' if report.is_slow() else 'box_fast'
             log_event(event, box=box.box, pace=report.pace)
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -240,7 +240,7 @@
             return
         now = self.clock.read()
         memory = self._get_memory(ordered.assignment.box.service)
-        memory.note_result(ordered.assignment, ordered.result, now)
+        memory.record_result(ordered.assignment, ordered.result, now)
         if ordered.result is OrderResult.OUTDATED:
             self._begin_later_term(now)
 
@@ -253,7 +253,7 @@
             group=not_formed.group,
             unfit=','.join(life.box for life in not_formed.unfit),
         )
-        self._get_memory(not_formed.service).note_not_formed(
+        self._get_memory(not_formed.service).record_not_formed(
             not_formed.group, not_formed.unfit, self.clock.read()
         )
 
--- a/waywell/duties/forming_log.py
+++ b/waywell/duties/forming_log.py
@@ -56,7 +56,7 @@
     ``shown`` is the box's place in a group as the plan saw it, and ``begun``
     the number of the state for which a join holds.
     """
-    log = log_event if result is OrderResult.TAKEN else log_warning
+    log = log_event if result is OrderResult.ACCEPTED else log_warning
     order, standing = assignment.order, assignment.box.standing
     shown = f'{standing.group}.{standing.state.value}' if standing else 'none'
     log(
--- a/waywell/experiment/faults.py
+++ b/waywell/experiment/faults.py
@@ -10,7 +10,7 @@
 from waywell.experiment.arrivals import draw, draw_whole, make_random
 from waywell.experiment.load_file import FaultKind
 from waywell.experiment.model_box import ModelBox
-from waywell.version.box_report import USUAL_PACE
+from waywell.version.box_report import NORMAL_PACE
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -104,6 +104,6 @@
 
 def _end(fault: Fault, fleet_model: SimulatedBoxes, box: ModelBox) -> None:
     if fault.kind is FaultKind.SLOW:
-        fleet_model.change_pace(box, USUAL_PACE)
+        fleet_model.change_pace(box, NORMAL_PACE)
     else:
         fleet_model.restart(box)
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -168,7 +168,7 @@
     ) -> None:
         check = check_joins(joins, reports)
         if check.unfit:
-            self._memory.note_not_formed(
+            self._memory.record_not_formed(
                 group, check.unfit, self._timeline.now
             )
         for join in check.joins:
@@ -198,4 +198,4 @@
         assignment: Assignment,
         result: OrderResult,
     ) -> None:
-        self._memory.note_result(assignment, result, self._timeline.now)
+        self._memory.record_result(assignment, result, self._timeline.now)
--- a/waywell/experiment/model_box.py
+++ b/waywell/experiment/model_box.py
@@ -12,7 +12,7 @@
     ModelName,
     ServiceName,
 )
-from waywell.version.box_report import USUAL_PACE, BoxReport
+from waywell.version.box_report import NORMAL_PACE, BoxReport
 from waywell.version.fleet import FleetBox, MemberState, Standing
 from waywell.version.orders import Join
 
@@ -68,7 +68,7 @@
     lost_at: float = 0.0
     """When it was lost last, in seconds."""
 
-    pace: float = USUAL_PACE
+    pace: float = NORMAL_PACE
     """Factor on all its times."""
 
     orders_begun: int = 0
--- a/waywell/experiment/simulated_boxes.py
+++ b/waywell/experiment/simulated_boxes.py
@@ -137,7 +137,7 @@
     ) -> OrderResult:
         place = box.place
         if place is None or place.join.epoch != order.epoch:
-            return OrderResult.MISFIT
+            return OrderResult.CONFLICT
         box.orders_begun += 1
         if isinstance(order, Open):
             self._timeline.schedule_in(
@@ -149,16 +149,16 @@
         else:
             self._part(box)
             box.leave()
-        return OrderResult.TAKEN
+        return OrderResult.ACCEPTED
 
     def _take_stage(self, box: ModelBox, order: Stage) -> OrderResult:
         if box.is_staging:
-            return OrderResult.MISFIT
+            return OrderResult.CONFLICT
         box.orders_begun += 1
         box.is_staging = True
         finish = partial(self._finish_staging, box, box.incarnation, order)
         self._store.begin(self._models[order.model], finish)
-        return OrderResult.TAKEN
+        return OrderResult.ACCEPTED
 
     def _finish_staging(
         self,
@@ -173,18 +173,18 @@
 
     def _take_join(self, box: ModelBox, order: Join) -> OrderResult:
         if order.orders_begun not in {None, box.orders_begun}:
-            return OrderResult.MISFIT
+            return OrderResult.CONFLICT
         if order.epoch < box.highest_epoch:
             return OrderResult.OUTDATED
         if box.place is not None and box.place.join.group == order.group:
-            return OrderResult.TAKEN
+            return OrderResult.ACCEPTED
         self._part(box)
         box.highest_epoch = order.epoch
         box.orders_begun += 1
         box.place = Place(order, order.members.index(box.name))
         box.mark_changed()
         self._load_member(box, order)
-        return OrderResult.TAKEN
+        return OrderResult.ACCEPTED
 
     def _load_member(self, box: ModelBox, order: Join) -> None:
         model = self._models[order.model]
--- a/waywell/knowledge/outlook.py
+++ b/waywell/knowledge/outlook.py
@@ -21,7 +21,7 @@
     make_key,
     note_models,
 )
-from waywell.version.life_tracker import EndedLife, LifeBook
+from waywell.version.life_tracker import EndedLife, LifeTracker
 from waywell.version.routes import RouteIndex, RouteTable
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
         self.fleet_serial = 0
         self.kept: frozenset[BoxId] = frozenset()
         self.last_models: dict[BoxLife, ModelName] = {}
-        self.lives = LifeBook(promises.group_stall)
+        self.lives = LifeTracker(promises.group_stall)
         self.restored = RestoredEntries()
         self._end_listeners: list[EndListener] = []
         self._promises = promises
@@ -164,7 +164,7 @@
         """Put a box list in force that was asked for at a moment."""
         change = compare_fleets(self.fleet, fleet)
         note_models(self.last_models, self.fleet, change)
-        ended = self.lives.note(fleet, change, asked_at)
+        ended = self.lives.update(fleet, change, asked_at)
         self.fleet = fleet
         self.fleet_serial += 1
         self._boxes_at = max(self._boxes_at, asked_at)
--- a/waywell/knowledge/restored_entries.py
+++ b/waywell/knowledge/restored_entries.py
@@ -19,7 +19,7 @@
 
     from waywell.ids import BoxId
     from waywell.version.fleet import FleetBox
-    from waywell.version.life_tracker import LifeBook
+    from waywell.version.life_tracker import LifeTracker
 
 REWRITE_SECONDS = 2.2
 """Seconds after the store's return in which boxes that live and reach it have
@@ -46,7 +46,7 @@
         self,
         listed: dict[BoxId, FleetBox],
         known: Mapping[BoxId, FleetBox],
-        lives: LifeBook,
+        lives: LifeTracker,
         now: float,
     ) -> dict[BoxId, FleetBox]:
         """Return a list without what it shows of the time before.
@@ -90,7 +90,7 @@
 def _resolve_listed(
     listed: Mapping[BoxId, FleetBox],
     known: Mapping[BoxId, FleetBox],
-    lives: LifeBook,
+    lives: LifeTracker,
 ) -> dict[BoxId, FleetBox]:
     current = {
         name: _resolve_entry(box, known.get(name), lives)
@@ -125,7 +125,7 @@
 def _resolve_entry(
     box: FleetBox,
     known: FleetBox | None,
-    lives: LifeBook,
+    lives: LifeTracker,
 ) -> FleetBox | None:
     """Return what is true of a box, or ``None`` where it is gone."""
     if lives.has_ended_life(box.life):
--- a/waywell/platform/orders.py
+++ b/waywell/platform/orders.py
@@ -18,7 +18,7 @@
     decode_life,
 )
 from waywell.telemetry.events import log_warning
-from waywell.version.box_report import USUAL_PACE, BoxReport
+from waywell.version.box_report import NORMAL_PACE, BoxReport
 from waywell.version.orders import (
     Assignment,
     BoxOrder,
@@ -50,9 +50,9 @@
 
 _RESULT_BY_STATUS: MappingProxyType[int, OrderResult] = MappingProxyType(
     {
-        HTTPStatus.OK: OrderResult.TAKEN,
-        HTTPStatus.ACCEPTED: OrderResult.TAKEN,
-        HTTPStatus.CONFLICT: OrderResult.MISFIT,
+        HTTPStatus.OK: OrderResult.ACCEPTED,
+        HTTPStatus.ACCEPTED: OrderResult.ACCEPTED,
+        HTTPStatus.CONFLICT: OrderResult.CONFLICT,
         HTTPStatus.PRECONDITION_FAILED: OrderResult.OUTDATED,
         HTTPStatus.MISDIRECTED_REQUEST: OrderResult.GONE,
     },
@@ -107,7 +107,7 @@
     seq_no: int = 0
     group: Group | None = None
 
-    pace: float = USUAL_PACE
+    pace: float = NORMAL_PACE
     """How slow the server is, not how fast: over 1 its work takes longer."""
 
     born: Born | msgspec.UnsetType = msgspec.UNSET
--- a/waywell/telemetry/front_gauges.py
+++ b/waywell/telemetry/front_gauges.py
@@ -102,7 +102,7 @@
 
     def _count_crashing_loads(self) -> Mapping[str, float]:
         forming = self._node.forming
-        return forming.loads.count() if forming.is_held() else {}
+        return forming.loads.count_crashes() if forming.is_held() else {}
 
     def _count_unreachable(self) -> Mapping[str, float]:
         node = self._node
--- a/waywell/version/box_report.py
+++ b/waywell/version/box_report.py
@@ -7,7 +7,7 @@
 from waywell.ids import Incarnation
 from waywell.version.fleet import UNTOLD, Standing
 
-USUAL_PACE = 1.0
+NORMAL_PACE = 1.0
 """Pace of a box that is as fast as it should be."""
 
 SLOW_PACE = 2.0
@@ -18,7 +18,7 @@
 class BoxReport(msgspec.Struct, frozen=True):
     """How a box is."""
 
-    pace: float = USUAL_PACE
+    pace: float = NORMAL_PACE
     """Time that its work takes, as a multiple of the usual time."""
 
     orders_begun: int = 0
@@ -35,7 +35,7 @@
         return self.pace >= SLOW_PACE
 
 
-class ReportReading(msgspec.Struct, frozen=True):
+class TimedReport(msgspec.Struct, frozen=True):
     """A report with its age."""
 
     report: BoxReport
--- a/waywell/version/closing_limit.py
+++ b/waywell/version/closing_limit.py
@@ -13,7 +13,7 @@
     from waywell.ids import ModelName
     from waywell.version.fleet import FleetGroup
 
-CLOSABLE_PART = 0.5
+MAX_CLOSING_SHARE = 0.5
 """Part of a model's groups that may be closed at one time, but one at least:
 the rest takes their requests meanwhile."""
 
@@ -35,7 +35,7 @@
     closed = Counter(parse_group(one.group) for one in closing)
     return Counter(
         {
-            model: max(1, int(count * CLOSABLE_PART)) - closed[model]
+            model: max(1, int(count * MAX_CLOSING_SHARE)) - closed[model]
             for model, count in served.items()
         },
     )
--- a/waywell/version/domain_changes.py
+++ b/waywell/version/domain_changes.py
@@ -24,7 +24,7 @@
 
     from waywell.version.forming_memory import FormingMemory
 
-MOST_CLOSED = 2
+MAX_CLOSED_PER_CHANGE = 2
 """Groups that one change closes at the most: what is gained by more does not
 make up for the places that are missing meanwhile."""
 
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class PossibleChange:
+class CandidateChange:
     """A change of the groups of one domain, before it is weighed."""
 
     closed: tuple[FleetGroup, ...]
@@ -59,20 +59,20 @@
     formed: tuple[NewGroup, ...]
     """Groups to form of their boxes and idle ones."""
 
-    less: Counts
+    closed_counts: Counts
     """Groups of each model that are closed."""
 
-    change: Counts
+    net_counts: Counts
     """Groups of each model that there are more, or less, afterwards."""
 
-    left: Counts
+    leaving_counts: Counts
     """Boxes that leave each model, where the domain can form a group of it
     with them."""
 
-    converted: int
+    other_conversions: int
     """Other boxes that join with a model which they did not serve last."""
 
-    joined: float
+    ready_seconds: float
     """Seconds until the slowest of its boxes is ready."""
 
 
@@ -124,7 +124,7 @@
             ),
         )
 
-    def list_possible(self, domain: Domain) -> Iterator[PossibleChange]:
+    def list_candidates(self, domain: Domain) -> Iterator[CandidateChange]:
         """Return the changes that can be made in a domain."""
         formable = self._list_formable(domain)
         for closed in self._list_closings(domain.serving):
@@ -151,7 +151,7 @@
         return {
             model.name
             for model in self._models
-            if sum(self._memory.holds(box, model) for box in boxes)
+            if sum(self._memory.has_weights(box, model) for box in boxes)
             >= model.boxes_per_group
         }
 
@@ -176,21 +176,24 @@
         formed: tuple[NewGroup, ...],
         less: Counts,
         left: Counts,
-    ) -> PossibleChange:
+    ) -> CandidateChange:
         joins = [(box, one.model) for one in formed for box in one.boxes]
         more = self._count(one.model.name for one in formed)
         memory = self._memory
         converted = sum(
-            not memory.has_served(box, model) for box, model in joins
+            not memory.has_last_served(box, model) for box, model in joins
         )
-        return PossibleChange(
+        return CandidateChange(
             closed,
             formed,
             less,
             tuple(new - old for new, old in zip(more, less, strict=True)),
             left,
             converted - sum(left),
-            max(memory.estimate(box, model) for box, model in joins),
+            max(
+                memory.estimate_join_seconds(box, model)
+                for box, model in joins
+            ),
         )
 
     def _count(self, names: Iterator[ModelName]) -> Counts:
@@ -207,7 +210,7 @@
         """
         kinds = {one.group: self._describe_group(one) for one in serving}
         seen = set()
-        for count in range(MOST_CLOSED + 1):
+        for count in range(MAX_CLOSED_PER_CHANGE + 1):
             for closed in combinations(serving, count):
                 kind = tuple(sorted(kinds[one.group] for one in closed))
                 if kind not in seen:
@@ -219,7 +222,10 @@
         boxes = sorted(
             (
                 float(self._memory.is_slow(box.life)),
-                *(self._memory.estimate(box, one) for one in self._models),
+                *(
+                    self._memory.estimate_join_seconds(box, one)
+                    for one in self._models
+                ),
             )
             for box in group.members
         )
@@ -274,14 +280,14 @@
         fit = [
             box
             for box in pool
-            if memory.holds(box, model)
+            if memory.has_weights(box, model)
             and (takes_slow or not memory.is_slow(box.life))
         ]
         return sorted(
             fit,
             key=lambda box: (
                 memory.is_slow(box.life),
-                memory.estimate(box, model),
+                memory.estimate_join_seconds(box, model),
                 box.box,
             ),
         )
--- a/waywell/version/forming.py
+++ b/waywell/version/forming.py
@@ -32,7 +32,7 @@
 )
 from waywell.version.group_changes import GroupChanges
 from waywell.version.group_picker import GroupPicker
-from waywell.version.group_status import GroupJudge, Verdict
+from waywell.version.group_status import GroupAssessor, GroupStatus
 from waywell.version.model_need import ModelNeed
 from waywell.version.orders import (
     Assignment,
@@ -119,7 +119,10 @@
     def plan(self) -> list[Assignment]:
         """Return the orders to give now."""
         self._memory.update(self._fleet, self._engine, self._now)
-        if self._memory.planned_since is None and self._need.has_callers():
+        if (
+            self._memory.planned_since is None
+            and self._need.has_measured_demand()
+        ):
             self._memory.planned_since = self._now
         verdicts = self._judge_groups()
         for judged in self._groups:
@@ -131,14 +134,17 @@
         staging = StagingPlanner(
             self._need, self._memory, self._boxes, self._assign, self._now
         )
-        if self._memory.began_empty and not self._need.has_callers():
+        if (
+            self._memory.is_first_start
+            and not self._need.has_measured_demand()
+        ):
             self._form(free)
             staging.load_second_models()
         else:
             serving = [
                 group
                 for group in self._groups
-                if verdicts[group.group] is Verdict.SERVING
+                if verdicts[group.group] is GroupStatus.SERVING
             ]
             self._close_slow(free, serving)
             closing = self._list_closing(verdicts)
@@ -157,50 +163,54 @@
 
     def _list_closing(
         self,
-        verdicts: Mapping[GroupId, Verdict],
+        verdicts: Mapping[GroupId, GroupStatus],
     ) -> list[FleetGroup]:
         """Return the groups that were ordered to close, until they have."""
         return [
             group
             for group in self._groups
             if group.group in self._memory.abandoned
-            and verdicts[group.group] is not Verdict.FREE
+            and verdicts[group.group] is not GroupStatus.FREE
         ]
 
-    def _judge_groups(self) -> dict[GroupId, Verdict]:
-        judge = GroupJudge(self._fleet, self._engine, self._memory, self._now)
-        return {group.group: judge.judge(group) for group in self._groups}
+    def _judge_groups(self) -> dict[GroupId, GroupStatus]:
+        assess = GroupAssessor(
+            self._fleet, self._engine, self._memory, self._now
+        )
+        return {group.group: assess.assess(group) for group in self._groups}
 
     def _note_first_start(self) -> None:
         """Note when nothing was ever loaded: no request has come yet."""
         if not any(box.staged or box.standing for box in self._boxes):
-            self._memory.began_empty = True
+            self._memory.is_first_start = True
 
-    def _act(self, group: FleetGroup, verdict: Verdict) -> None:
+    def _act(self, group: FleetGroup, verdict: GroupStatus) -> None:
         """Give the orders that a verdict asks for."""
-        if verdict is Verdict.HEADLESS:
+        if verdict is GroupStatus.HEADLESS:
             self._dissolve(group)
         head = group.head
         if head is None:
             return
-        if verdict is Verdict.READY:
+        if verdict is GroupStatus.READY:
             order = Open(group.group, group.epoch)
             self._assign(head, order, OrderReason.READY)
-            self._memory.rights.note_opening(group.group)
-        elif verdict is Verdict.CLOSE:
+            self._memory.openings.record_opening(group.group)
+        elif verdict is GroupStatus.MUST_CLOSE:
             close = Close(group.group, group.epoch)
             self._assign(head, close, OrderReason.UNWANTED)
         elif self._has_ignored_close(group, verdict):
             close = Close(group.group, group.epoch)
-            self._assign(head, close, OrderReason.NOT_HEARD)
-        elif verdict is Verdict.BREAK:
+            self._assign(head, close, OrderReason.NO_EFFECT)
+        elif verdict is GroupStatus.MUST_LEAVE:
             leave = Leave(group.group, group.epoch)
             self._assign(head, leave, OrderReason.MEMBER_LOST)
 
-    def _has_ignored_close(self, group: FleetGroup, verdict: Verdict) -> bool:
+    def _has_ignored_close(
+        self, group: FleetGroup, verdict: GroupStatus
+    ) -> bool:
         """Answer whether a group serves although it was ordered to close."""
         is_abandoned = group.group in self._memory.abandoned
-        return verdict is Verdict.SERVING and is_abandoned
+        return verdict is GroupStatus.SERVING and is_abandoned
 
     def _dissolve(self, group: FleetGroup) -> None:
         """Let the members leave a group whose head is lost.
@@ -215,12 +225,12 @@
         for member in group.members:
             self._assign(member, leave, OrderReason.MEMBER_LOST)
 
-    def _count_groups(self, verdicts: Mapping[GroupId, Verdict]) -> None:
+    def _count_groups(self, verdicts: Mapping[GroupId, GroupStatus]) -> None:
         """Count the groups that serve or will, also those not shown yet."""
-        coming = {Verdict.READY, Verdict.UNDER_WAY}
+        coming = {GroupStatus.READY, GroupStatus.PENDING}
         for judged, verdict in verdicts.items():
             is_kept = judged not in self._memory.abandoned
-            if is_kept and verdict is Verdict.SERVING:
+            if is_kept and verdict is GroupStatus.SERVING:
                 self._need.serving[parse_group(judged)] += 1
             if is_kept and verdict in coming:
                 self._need.groups[parse_group(judged)] += 1
@@ -237,14 +247,14 @@
         reason: OrderReason,
     ) -> bool:
         """Give an order, unless one is open; answer whether it is given."""
-        if not self._memory.note_order(box, order, self._now):
+        if not self._memory.record_order(box, order, self._now):
             return False
         self._assignments.append(Assignment(box, order, reason))
         return True
 
-    def _list_free(self, verdicts: Mapping[GroupId, Verdict]) -> Pools:
+    def _list_free(self, verdicts: Mapping[GroupId, GroupStatus]) -> Pools:
         """Return the boxes that may join a group, by fabric domain."""
-        held = self._memory.list_held(self._now)
+        held = self._memory.list_joining(self._now)
         free: Pools = defaultdict(list)
         for box in self._boxes:
             if box.standing is None:
@@ -252,7 +262,7 @@
                 is_free = is_free and not self._is_counted_on(box, verdicts)
             else:
                 verdict = verdicts.get(box.standing.group)
-                is_free = verdict is Verdict.FREE
+                is_free = verdict is GroupStatus.FREE
             is_open = box.life not in self._memory.pending
             is_fit = not self._memory.is_unfit(box, self._now)
             is_fit = is_fit and box.box not in self._kept
@@ -263,35 +273,37 @@
     def _is_counted_on(
         self,
         box: FleetBox,
-        verdicts: Mapping[GroupId, Verdict],
+        verdicts: Mapping[GroupId, GroupStatus],
     ) -> bool:
         """Answer whether the group of a box's former life may still serve."""
         lives = self._memory.lives
-        former = lives.find_former(box)
+        former = lives.find_former_standing(box)
         if former is None:
             return self._may_be_missed(box, verdicts)
-        if former.rank == 0 or lives.has_ended(former.group):
+        if former.rank == 0 or lives.has_group_ended(former.group):
             return False
-        if former.group in self._memory.rights.unopened:
+        if former.group in self._memory.openings.unopened:
             return False
-        return verdicts.get(former.group) is not Verdict.FREE
+        return verdicts.get(former.group) is not GroupStatus.FREE
 
     def _may_be_missed(
         self,
         box: FleetBox,
-        verdicts: Mapping[GroupId, Verdict],
+        verdicts: Mapping[GroupId, GroupStatus],
     ) -> bool:
         """Answer whether a group near by may lack a box's former life.
 
         A node that has known the list for a short time only can't tell.
         """
-        if box.incarnation == UNTOLD or not self._memory.lives.is_new(
-            self._now
+        if (
+            box.incarnation == UNTOLD
+            or not self._memory.lives.may_have_missed_restart(self._now)
         ):
             return False
         return any(
             group.domain == box.domain
-            and verdicts[group.group] in {Verdict.BREAK, Verdict.HEADLESS}
+            and verdicts[group.group]
+            in {GroupStatus.MUST_LEAVE, GroupStatus.HEADLESS}
             for group in self._groups
         )
 
@@ -308,7 +320,7 @@
 
 
 def _summarise(
-    verdicts: Mapping[GroupId, Verdict],
+    verdicts: Mapping[GroupId, GroupStatus],
     free: Pools,
 ) -> FormingSummary:
     return FormingSummary(
--- a/waywell/version/forming_memory.py
+++ b/waywell/version/forming_memory.py
@@ -9,11 +9,11 @@
 import attrs
 
 from waywell.ids import DomainName, GroupId, ModelName
-from waywell.version.box_report import ReportReading
-from waywell.version.domain_changes import PossibleChange
+from waywell.version.box_report import TimedReport
+from waywell.version.domain_changes import CandidateChange
 from waywell.version.fleet import BoxLife, FleetBox, MemberState
-from waywell.version.group_openings import GroupRights
-from waywell.version.life_tracker import LifeBook
+from waywell.version.group_openings import GroupOpenings
+from waywell.version.life_tracker import LifeTracker
 from waywell.version.load_failures import LoadFailures, LoadKind
 from waywell.version.orders import (
     Assignment,
@@ -33,41 +33,41 @@
     from waywell.version.fleet import Fleet
     from waywell.version.routes import Engine
 
-PENDING_SECONDS = 2.5
+ORDER_TIMEOUT_SECONDS = 2.5
 """For which an order that was sent is waited for in the box list: two
 heartbeats."""
 
-GATHER_SECONDS = 4.0
+JOIN_TIMEOUT_SECONDS = 4.0
 """For which boxes that were ordered into a group may not show it yet."""
 
-LATE_SECONDS = 15.0
+ABANDONED_SECONDS = 15.0
 """For which an abandoned group is remembered while it is not listed."""
 
-UNFIT_SECONDS = 0.5
+UNFIT_RETRY_SECONDS = 0.5
 """For which a box that told something else than its entry is left alone: the
 list, or its report, has caught up by then."""
 
-LOAD_PATIENCE = 3.0
+LOAD_TIMEOUT_FACTOR = 3.0
 """Times a load's usual length after which a box that still loads is given
 up."""
 
 REJOIN_SECONDS = 0.2
 """To join with the model that the box served last."""
 
-REFUSED_SECONDS = 2.0
+LOAD_RETRY_SECONDS = 2.0
 """For which a box that did not take an order to load is not asked again; a
 load takes some 12 seconds or more."""
 
 PACE_WINDOW_SECONDS = 5.0
 """Over which the weight store's pace is judged: a load counts that long."""
 
-PACE_SHARE = 0.9
+STORE_PACE_SHARE = 0.9
 """Part of the weight store's pace that is used; the rest covers loads that a
 former holder began."""
 
 
-_NOT_TAKEN = frozenset(
-    (OrderResult.MISFIT, OrderResult.OUTDATED, OrderResult.ENDED),
+_WITHOUT_EFFECT = frozenset(
+    (OrderResult.CONFLICT, OrderResult.OUTDATED, OrderResult.ENDED),
 )
 """Results of orders that have no effect, now or later."""
 
@@ -84,7 +84,7 @@
 
     def is_fresh(self, now: float) -> bool:
         """Answer whether its boxes may only not show it yet."""
-        return now - self.begun_at <= GATHER_SECONDS
+        return now - self.begun_at <= JOIN_TIMEOUT_SECONDS
 
 
 @attrs.frozen
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen
-class SearchMark:
+class SearchSnapshot:
     """When the domains were searched for changes, and for which boxes."""
 
     at: float
@@ -116,13 +116,13 @@
 
 
 @attrs.frozen
-class KnownChanges:
+class CachedChanges:
     """The changes of groups that one fabric domain allows."""
 
-    mark: object
+    key: object
     """What they depend on."""
 
-    possible: tuple[PossibleChange, ...]
+    changes: tuple[CandidateChange, ...]
     """The changes."""
 
 
@@ -150,13 +150,13 @@
     forming: dict[GroupId, FormingGroup] = attrs.Factory(dict)
     """Groups that were ordered."""
 
-    seen_at: dict[GroupId, float] = attrs.Factory(dict)
+    stalled_since: dict[GroupId, float] = attrs.Factory(dict)
     """When a group was first seen in its present trouble."""
 
     heads: dict[GroupId, FleetBox] = attrs.Factory(dict)
     """Heads of groups that served, as they were last listed."""
 
-    rights: GroupRights = attrs.Factory(GroupRights)
+    openings: GroupOpenings = attrs.Factory(GroupOpenings)
     """What may be done with groups that this holder formed."""
 
     abandoned: dict[GroupId, float] = attrs.Factory(dict)
@@ -167,20 +167,20 @@
     """Boxes whose entry contradicts what they told themselves, or that told
     nothing, with when they were asked."""
 
-    settled: set[GroupId] = attrs.Factory(set)
+    groups_left_by_head: set[GroupId] = attrs.Factory(set)
     """Groups whose head is known to be gone or to have left."""
 
-    began_empty: bool = False
+    is_first_start: bool = False
     """Whether this holder saw the very first start: then loads keep no pace
     until callers come."""
 
     intended: list[IntendedGroup] = attrs.Factory(list)
     """Groups for which others were closed."""
 
-    searched: SearchMark | None = None
+    last_search: SearchSnapshot | None = None
     """For what the domains were last searched."""
 
-    possible: dict[DomainName, KnownChanges] = attrs.Factory(dict)
+    candidate_changes: dict[DomainName, CachedChanges] = attrs.Factory(dict)
     """Changes that each domain allowed when it was last searched."""
 
     planned_since: float | None = None
@@ -189,7 +189,7 @@
     loads: dict[BoxLife, float] = attrs.Factory(dict)
     """Boxes that load weights, with when that was ordered, in seconds."""
 
-    refused_at: dict[BoxLife, float] = attrs.Factory(dict)
+    load_refused_at: dict[BoxLife, float] = attrs.Factory(dict)
     """When a box last did not take an order to load: it loads for an earlier
     holder, or gave no answer."""
 
@@ -197,13 +197,13 @@
     """Boxes that gave no sign of life although they are listed, with when
     they were last asked."""
 
-    reports: dict[BoxLife, ReportReading] = attrs.Factory(dict)
+    reports: dict[BoxLife, TimedReport] = attrs.Factory(dict)
     """What boxes told when they were last asked."""
 
     last_models: Mapping[BoxLife, ModelName] = attrs.Factory(dict)
     """Model that each box served last, kept by the node."""
 
-    lives: LifeBook = attrs.Factory(LifeBook)
+    lives: LifeTracker = attrs.Factory(LifeTracker)
     """Boxes that started again, kept by the node."""
 
     staging: dict[BoxLife, Staging] = attrs.Factory(dict)
@@ -221,20 +221,20 @@
         self._forget_loads(fleet, engine, now)
         longest = max(model.load_seconds for model in engine.models)
         self.load_failures.update(
-            fleet, self.lost, LOAD_PATIENCE * longest, now
+            fleet, self.lost, LOAD_TIMEOUT_FACTOR * longest, now
         )
 
-    def note_order(self, box: FleetBox, order: BoxOrder, now: float) -> bool:
+    def record_order(self, box: FleetBox, order: BoxOrder, now: float) -> bool:
         """Remember an order, unless one is open; answer whether so."""
         if isinstance(order, Leave | Close):
-            self.rights.note_ending(order.group)
+            self.openings.record_ending(order.group)
         if box.life in self.pending:
             return False
         self.pending[box.life] = (order, now)
         self._note_load(box, order, now)
         return True
 
-    def note_not_formed(
+    def record_not_formed(
         self,
         group: GroupId,
         unfit: Iterable[BoxLife],
@@ -247,7 +247,7 @@
             self.load_failures.forget(life)
         self.unfit.update(dict.fromkeys(unfit, now))
 
-    def note_result(
+    def record_result(
         self,
         assignment: Assignment,
         result: OrderResult,
@@ -255,17 +255,17 @@
     ) -> None:
         """Take in what came of an order."""
         box, order = assignment.box, assignment.order
-        if result in _NOT_TAKEN:
+        if result in _WITHOUT_EFFECT:
             self.pending.pop(box.life, None)
             self.load_failures.forget(box.life)
             if isinstance(order, Join):
                 self.forming.pop(order.group, None)
         if isinstance(order, Leave):
             self._note_left(box, order, result)
-        if isinstance(order, Stage) and result is not OrderResult.TAKEN:
+        if isinstance(order, Stage) and result is not OrderResult.ACCEPTED:
             self._give_back_load(box, result, now)
 
-    def list_held(self, now: float) -> set[BoxLife]:
+    def list_joining(self, now: float) -> set[BoxLife]:
         """Return the boxes that were ordered into groups just now."""
         return {
             life
@@ -276,9 +276,9 @@
 
     def is_unfit(self, box: FleetBox, now: float) -> bool:
         """Answer whether a box was asked just now and did not fit a join."""
-        return now - self.unfit.get(box.life, -math.inf) < UNFIT_SECONDS
+        return now - self.unfit.get(box.life, -math.inf) < UNFIT_RETRY_SECONDS
 
-    def has_served(self, box: FleetBox, model: EngineModel) -> bool:
+    def has_last_served(self, box: FleetBox, model: EngineModel) -> bool:
         """Answer whether a model is the one that a box served last."""
         return self.last_models.get(box.life) == model.name
 
@@ -295,13 +295,15 @@
         reading = self.reports.get(life)
         return reading is not None and reading.report.is_slow()
 
-    def holds(self, box: FleetBox, model: EngineModel) -> bool:
+    def has_weights(self, box: FleetBox, model: EngineModel) -> bool:
         """Answer whether a box can join a group of a model without a load."""
-        return self.has_served(box, model) or model.name in box.staged
+        return self.has_last_served(box, model) or model.name in box.staged
 
-    def estimate(self, box: FleetBox, model: EngineModel) -> float:
+    def estimate_join_seconds(
+        self, box: FleetBox, model: EngineModel
+    ) -> float:
         """Return the seconds until a box is ready in a group of a model."""
-        if self.has_served(box, model):
+        if self.has_last_served(box, model):
             return REJOIN_SECONDS
         if model.name in box.staged:
             return model.warm_seconds
@@ -312,13 +314,13 @@
         if len(self.loads) >= engine.loads_at_once:
             return False
         recent = sum(now - begun < 1 for begun in self.loads.values())
-        return recent < max(1, engine.loads_per_second * PACE_SHARE)
+        return recent < max(1, engine.loads_per_second * STORE_PACE_SHARE)
 
-    def may_ask_to_load(self, box: FleetBox, now: float) -> bool:
+    def may_order_load(self, box: FleetBox, now: float) -> bool:
         """Answer whether a box neither loads nor refused a moment ago."""
-        refused_at = self.refused_at.get(box.life, -math.inf)
+        load_refused_at = self.load_refused_at.get(box.life, -math.inf)
         is_asked = box.life in self.staging or box.life in self.pending
-        return not is_asked and now - refused_at > REFUSED_SECONDS
+        return not is_asked and now - load_refused_at > LOAD_RETRY_SECONDS
 
     def _note_load(
         self,
@@ -329,10 +331,10 @@
         """Remember that a box is ordered to load a model, or to stop."""
         failures = self.load_failures
         if isinstance(order, Stage):
-            failures.note_begun(box, order.model, LoadKind.STAGE, now)
+            failures.record_start(box, order.model, LoadKind.STAGE, now)
         elif isinstance(order, Join):
             if self.last_models.get(box.life) != order.model:
-                failures.note_begun(box, order.model, LoadKind.JOIN, now)
+                failures.record_start(box, order.model, LoadKind.JOIN, now)
         elif isinstance(order, Leave):
             failures.forget(box.life)
 
@@ -349,7 +351,7 @@
         """
         self.pending.pop(box.life, None)
         self.staging.pop(box.life, None)
-        self.refused_at[box.life] = now
+        self.load_refused_at[box.life] = now
         if result is not OrderResult.UNKNOWN:
             self.loads.pop(box.life, None)
 
@@ -363,14 +365,14 @@
         known = self.heads.get(order.group)
         was_head = box.standing is not None and box.standing.rank == 0
         was_head = was_head or (known is not None and known.life == box.life)
-        if was_head and result in {OrderResult.TAKEN, OrderResult.GONE}:
-            self.settled.add(order.group)
+        if was_head and result in {OrderResult.ACCEPTED, OrderResult.GONE}:
+            self.groups_left_by_head.add(order.group)
 
     def _forget_orders(self, fleet: Fleet, now: float) -> None:
         for life, (order, sent_at) in tuple(self.pending.items()):
             box = fleet.find_life(life)
             is_seen = box is not None and _shows(box, order)
-            if is_seen or now - sent_at > PENDING_SECONDS:
+            if is_seen or now - sent_at > ORDER_TIMEOUT_SECONDS:
                 self.pending.pop(life)
 
     def _forget_groups(self, present: set[GroupId], now: float) -> None:
@@ -378,12 +380,12 @@
             if group not in present and not forming.is_fresh(now):
                 self.forming.pop(group)
         for group, at in tuple(self.abandoned.items()):
-            if group not in present and now - at > LATE_SECONDS:
+            if group not in present and now - at > ABANDONED_SECONDS:
                 self.abandoned.pop(group)
-        _keep_only(self.seen_at, present)
+        _keep_only(self.stalled_since, present)
         _keep_only(self.heads, present)
-        self.settled &= present
-        self.rights.keep_only(present | self.forming.keys())
+        self.groups_left_by_head &= present
+        self.openings.keep_only(present | self.forming.keys())
 
     def _forget_loads(
         self,
@@ -398,7 +400,7 @@
             counted = longest if is_known else PACE_WINDOW_SECONDS
             if now - begun_at > counted:
                 self.loads.pop(life)
-        for refusals in (self.refused_at, self.unfit):
+        for refusals in (self.load_refused_at, self.unfit):
             for life in tuple(refusals):
                 if fleet.find_life(life) is None:
                     refusals.pop(life)
@@ -412,7 +414,9 @@
         for life, staging in tuple(self.staging.items()):
             box = fleet.find_life(life)
             known = engine.find_model(staging.model)
-            longest = LOAD_PATIENCE * known.load_seconds if known else 0.0
+            longest = (
+                LOAD_TIMEOUT_FACTOR * known.load_seconds if known else 0.0
+            )
             is_late = now - staging.begun_at > longest
             if box is None or is_late or staging.model in box.staged:
                 self.staging.pop(life)
--- a/waywell/version/group_changes.py
+++ b/waywell/version/group_changes.py
@@ -41,7 +41,7 @@
         members = tuple(box.box for box in boxes)
         lives = tuple(box.life for box in boxes)
         self.memory.forming[group] = FormingGroup(lives, self.now)
-        self.memory.rights.note_formed(group, boxes)
+        self.memory.openings.record_formed(group, boxes)
         self.need.groups[model.name] += 1
         for box in boxes:
             if box.standing is not None:
--- a/waywell/version/group_openings.py
+++ b/waywell/version/group_openings.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class GroupRights:
+class GroupOpenings:
     """Which groups may be opened, and which are known to serve nowhere."""
 
     openable: set[GroupId] = attrs.Factory(set)
@@ -30,19 +30,19 @@
     unopened: set[GroupId] = attrs.Factory(set)
     """Groups that were never ordered to open, so that none of them serves."""
 
-    def note_formed(self, group: GroupId, boxes: Iterable[FleetBox]) -> None:
+    def record_formed(self, group: GroupId, boxes: Iterable[FleetBox]) -> None:
         """Take in that boxes, perhaps of former groups, are joined to one."""
         self.openable.add(group)
         self.unopened.add(group)
         for box in boxes:
             if box.standing is not None:
-                self.note_ending(box.standing.group)
+                self.record_ending(box.standing.group)
 
-    def note_opening(self, group: GroupId) -> None:
+    def record_opening(self, group: GroupId) -> None:
         """Take in that a group is ordered to open."""
         self.unopened.discard(group)
 
-    def note_ending(self, group: GroupId) -> None:
+    def record_ending(self, group: GroupId) -> None:
         """Take in that a member is ordered to leave, to close or elsewhere."""
         self.openable.discard(group)
 
--- a/waywell/version/group_picker.py
+++ b/waywell/version/group_picker.py
@@ -62,7 +62,10 @@
         return min(
             ready,
             key=lambda boxes: (
-                max(self.memory.estimate(box, model) for box in boxes),
+                max(
+                    self.memory.estimate_join_seconds(box, model)
+                    for box in boxes
+                ),
                 -len(free[boxes[0].domain]),
             ),
         )
@@ -80,7 +83,7 @@
             boxes,
             key=lambda box: (
                 self.memory.is_slow(box.life),
-                self.memory.estimate(box, model),
+                self.memory.estimate_join_seconds(box, model),
                 box.box,
             ),
         )
--- a/waywell/version/group_status.py
+++ b/waywell/version/group_status.py
@@ -9,8 +9,8 @@
 
 from waywell.version.fleet import Fleet, FleetGroup, MemberState, parse_group
 from waywell.version.forming_memory import (
-    GATHER_SECONDS,
-    LOAD_PATIENCE,
+    JOIN_TIMEOUT_SECONDS,
+    LOAD_TIMEOUT_FACTOR,
     FormingMemory,
 )
 from waywell.version.routes import Engine
@@ -19,25 +19,25 @@
     from waywell.version.routes import EngineModel
 
 
-class Verdict(enum.Enum):
+class GroupStatus(enum.Enum):
     """What is to be done about a group."""
 
     SERVING = 'serving'
     """Nothing: it serves whole."""
 
-    UNDER_WAY = 'under_way'
+    PENDING = 'under_way'
     """Nothing yet: it forms, closes, or may still serve somewhere."""
 
     READY = 'ready'
     """It is to be opened."""
 
-    CLOSE = 'close'
+    MUST_CLOSE = 'close'
     """It is to finish its work: a member leaves."""
 
     HEADLESS = 'headless'
     """Its head is lost; the others are to leave it at once."""
 
-    BREAK = 'break'
+    MUST_LEAVE = 'break'
     """It has lost a member; the head is to leave it at once."""
 
     FREE = 'free'
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class GroupJudge:
+class GroupAssessor:
     """Judges groups at one moment."""
 
     fleet: Fleet
@@ -60,7 +60,7 @@
     now: float
     """The present time, in seconds."""
 
-    def judge(self, group: FleetGroup) -> Verdict:
+    def assess(self, group: FleetGroup) -> GroupStatus:
         """Return what is to be done about a group."""
         model = self.engine.find_model(parse_group(group.group))
         if model is None:
@@ -73,93 +73,97 @@
             return self._judge_unwanted(group)
         return self._judge_incomplete(group)
 
-    def _judge_whole(self, group: FleetGroup, model: EngineModel) -> Verdict:
+    def _judge_whole(
+        self, group: FleetGroup, model: EngineModel
+    ) -> GroupStatus:
         state = _get_head_state(group)
         if state is MemberState.OPEN:
-            self.memory.seen_at.pop(group.group, None)
+            self.memory.stalled_since.pop(group.group, None)
             self.memory.heads[group.group] = group.members[0]
-            return Verdict.SERVING
+            return GroupStatus.SERVING
         if state is MemberState.CLOSING:
-            return Verdict.UNDER_WAY
+            return GroupStatus.PENDING
         if state is MemberState.BROKEN:
-            return Verdict.FREE
+            return GroupStatus.FREE
         if group.is_in(MemberState.READY):
             return self._judge_ready(group)
         if group.is_in(MemberState.READY, MemberState.JOINING):
             return self._judge_joining(group, model)
         return self._judge_closed(group)
 
-    def _judge_ready(self, group: FleetGroup) -> Verdict:
+    def _judge_ready(self, group: FleetGroup) -> GroupStatus:
         """Judge a group whose boxes are all ready."""
-        if group.group in self.memory.rights.openable:
-            return Verdict.READY
+        if group.group in self.memory.openings.openable:
+            return GroupStatus.READY
         return self._judge_closed(group)
 
     def _judge_joining(
         self,
         group: FleetGroup,
         model: EngineModel,
-    ) -> Verdict:
+    ) -> GroupStatus:
         """Judge a group some of whose boxes load the model."""
-        seen = self.memory.seen_at.setdefault(group.group, self.now)
-        patience = LOAD_PATIENCE * model.load_seconds + GATHER_SECONDS
+        seen = self.memory.stalled_since.setdefault(group.group, self.now)
+        patience = (
+            LOAD_TIMEOUT_FACTOR * model.load_seconds + JOIN_TIMEOUT_SECONDS
+        )
         if self.now - seen > patience:
             return self._judge_closed(group)
-        return Verdict.UNDER_WAY
+        return GroupStatus.PENDING
 
-    def _judge_closed(self, group: FleetGroup) -> Verdict:
+    def _judge_closed(self, group: FleetGroup) -> GroupStatus:
         """Judge a group that no box shows to serve.
 
         Where an order to open it may have been given, by this holder or by
         another, it may still take effect; it can't once the head has left.
         """
-        if group.group in self.memory.rights.unopened:
-            return Verdict.FREE
-        return Verdict.BREAK
+        if group.group in self.memory.openings.unopened:
+            return GroupStatus.FREE
+        return GroupStatus.MUST_LEAVE
 
-    def _judge_unwanted(self, group: FleetGroup) -> Verdict:
+    def _judge_unwanted(self, group: FleetGroup) -> GroupStatus:
         """Judge a whole group that is to end in good order."""
         state = _get_head_state(group)
         if state is MemberState.OPEN:
-            return Verdict.CLOSE
+            return GroupStatus.MUST_CLOSE
         if state is MemberState.CLOSING:
-            return Verdict.UNDER_WAY
+            return GroupStatus.PENDING
         if state is MemberState.BROKEN:
-            return Verdict.FREE
+            return GroupStatus.FREE
         return self._judge_closed(group)
 
-    def _judge_incomplete(self, group: FleetGroup) -> Verdict:
+    def _judge_incomplete(self, group: FleetGroup) -> GroupStatus:
         """Judge a group some of whose members are not on the list."""
-        seen = self.memory.seen_at.setdefault(group.group, self.now)
+        seen = self.memory.stalled_since.setdefault(group.group, self.now)
         waited = self.now - seen
         if self._is_gathering(group):
-            return Verdict.UNDER_WAY
+            return GroupStatus.PENDING
         head = group.head
         if head is None:
             return self._judge_headless(group)
         state = _get_head_state(group)
         if state in {MemberState.OPEN, MemberState.CLOSING}:
-            return Verdict.BREAK
-        if state is MemberState.JOINING and waited < GATHER_SECONDS:
-            return Verdict.UNDER_WAY
+            return GroupStatus.MUST_LEAVE
+        if state is MemberState.JOINING and waited < JOIN_TIMEOUT_SECONDS:
+            return GroupStatus.PENDING
         if state is MemberState.BROKEN:
-            return Verdict.FREE
+            return GroupStatus.FREE
         return self._judge_closed(group)
 
-    def _judge_headless(self, group: FleetGroup) -> Verdict:
+    def _judge_headless(self, group: FleetGroup) -> GroupStatus:
         """Judge a group whose head is not listed, but may still serve.
 
         It may be cut off from the platform only, for any time, so the
         others stay with it until each has left, unless it was never opened or
         has begun a new life.
         """
-        if group.group in self.memory.settled:
-            return Verdict.FREE
-        if self.memory.lives.has_ended(group.group):
-            return Verdict.FREE
-        if group.group in self.memory.rights.unopened:
-            return Verdict.FREE
-        return Verdict.HEADLESS
+        if group.group in self.memory.groups_left_by_head:
+            return GroupStatus.FREE
+        if self.memory.lives.has_group_ended(group.group):
+            return GroupStatus.FREE
+        if group.group in self.memory.openings.unopened:
+            return GroupStatus.FREE
+        return GroupStatus.HEADLESS
 
     def _is_gathering(self, group: FleetGroup) -> bool:
         """Answer whether its other members may only not show it yet."""
--- a/waywell/version/life_tracker.py
+++ b/waywell/version/life_tracker.py
@@ -23,7 +23,7 @@
     from waywell.ids import BoxId, GroupId
     from waywell.version.fleet import Fleet, FleetChange
 
-USUAL_STALL = 6.0
+DEFAULT_STALL_SECONDS = 6.0
 """Seconds for which a head goes on without one of its members, where the
 deployment does not tell."""
 
@@ -31,17 +31,17 @@
 """Seconds by which the list may show a new life later than it began, and a
 head may break later than it should."""
 
-ENDED_SECONDS = 60.0
+ENDED_LIFE_SECONDS = 60.0
 """Seconds for which an incarnation that has ended is remembered: no entry of
 it is shown later, also by a store that came back from an older copy."""
 
-KEPT_SECONDS = 15.0
+GONE_BOX_SECONDS = 15.0
 """For which a box that is off the list is remembered: it may return, and no
 order to it is carried out later than that."""
 
 
 @attrs.frozen
-class FormerPlace:
+class FormerStanding:
     """Where a box stood in its former life."""
 
     standing: Standing
@@ -70,7 +70,7 @@
     since: float
 
 
-class LifeBook:
+class LifeTracker:
     """Remembers where boxes stood, until their lives and groups have ended.
 
     Parameters
@@ -79,17 +79,17 @@
         Seconds for which a head goes on that has lost a member.
     """
 
-    def __init__(self, stall: float = USUAL_STALL) -> None:
+    def __init__(self, stall: float = DEFAULT_STALL_SECONDS) -> None:
         """Know no box yet."""
         self._bound_seconds = stall + STALL_MARGIN
         self._listed: dict[BoxId, FleetBox] = {}
         self._gone: dict[BoxId, _Gone] = {}
-        self._former: dict[BoxLife, FormerPlace] = {}
+        self._former: dict[BoxLife, FormerStanding] = {}
         self._ended_lives: dict[BoxLife, float] = {}
         self._ended_groups: dict[GroupId, float] = {}
         self._first_list_at: float | None = None
 
-    def note(
+    def update(
         self,
         fleet: Fleet,
         change: FleetChange,
@@ -120,7 +120,7 @@
         self._forget_old(fleet, now)
         return tuple(ended)
 
-    def find_former(self, box: FleetBox) -> Standing | None:
+    def find_former_standing(self, box: FleetBox) -> Standing | None:
         """Return where a box stood in its former life, if that may matter."""
         former = self._former.get(box.life)
         return former.standing if former else None
@@ -129,11 +129,11 @@
         """Return whether a later incarnation of the box has been listed."""
         return life in self._ended_lives
 
-    def has_ended(self, group: GroupId) -> bool:
+    def has_group_ended(self, group: GroupId) -> bool:
         """Answer whether the head of a group has left it, or started anew."""
         return group in self._ended_groups
 
-    def is_new(self, now: float) -> bool:
+    def may_have_missed_restart(self, now: float) -> bool:
         """Answer whether a restart may have passed that this node did not see.
 
         What was lost before the first list has broken after that time.
@@ -169,21 +169,21 @@
         self._ended_lives.pop(box.life, None)
         self._ended_lives[known.life] = now
         if standing is not None:
-            self._former[box.life] = FormerPlace(standing, now)
+            self._former[box.life] = FormerStanding(standing, now)
         return [EndedLife(known.life, standing)]
 
     def _forget_old(self, fleet: Fleet, now: float) -> None:
         for name, gone in tuple(self._gone.items()):
-            if now - gone.since > KEPT_SECONDS:
+            if now - gone.since > GONE_BOX_SECONDS:
                 self._gone.pop(name)
         for life, ended_at in tuple(self._ended_lives.items()):
-            if now - ended_at > ENDED_SECONDS:
+            if now - ended_at > ENDED_LIFE_SECONDS:
                 self._ended_lives.pop(life)
         for life, former in tuple(self._former.items()):
             if now - former.ended_at > self._bound_seconds:
                 self._former.pop(life)
         for group, ended_at in tuple(self._ended_groups.items()):
-            if now - ended_at > KEPT_SECONDS and group not in fleet.groups:
+            if now - ended_at > GONE_BOX_SECONDS and group not in fleet.groups:
                 self._ended_groups.pop(group)
 
 
--- a/waywell/version/load_failures.py
+++ b/waywell/version/load_failures.py
@@ -25,17 +25,17 @@
 CRASH_LIMIT = 2
 """Crashes in a row from which on a model's loads are limited."""
 
-SAME_LOSS_SECONDS = 1.0
+DOMAIN_LOSS_SECONDS = 1.0
 """Seconds within which the ends of boxes of one domain count as one: a domain
 that is lost ends all of its boxes, whatever they load."""
 
 FIRST_BACKOFF = 5.0
 """Seconds without a load after the crash that reaches the limit."""
 
-LONGEST_BACKOFF = 600.0
+MAX_BACKOFF = 600.0
 """Seconds without a load after the latest crash, at the most."""
 
-SHORTEST_BOUND = 60.0
+MIN_LOAD_TIMEOUT = 60.0
 """Seconds after which a load that shows no outcome is forgotten, at the
 least: the deployment may not tell how long loads take."""
 
@@ -97,7 +97,7 @@
         return self.crashes >= CRASH_LIMIT
 
     def is_same_loss(self, domain: DomainName, now: float) -> bool:
-        is_near = now - self.last_at < SAME_LOSS_SECONDS
+        is_near = now - self.last_at < DOMAIN_LOSS_SECONDS
         return is_near and domain == self.last_domain
 
 
@@ -112,7 +112,7 @@
     _now: float = -math.inf
     _begun: list[LoadBackoff] = attrs.Factory(list)
 
-    def note_begun(
+    def record_start(
         self,
         box: FleetBox,
         model: ModelName,
@@ -151,7 +151,7 @@
             The present time, in seconds.
         """
         self._now = now
-        earliest = now - max(SHORTEST_BOUND, longest)
+        earliest = now - max(MIN_LOAD_TIMEOUT, longest)
         for life, attempt in tuple(self._attempts.items()):
             box = fleet.find_life(life)
             if attempt.begun_at < earliest:
@@ -219,7 +219,7 @@
         if not count.is_limited():
             return
         doublings = count.crashes - CRASH_LIMIT
-        seconds = min(LONGEST_BACKOFF, math.ldexp(FIRST_BACKOFF, doublings))
+        seconds = min(MAX_BACKOFF, math.ldexp(FIRST_BACKOFF, doublings))
         count.waits_until = now + seconds
         self._begun.append(
             LoadBackoff(attempt.model, attempt.kind, count.crashes, seconds)
@@ -252,7 +252,7 @@
         for failures in self._failures.values():
             failures.forget_attempts()
 
-    def count(self) -> dict[str, float]:
+    def count_crashes(self) -> dict[str, float]:
         """Return the models whose loads are limited, with their crashes."""
         return {
             f'{service}/{model}': float(crashes)
--- a/waywell/version/model_need.py
+++ b/waywell/version/model_need.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from waywell.version.routes import EngineModel
 
-EASY_LOAD = 0.3
+NO_WAIT_LOAD = 0.3
 """Part of a model's places taken up to which its requests hardly wait for each
 other."""
 
@@ -24,18 +24,18 @@
 groups are closed in domains without an idle box: less than one group moves in
 a model of four."""
 
-EASY_COST = 0.01
+LIGHT_LOAD_COST = 0.01
 """Cost of a taken place below that, so that idle boxes are put to use where
 it costs nothing."""
 
-NO_GROUP = 0.05
+MIN_GROUPS = 0.05
 """Groups that a model without any is reckoned to have: its requests are
 refused, which is worse than any wait."""
 
-LEAST_WORK = 1.0
+MIN_WORK = 1.0
 """Places reckoned for a model that nobody asks for just now."""
 
-LEAST_DEMAND = 5.0
+MIN_MEASURED_DEMAND = 5.0
 """Places taken by callers from which on the models' demand is measured and
 not guessed from the operators' shares of the boxes."""
 
@@ -59,15 +59,15 @@
     serving: Counter[ModelName] = attrs.Factory(Counter)
     """Groups of each model that serve now."""
 
-    def has_callers(self) -> bool:
+    def has_measured_demand(self) -> bool:
         """Answer whether enough requests came to go by them."""
-        return sum(self.demand.values()) >= LEAST_DEMAND
+        return sum(self.demand.values()) >= MIN_MEASURED_DEMAND
 
     def rank_models(self) -> list[EngineModel]:
         """Return the models, that with the most work a place first."""
         return sorted(self.engine.models, key=self._rank)
 
-    def get_load(self, model: EngineModel) -> float:
+    def get_utilisation(self, model: EngineModel) -> float:
         """Return the part of a model's places that is taken."""
         groups = self.groups[model.name]
         if groups <= 0:
@@ -80,8 +80,8 @@
         Where no box is idle, a change only takes places from one model for
         another, which pays in no other case.
         """
-        loads = [self.get_load(model) for model in self.engine.models]
-        return max(loads) > max(EASY_LOAD, BALANCED_RATIO * min(loads))
+        loads = [self.get_utilisation(model) for model in self.engine.models]
+        return max(loads) > max(NO_WAIT_LOAD, BALANCED_RATIO * min(loads))
 
     def get_cost(self, change: Mapping[ModelName, int]) -> float:
         """Return what callers lose a second by waiting, in places.
@@ -102,7 +102,7 @@
             for model in self.engine.models
         )
 
-    def get_missed(self, closed: Mapping[ModelName, int]) -> float:
+    def get_closing_cost(self, closed: Mapping[ModelName, int]) -> float:
         """Return what callers lose a second while some groups don't serve.
 
         Only groups that serve now count for it: those that form may be
@@ -128,13 +128,15 @@
 
     def _get_model_cost(self, model: EngineModel, groups: int) -> float:
         """Return what callers of a model lose a second with some groups."""
-        work = max(LEAST_WORK, self._get_work(model))
-        load = work / (max(NO_GROUP, groups) * self.engine.places)
-        return work * (max(0.0, load - EASY_LOAD) ** 2 + EASY_COST * load)
+        work = max(MIN_WORK, self._get_work(model))
+        load = work / (max(MIN_GROUPS, groups) * self.engine.places)
+        return work * (
+            max(0.0, load - NO_WAIT_LOAD) ** 2 + LIGHT_LOAD_COST * load
+        )
 
     def _get_work(self, model: EngineModel) -> float:
         """Return the places that callers take; a guess before they come."""
-        if self.has_callers():
+        if self.has_measured_demand():
             return self.demand.get(model.name, 0.0)
         boxes = model.share * self.boxes
         return boxes / model.boxes_per_group * self.engine.places
--- a/waywell/version/orders.py
+++ b/waywell/version/orders.py
@@ -75,10 +75,10 @@
 class OrderResult(enum.Enum):
     """What came of an order."""
 
-    TAKEN = 'taken'
+    ACCEPTED = 'taken'
     """It has begun, is done, or held already."""
 
-    MISFIT = 'misfit'
+    CONFLICT = 'misfit'
     """It does not fit the box's state, or the box took another one before."""
 
     OUTDATED = 'outdated'
@@ -112,10 +112,10 @@
     SLOW_BOX = 'slow_box'
     """A member is slow, and fast boxes make up a whole group."""
 
-    OTHER_IS_SHORT = 'other_is_short'
+    OTHER_MODEL_SHORT = 'other_is_short'
     """Another model is short of places."""
 
-    NOT_HEARD = 'not_heard'
+    NO_EFFECT = 'not_heard'
     """The order was given before and shows no effect."""
 
     SPARE = 'spare'
--- a/waywell/version/regroup_planner.py
+++ b/waywell/version/regroup_planner.py
@@ -16,7 +16,7 @@
 from waywell.version.forming_memory import (
     FormingMemory,
     IntendedGroup,
-    SearchMark,
+    SearchSnapshot,
 )
 from waywell.version.group_changes import GroupChanges
 from waywell.version.model_need import ModelNeed
@@ -26,19 +26,19 @@
 if TYPE_CHECKING:
     from waywell.version.domain_changes import NewGroup
 
-INTENDED_SECONDS = 8.0
+INTENDED_GROUP_SECONDS = 8.0
 """For which boxes are kept for a group whose members are to leave others: the
 longest streams end within it."""
 
-LOOK_SECONDS = 3.0
+DEMAND_WARMUP_SECONDS = 3.0
 """From a holder's first look at callers until it closes groups by what they
 ask: after a stop of all nodes the first requests tell little."""
 
-SEARCH_SECONDS = 0.6
+SEARCH_INTERVAL_SECONDS = 0.6
 """Between two searches while no box and no group has changed: the mean of the
 requests moves little within it."""
 
-MOST_CHANGES = 4
+MAX_CHANGES_PER_PLAN = 4
 """Changes of groups that one plan begins; the next one follows at once."""
 
 
@@ -88,7 +88,7 @@
             return
         begun = 0
         for ranked in self._make_search(serving, closing).list_best(free):
-            if begun >= MOST_CHANGES:
+            if begun >= MAX_CHANGES_PER_PLAN:
                 return
             change: Regrouping | None = ranked
             if begun:
@@ -108,12 +108,12 @@
         """Answer whether boxes have changed, or work may have, since."""
         idle = frozenset(box.life for boxes in free.values() for box in boxes)
         serves = frozenset(group.group for group in serving)
-        mark = SearchMark(self.now, idle, serves)
-        last = self.memory.searched
-        if last is not None and self.now - last.at < SEARCH_SECONDS:
+        mark = SearchSnapshot(self.now, idle, serves)
+        last = self.memory.last_search
+        if last is not None and self.now - last.at < SEARCH_INTERVAL_SECONDS:
             if (last.idle, last.serving) == (idle, serves):
                 return False
-        self.memory.searched = mark
+        self.memory.last_search = mark
         return True
 
     def _make_search(
@@ -175,7 +175,7 @@
 
     def _is_possible(self, intended: IntendedGroup) -> bool:
         """Answer whether an intended group can still be formed soon."""
-        if self.now - intended.since > INTENDED_SECONDS:
+        if self.now - intended.since > INTENDED_GROUP_SECONDS:
             return False
         if not self.memory.load_failures.may_load(intended.model.name):
             return False
@@ -185,7 +185,7 @@
     def _begin(self, change: Regrouping, free: Pools) -> None:
         """Close the groups of a change, and form those that can be."""
         for closed in change.closed:
-            self.changes.close(closed, OrderReason.OTHER_IS_SHORT)
+            self.changes.close(closed, OrderReason.OTHER_MODEL_SHORT)
             self.need.groups[parse_group(closed.group)] -= 1
             self.need.serving[parse_group(closed.group)] -= 1
         for formed in change.formed:
@@ -207,4 +207,4 @@
     def _knows_demand(self) -> bool:
         """Answer whether callers were looked at for long enough."""
         since = self.memory.planned_since
-        return since is not None and self.now - since >= LOOK_SECONDS
+        return since is not None and self.now - since >= DEMAND_WARMUP_SECONDS
--- a/waywell/version/regrouping.py
+++ b/waywell/version/regrouping.py
@@ -18,18 +18,18 @@
 from waywell.ids import ModelName
 from waywell.version.closing_limit import count_closable
 from waywell.version.domain_changes import (
+    CandidateChange,
     Counts,
     Domain,
     DomainChanges,
     NewGroup,
-    PossibleChange,
 )
 from waywell.version.fleet import (
     FleetGroup,
     Pools,
     divide_by_domain,
 )
-from waywell.version.forming_memory import FormingMemory, KnownChanges
+from waywell.version.forming_memory import CachedChanges, FormingMemory
 from waywell.version.model_need import ModelNeed
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
 """From the order to close a group until its boxes can join another: its
 streams end, and the box list shows it."""
 
-LEAST_HORIZON = 10.0
+MIN_HORIZON_SECONDS = 10.0
 """Seconds over which a change is weighed at the least, where loads are short
 or unsaid."""
 
@@ -48,7 +48,7 @@
 """Cost a second of a box that leaves the model it served last, as a part of
 one place: it holds one model only until it has loaded the other again."""
 
-SLOW_BOX_LOAD = 0.6
+MIN_LOAD_FOR_SLOW_BOXES = 0.6
 """Part of a model's places taken from which on slow boxes are put to use."""
 
 
@@ -56,7 +56,7 @@
 class Regrouping:
     """A change of the groups of one domain, with what it gains."""
 
-    possible: PossibleChange
+    candidate: CandidateChange
     """The change."""
 
     gain: float
@@ -65,12 +65,12 @@
     @property
     def closed(self) -> tuple[FleetGroup, ...]:
         """Return the groups to close first."""
-        return self.possible.closed
+        return self.candidate.closed
 
     @property
     def formed(self) -> tuple[NewGroup, ...]:
         """Return the groups to form of their boxes and idle ones."""
-        return self.possible.formed
+        return self.candidate.formed
 
     @property
     def domain(self) -> DomainName:
@@ -91,7 +91,10 @@
     return DomainChanges(
         models,
         search.memory,
-        tuple(need.get_load(model) > SLOW_BOX_LOAD for model in models),
+        tuple(
+            need.get_utilisation(model) > MIN_LOAD_FOR_SLOW_BOXES
+            for model in models
+        ),
     )
 
 
@@ -156,8 +159,8 @@
             self._find_best(name, _make_domain(name, idle, near))
             for name in names
         ]
-        for gone in self.memory.possible.keys() - set(names):
-            self.memory.possible.pop(gone)
+        for gone in self.memory.candidate_changes.keys() - set(names):
+            self.memory.candidate_changes.pop(gone)
         found = [change for change in best if change is not None]
         return sorted(found, key=lambda change: -change.gain)
 
@@ -189,35 +192,35 @@
         self,
         name: DomainName,
         domain: Domain,
-    ) -> tuple[PossibleChange, ...]:
+    ) -> tuple[CandidateChange, ...]:
         """Return the changes of a domain, those known where it is the same."""
-        known = self.memory.possible.get(name)
+        known = self.memory.candidate_changes.get(name)
         mark = self.changes.describe(domain)
-        if known is None or known.mark != mark:
-            possible = tuple(self.changes.list_possible(domain))
-            known = KnownChanges(mark, possible)
-            self.memory.possible[name] = known
-        return known.possible
+        if known is None or known.key != mark:
+            possible = tuple(self.changes.list_candidates(domain))
+            known = CachedChanges(mark, possible)
+            self.memory.candidate_changes[name] = known
+        return known.changes
 
-    def _may_make(self, change: PossibleChange) -> bool:
+    def _may_make(self, change: CandidateChange) -> bool:
         """Answer whether the groups of a change may be closed now."""
         if not change.closed:
             return True
         return self.may_close and all(
             count <= self.closable[model.name]
             for count, model in zip(
-                change.less, self.need.engine.models, strict=True
+                change.closed_counts, self.need.engine.models, strict=True
             )
         )
 
-    def _weigh(self, change: PossibleChange) -> float:
+    def _weigh(self, change: CandidateChange) -> float:
         """Return what a change gains, in place-seconds."""
-        won = self.present_cost - self._get_cost(change.change)
+        won = self.present_cost - self._get_cost(change.net_counts)
         won -= self._get_conversion_cost(change)
         closing = CLOSING_SECONDS if change.closed else 0.0
-        waited = closing + change.joined + self.need.engine.form_seconds
+        waited = closing + change.ready_seconds + self.need.engine.form_seconds
         lasting = max(0.0, self._get_horizon() - waited)
-        return won * lasting - self._get_missed(change.less) * waited
+        return won * lasting - self._get_missed(change.closed_counts) * waited
 
     def _get_cost(self, change: Counts) -> float:
         """Return what callers lose a second after a change, in places."""
@@ -227,7 +230,7 @@
             self.costs[change] = cost
         return cost
 
-    def _get_conversion_cost(self, change: PossibleChange) -> float:
+    def _get_conversion_cost(self, change: CandidateChange) -> float:
         """Return what it costs a second that boxes leave their models.
 
         A box that joins with another model gives up the weights of the one
@@ -236,9 +239,9 @@
         eight became groups of four of a model with room, and the large one
         had 1 to 4 of its 6 groups for 10 s (one day's log).
         """
-        cost = CONVERSION_COST * change.converted
+        cost = CONVERSION_COST * change.other_conversions
         for model, count in zip(
-            self.need.engine.models, change.left, strict=True
+            self.need.engine.models, change.leaving_counts, strict=True
         ):
             if count:
                 worth = self.need.get_gain(model) / model.boxes_per_group
@@ -249,7 +252,7 @@
         """Return what callers lose a second until a change is made."""
         missed = self.missed.get(less)
         if missed is None:
-            missed = self.need.get_missed(self._name(less))
+            missed = self.need.get_closing_cost(self._name(less))
             self.missed[less] = missed
         return missed
 
@@ -266,7 +269,9 @@
         A box that is lost is made up for by a load at the latest.
         """
         models = self.need.engine.models
-        return max(LEAST_HORIZON, *(model.load_seconds for model in models))
+        return max(
+            MIN_HORIZON_SECONDS, *(model.load_seconds for model in models)
+        )
 
 
 def _make_domain(
--- a/waywell/version/slow_groups.py
+++ b/waywell/version/slow_groups.py
@@ -140,6 +140,7 @@
     ) -> int:
         """Return how many boxes can join a group of a model, and are fast."""
         return sum(
-            self.memory.holds(box, model) and not self.memory.is_slow(box.life)
+            self.memory.has_weights(box, model)
+            and not self.memory.is_slow(box.life)
             for box in boxes
         )
--- a/waywell/version/staging.py
+++ b/waywell/version/staging.py
@@ -23,7 +23,7 @@
 """How much more a box must be worth to the model that it is to load than to
 the one that this pushes out of its host, so that loads don't undo another."""
 
-BESIDE_PART = 0.5
+SERVING_LOAD_SHARE = 0.5
 """Part of the weight store's places that boxes which serve may take: a load
 takes its place for 12 to 16 s, and idle boxes wait for places."""
 
@@ -136,7 +136,7 @@
         """Return how many boxes hold a model or load it."""
         staging = self._memory.staging
         return sum(
-            self._memory.holds(box, model)
+            self._memory.has_weights(box, model)
             or (box.life in staging and staging[box.life].model == model.name)
             for box in idle
         )
@@ -156,8 +156,8 @@
         lacking = [
             box
             for box in boxes
-            if not self._memory.holds(box, model)
-            and self._memory.may_ask_to_load(box, self._now)
+            if not self._memory.has_weights(box, model)
+            and self._memory.may_order_load(box, self._now)
         ]
         return lacking[:1] if failures.is_limited(model.name) else lacking
 
@@ -194,7 +194,7 @@
 
     def _load_beside(self) -> None:
         """Load a second model into boxes that serve and hold only one."""
-        most = BESIDE_PART * self._need.engine.loads_at_once
+        most = SERVING_LOAD_SHARE * self._need.engine.loads_at_once
         single = self._list_single()
         for model in self._need.rank_models():
             for box in self._list_lacking(single, model):
@@ -225,7 +225,7 @@
         return [
             model
             for model in self._need.rank_models()
-            if not self._memory.holds(box, model)
+            if not self._memory.has_weights(box, model)
             and self._memory.load_failures.may_load(model.name)
         ]
 
