--- a/waywell/version/box_report.py
+++ b/waywell/version/box_report.py
@@ -1,4 +1,4 @@
-"""What a box tells of itself when it is asked."""
+"""Reports that boxes return when they are asked for their state."""
 
 from __future__ import annotations
 
@@ -11,35 +11,36 @@
 """Pace of a box that is as fast as it should be."""
 
 SLOW_PACE = 2.0
-"""Pace from which on a box counts as slow.  A first event usually takes some
-0.6 of its goal, so a group with such a box misses it."""
+"""Pace from which on a box counts as slow. A first event usually takes some
+0.6 of its goal, so a group with such a box misses the goal."""
 
 
 class BoxReport(msgspec.Struct, frozen=True):
-    """How a box is."""
+    """State that a box reports about itself."""
 
     pace: float = NORMAL_PACE
-    """Time that its work takes, as a multiple of the usual time."""
+    """Duration of the box's work as a multiple of the normal duration."""
 
     orders_begun: int = 0
-    """Orders that the box has begun since its start; numbers its states."""
+    """Number of orders that the box has begun since its start; identifies its
+    state."""
 
     standing: Standing | None = None
-    """Its place in a group in that state."""
+    """Place of the box in a group in that state."""
 
     incarnation: Incarnation = UNTOLD
-    """Which of its lives told it."""
+    """Incarnation of the box that sent the report."""
 
     def is_slow(self) -> bool:
-        """Answer whether a group is better off without the box."""
+        """Return whether a group is better off without the box."""
         return self.pace >= SLOW_PACE
 
 
 class TimedReport(msgspec.Struct, frozen=True):
-    """A report with its age."""
+    """A report with the time of its arrival."""
 
     report: BoxReport
-    """What the box told."""
+    """What the box reported."""
 
     read_at: float
-    """When it told, in seconds."""
+    """When the report was read, in seconds."""
--- a/waywell/version/closing_limit.py
+++ b/waywell/version/closing_limit.py
@@ -1,4 +1,4 @@
-"""How many groups of each model may be closed at one time."""
+"""Limit on the groups of each model that are closed at the same time."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     from waywell.version.fleet import FleetGroup
 
 MAX_CLOSING_SHARE = 0.5
-"""Part of a model's groups that may be closed at one time, but one at least:
-the rest takes their requests meanwhile."""
+"""Share of a model's groups that may be closed at the same time, but at least
+one group; the others take their requests meanwhile."""
 
 
 def count_closable(
     serving: Iterable[FleetGroup],
     closing: Iterable[FleetGroup],
 ) -> Counter[ModelName]:
-    """Return how many groups of each model may be closed now.
+    """Return how many more groups of each model may be closed now.
 
     Parameters
     ----------
@@ -31,11 +31,12 @@
     closing
         Groups that were ordered to close.
     """
-    served = Counter(parse_group(one.group) for one in serving)
-    closed = Counter(parse_group(one.group) for one in closing)
+    serving_counts = Counter(parse_group(group.group) for group in serving)
+    closing_counts = Counter(parse_group(group.group) for group in closing)
     return Counter(
         {
-            model: max(1, int(count * MAX_CLOSING_SHARE)) - closed[model]
-            for model, count in served.items()
+            model: max(1, int(count * MAX_CLOSING_SHARE))
+            - closing_counts[model]
+            for model, count in serving_counts.items()
         },
     )
--- a/waywell/version/domain_changes.py
+++ b/waywell/version/domain_changes.py
@@ -1,10 +1,10 @@
-"""Which changes of groups can be made in one fabric domain.
+"""Enumeration of the group changes that are possible in one fabric domain.
 
-What can be made depends on the domain's own boxes only, and few domains change
-between two plans, so it is worked out anew only where a box or group has
-changed.  What a change gains depends on all domains and is weighed each time.
-With 760 boxes in 40 domains, 3 idle in each and 2 domains changed, a search
-takes 2.4 ms in place of 13.9 ms (``python -m waywell.bench.search``).
+Possible changes depend on the domain's own boxes only, and few domains change
+between two plans, so they are computed again only where a box or group has
+changed. The gain of a change depends on all domains and is weighed each time.
+With 760 boxes in 40 domains, 3 idle boxes in each and 2 domains changed, a
+search takes 2.4 ms instead of 13.9 ms (``python -m waywell.bench.search``).
 """
 
 from __future__ import annotations
@@ -25,28 +25,28 @@
     from waywell.version.forming_memory import FormingMemory
 
 MAX_CLOSED_PER_CHANGE = 2
-"""Groups that one change closes at the most: what is gained by more does not
-make up for the places that are missing meanwhile."""
+"""Groups that one change closes at most: closing more gains too little to make
+up for the places that are missing meanwhile."""
 
 Counts = tuple[int, ...]
-"""Numbers of groups, by the engine's models in their order."""
+"""Numbers of groups or boxes by model, in the order of the engine's models."""
 
 BoxKind = tuple[float, ...]
-"""Whether a box is slow, and the seconds until it could serve each model."""
+"""Whether a box is slow, then the seconds until it could serve each model."""
 
 GroupKind = tuple[ModelName, tuple[BoxKind, ...]]
-"""What matters of a group: its model, and its boxes."""
+"""Properties of a group that matter for a change: its model and its boxes."""
 
 
 @attrs.frozen
 class NewGroup:
-    """A group that is to be formed."""
+    """A group that a change forms."""
 
     model: EngineModel
-    """Its model."""
+    """Model that the group is to serve."""
 
     boxes: tuple[FleetBox, ...]
-    """Its members, the head first."""
+    """Members, the head first."""
 
 
 @attrs.frozen
@@ -57,23 +57,23 @@
     """Groups to close first."""
 
     formed: tuple[NewGroup, ...]
-    """Groups to form of their boxes and idle ones."""
+    """Groups to form from their boxes and idle ones."""
 
     closed_counts: Counts
-    """Groups of each model that are closed."""
+    """Closed groups of each model."""
 
     net_counts: Counts
-    """Groups of each model that there are more, or less, afterwards."""
+    """Groups of each model gained, or lost if negative."""
 
     leaving_counts: Counts
-    """Boxes that leave each model, where the domain can form a group of it
-    with them."""
+    """Boxes that leave each model, for models of which the domain could form a
+    group with them."""
 
     other_conversions: int
-    """Other boxes that join with a model which they did not serve last."""
+    """Other boxes that join with a model that they did not serve last."""
 
     ready_seconds: float
-    """Seconds until the slowest of its boxes is ready."""
+    """Seconds until the slowest of the joining boxes is ready."""
 
 
 @attrs.frozen
@@ -88,16 +88,17 @@
 
 
 class DomainChanges:
-    """Lists the changes that can be made in one domain.
+    """Lists the changes that are possible in one domain.
 
     Parameters
     ----------
     models
         Models of the service.
     memory
-        What the holder remembers of the boxes.
+        State of the duty's holder.
     takes_slow
-        For each model, whether it is so short that slow boxes are put to use.
+        For each model, whether it is so short of places that slow boxes are
+        used.
     """
 
     def __init__(
@@ -106,44 +107,48 @@
         memory: FormingMemory,
         takes_slow: tuple[bool, ...],
     ) -> None:
-        """Keep what changes are made of."""
+        """Store the inputs of the enumeration."""
         self._models = models
         self._memory = memory
         self._takes_slow = dict(zip(models, takes_slow, strict=True))
 
     def describe(self, domain: Domain) -> object:
-        """Return what is equal while a domain has the same changes."""
+        """Return a key that is equal while the possible changes are equal."""
         return (
             tuple(self._takes_slow.items()),
             domain,
-            tuple(self._mark(box) for box in domain.idle),
+            tuple(self._describe_box(box) for box in domain.idle),
             tuple(
-                self._mark(box)
+                self._describe_box(box)
                 for group in domain.serving
                 for box in group.members
             ),
         )
 
     def list_candidates(self, domain: Domain) -> Iterator[CandidateChange]:
-        """Return the changes that can be made in a domain."""
+        """Return the changes that are possible in a domain."""
         formable = self._list_formable(domain)
         for closed in self._list_closings(domain.serving):
-            closed_boxes = [box for one in closed for box in one.members]
+            closed_boxes = [box for group in closed for box in group.members]
             pool = [*domain.idle, *closed_boxes]
-            less = self._count(parse_group(one.group) for one in closed)
+            closed_counts = self._count(
+                parse_group(group.group) for group in closed
+            )
             for counts in self._list_counts(len(pool)):
                 formed = self._pick_groups(pool, counts)
-                if formed and counts != less:
-                    left = self._count_left(formed, formable)
-                    yield self._describe_change(closed, formed, less, left)
-
-    def _mark(self, box: FleetBox) -> tuple[ModelName | None, bool]:
-        """Return what is remembered of a box beside its entry."""
+                if formed and counts != closed_counts:
+                    leaving = self._count_leaving(formed, formable)
+                    yield self._describe_change(
+                        closed, formed, closed_counts, leaving
+                    )
+
+    def _describe_box(self, box: FleetBox) -> tuple[ModelName | None, bool]:
+        """Return what is known of a box beyond its entry."""
         life = box.life
         return self._memory.last_models.get(life), self._memory.is_slow(life)
 
     def _list_formable(self, domain: Domain) -> set[ModelName]:
-        """Return the models that a domain has boxes enough to form."""
+        """Return the models for which a domain has boxes for a group."""
         boxes = [
             *domain.idle,
             *(box for group in domain.serving for box in group.members),
@@ -155,30 +160,30 @@
             >= model.boxes_per_group
         }
 
-    def _count_left(
+    def _count_leaving(
         self,
         formed: tuple[NewGroup, ...],
         formable: set[ModelName],
     ) -> Counts:
         """Return how many boxes leave each model that could be formed."""
         last = self._memory.last_models
-        left = (
+        leaving = (
             last[box.life]
-            for one in formed
-            for box in one.boxes
-            if box.life in last and last[box.life] != one.model.name
+            for group in formed
+            for box in group.boxes
+            if box.life in last and last[box.life] != group.model.name
         )
-        return self._count(name for name in left if name in formable)
+        return self._count(name for name in leaving if name in formable)
 
     def _describe_change(
         self,
         closed: tuple[FleetGroup, ...],
         formed: tuple[NewGroup, ...],
-        less: Counts,
-        left: Counts,
+        closed_counts: Counts,
+        leaving: Counts,
     ) -> CandidateChange:
-        joins = [(box, one.model) for one in formed for box in one.boxes]
-        more = self._count(one.model.name for one in formed)
+        joins = [(box, group.model) for group in formed for box in group.boxes]
+        formed_counts = self._count(group.model.name for group in formed)
         memory = self._memory
         converted = sum(
             not memory.has_last_served(box, model) for box, model in joins
@@ -186,10 +191,13 @@
         return CandidateChange(
             closed,
             formed,
-            less,
-            tuple(new - old for new, old in zip(more, less, strict=True)),
-            left,
-            converted - sum(left),
+            closed_counts,
+            tuple(
+                new - old
+                for new, old in zip(formed_counts, closed_counts, strict=True)
+            ),
+            leaving,
+            converted - sum(leaving),
             max(
                 memory.estimate_join_seconds(box, model)
                 for box, model in joins
@@ -206,25 +214,25 @@
     ) -> Iterator[tuple[FleetGroup, ...]]:
         """Return the sets of groups that may be closed together.
 
-        Of sets that are alike in models and weights, one is enough.
+        Of sets that are equal in models and weights, only one is returned.
         """
-        kinds = {one.group: self._describe_group(one) for one in serving}
+        kinds = {group.group: self._describe_group(group) for group in serving}
         seen = set()
         for count in range(MAX_CLOSED_PER_CHANGE + 1):
             for closed in combinations(serving, count):
-                kind = tuple(sorted(kinds[one.group] for one in closed))
+                kind = tuple(sorted(kinds[group.group] for group in closed))
                 if kind not in seen:
                     seen.add(kind)
                     yield closed
 
     def _describe_group(self, group: FleetGroup) -> GroupKind:
-        """Return what matters of a group: its model, and what boxes hold."""
+        """Return the properties of a group that matter for a change."""
         boxes = sorted(
             (
                 float(self._memory.is_slow(box.life)),
                 *(
-                    self._memory.estimate_join_seconds(box, one)
-                    for one in self._models
+                    self._memory.estimate_join_seconds(box, model)
+                    for model in self._models
                 ),
             )
             for box in group.members
@@ -232,13 +240,13 @@
         return parse_group(group.group), tuple(boxes)
 
     def _list_counts(self, boxes: int) -> Iterator[Counts]:
-        """Return how many groups of each model so many boxes could be."""
+        """Return the numbers of groups of each model that fit some boxes."""
         sizes = [model.boxes_per_group for model in self._models]
         for counts in product(*(range(boxes // size + 1) for size in sizes)):
-            taken = sum(
+            needed = sum(
                 count * size for count, size in zip(counts, sizes, strict=True)
             )
-            if 0 < taken <= boxes:
+            if 0 < needed <= boxes:
                 yield counts
 
     def _pick_groups(
@@ -246,24 +254,24 @@
         pool: list[FleetBox],
         counts: Counts,
     ) -> tuple[NewGroup, ...]:
-        """Return groups in some number, or none where weights are lacking."""
-        left = list(pool)
+        """Return the given numbers of groups, or none if weights are short."""
+        remaining = list(pool)
         groups: list[NewGroup] = []
         wanted = zip(self._models, counts, strict=True)
         for model, count in sorted(
             wanted, key=lambda pair: -pair[0].boxes_per_group
         ):
-            fit = self._rank_boxes(left, model)
+            fit = self._rank_boxes(remaining, model)
             size = model.boxes_per_group
-            taken = fit[: count * size]
-            if len(taken) < count * size:
+            chosen = fit[: count * size]
+            if len(chosen) < count * size:
                 return ()
             groups += [
-                NewGroup(model, tuple(taken[first : first + size]))
-                for first in range(0, len(taken), size)
+                NewGroup(model, tuple(chosen[first : first + size]))
+                for first in range(0, len(chosen), size)
             ]
-            names = {box.box for box in taken}
-            left = [box for box in left if box.box not in names]
+            names = {box.box for box in chosen}
+            remaining = [box for box in remaining if box.box not in names]
         return tuple(groups)
 
     def _rank_boxes(
@@ -271,9 +279,9 @@
         pool: list[FleetBox],
         model: EngineModel,
     ) -> list[FleetBox]:
-        """Return the boxes that can join a group, that ready soonest first.
+        """Return the boxes that can join a group, soonest ready first.
 
-        Slow ones come last, and only where the model is short of places.
+        Slow boxes come last, and only where the model is short of places.
         """
         memory = self._memory
         takes_slow = self._takes_slow[model]
--- a/waywell/version/forming.py
+++ b/waywell/version/forming.py
@@ -1,15 +1,15 @@
-"""Which orders bring the groups closer to what should stand.
+"""Planning of the orders that form, open and dissolve groups.
 
-The groups are read off the boxes; nothing but the epoch is kept elsewhere, so
-a new holder of the duty, or one after all nodes were restarted, adopts what
-stands.  Three rules hold for each order:
+The current groups are read from the box list; only the epoch is stored
+elsewhere. A new holder of the duty, also after a restart of all nodes,
+therefore adopts the groups that exist. Each order keeps three rules:
 
-- A box joins a group only when its former group is known to serve nowhere: its
-  head has left it, is gone, has started again, has broken, or was never
-  ordered to open.  That holds for the group of its former life as well.
-- A group is opened only when each of its boxes has told that it is ready
+- A box joins a group only when its former group is known to serve nowhere:
+  the head has left it, is gone, has restarted, is broken or was never ordered
+  to open the group. The same holds for the group of the box's former life.
+- A group is opened only when each of its boxes has reported that it is ready
   under the group's name and epoch.
-- Loads from the weight store keep its pace.
+- Loads from the weight store keep within its pace.
 """
 
 from __future__ import annotations
@@ -53,46 +53,48 @@
 
 @attrs.frozen
 class FormingView:
-    """What a plan is made of."""
+    """Input of one plan."""
 
     service: ServiceName
     """Service whose groups are planned."""
 
     engine: Engine
-    """Its engines."""
+    """Engine of the service, with its models."""
 
     fleet: Fleet
-    """The boxes of the service that give signs of life."""
+    """Boxes of the service that are not known to be lost."""
 
     demand: Mapping[ModelName, float]
-    """Work that callers ask of each model, in places."""
+    """Measured demand for each model, in places."""
 
     kept: frozenset[BoxId] = frozenset()
-    """Boxes whose entries have gone; they serve on, and join nothing."""
+    """Boxes whose entries have disappeared; they keep serving and join no
+    group."""
 
 
 @attrs.frozen
 class FormingSummary:
-    """How the groups of a service stand, for logs."""
+    """State of the groups of one service, for logs."""
 
     groups: Mapping[str, int] = MappingProxyType({})
-    """Groups by model and verdict."""
+    """Number of groups by model and status, keyed ``model.status``."""
 
     idle: Mapping[DomainName, int] = MappingProxyType({})
-    """Boxes that are in no group, by fabric domain."""
+    """Number of idle boxes by fabric domain; domains without any are
+    absent."""
 
 
 class FormingPlanner:
-    """Plans for one service.
+    """Plans the orders for one service.
 
     Parameters
     ----------
     view
-        What is known.
+        Boxes, engine and demand to plan for.
     memory
-        What the holder remembers; changed by the plan.
+        State of the duty's holder; updated by the plan.
     now
-        The present time, in seconds.
+        Current time, in seconds.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
         memory: FormingMemory,
         now: float,
     ) -> None:
-        """Plan nothing yet."""
+        """Prepare a plan without any orders."""
         self.summary = FormingSummary()
         self._memory = memory
         self._now = now
@@ -117,20 +119,20 @@
         )
 
     def plan(self) -> list[Assignment]:
-        """Return the orders to give now."""
+        """Return the orders to send now."""
         self._memory.update(self._fleet, self._engine, self._now)
         if (
             self._memory.planned_since is None
             and self._need.has_measured_demand()
         ):
             self._memory.planned_since = self._now
-        verdicts = self._judge_groups()
-        for judged in self._groups:
-            self._act(judged, verdicts[judged.group])
-        self._count_groups(verdicts)
-        free = self._list_free(verdicts)
-        self.summary = _summarise(verdicts, free)
-        self._note_first_start()
+        statuses = self._assess_groups()
+        for assessed in self._groups:
+            self._order_by_status(assessed, statuses[assessed.group])
+        self._count_groups(statuses)
+        free = self._list_free(statuses)
+        self.summary = _summarise(statuses, free)
+        self._detect_first_start()
         staging = StagingPlanner(
             self._need, self._memory, self._boxes, self._assign, self._now
         )
@@ -144,10 +146,10 @@
             serving = [
                 group
                 for group in self._groups
-                if verdicts[group.group] is GroupStatus.SERVING
+                if statuses[group.group] is GroupStatus.SERVING
             ]
             self._close_slow(free, serving)
-            closing = self._list_closing(verdicts)
+            closing = self._list_closing(statuses)
             RegroupPlanner(
                 self._need, self._memory, self._changes, self._fleet, self._now
             ).plan(free, serving, closing)
@@ -155,7 +157,7 @@
         return self._assignments
 
     def _close_slow(self, free: Pools, serving: list[FleetGroup]) -> None:
-        """Close groups with slow boxes whose fast ones make up whole ones."""
+        """Close slow groups whose fast boxes can form a whole group."""
         for slow in choose_slow_groups(
             self._need, self._memory, free, self._groups, serving
         ):
@@ -163,60 +165,63 @@
 
     def _list_closing(
         self,
-        verdicts: Mapping[GroupId, GroupStatus],
+        statuses: Mapping[GroupId, GroupStatus],
     ) -> list[FleetGroup]:
-        """Return the groups that were ordered to close, until they have."""
+        """Return the groups that were ordered to close and still may serve."""
         return [
             group
             for group in self._groups
             if group.group in self._memory.abandoned
-            and verdicts[group.group] is not GroupStatus.FREE
+            and statuses[group.group] is not GroupStatus.FREE
         ]
 
-    def _judge_groups(self) -> dict[GroupId, GroupStatus]:
+    def _assess_groups(self) -> dict[GroupId, GroupStatus]:
         assess = GroupAssessor(
             self._fleet, self._engine, self._memory, self._now
         )
         return {group.group: assess.assess(group) for group in self._groups}
 
-    def _note_first_start(self) -> None:
-        """Note when nothing was ever loaded: no request has come yet."""
+    def _detect_first_start(self) -> None:
+        """Record whether no box has ever loaded weights.
+
+        On such a first start no request can have arrived yet.
+        """
         if not any(box.staged or box.standing for box in self._boxes):
             self._memory.is_first_start = True
 
-    def _act(self, group: FleetGroup, verdict: GroupStatus) -> None:
-        """Give the orders that a verdict asks for."""
-        if verdict is GroupStatus.HEADLESS:
+    def _order_by_status(self, group: FleetGroup, status: GroupStatus) -> None:
+        """Send the orders that the status of a group requires."""
+        if status is GroupStatus.HEADLESS:
             self._dissolve(group)
         head = group.head
         if head is None:
             return
-        if verdict is GroupStatus.READY:
+        if status is GroupStatus.READY:
             order = Open(group.group, group.epoch)
             self._assign(head, order, OrderReason.READY)
             self._memory.openings.record_opening(group.group)
-        elif verdict is GroupStatus.MUST_CLOSE:
+        elif status is GroupStatus.MUST_CLOSE:
             close = Close(group.group, group.epoch)
             self._assign(head, close, OrderReason.UNWANTED)
-        elif self._has_ignored_close(group, verdict):
+        elif self._has_ignored_close(group, status):
             close = Close(group.group, group.epoch)
             self._assign(head, close, OrderReason.NO_EFFECT)
-        elif verdict is GroupStatus.MUST_LEAVE:
+        elif status is GroupStatus.MUST_LEAVE:
             leave = Leave(group.group, group.epoch)
             self._assign(head, leave, OrderReason.MEMBER_LOST)
 
     def _has_ignored_close(
-        self, group: FleetGroup, verdict: GroupStatus
+        self, group: FleetGroup, status: GroupStatus
     ) -> bool:
-        """Answer whether a group serves although it was ordered to close."""
+        """Return whether a group still serves after an order to close it."""
         is_abandoned = group.group in self._memory.abandoned
-        return verdict is GroupStatus.SERVING and is_abandoned
+        return status is GroupStatus.SERVING and is_abandoned
 
     def _dissolve(self, group: FleetGroup) -> None:
-        """Let the members leave a group whose head is lost.
+        """Order the members of a group to leave when its head is lost.
 
-        The head is told as well: it may live and serve, cut off from the
-        platform only.
+        The head gets the order as well: it may be alive and serving, and only
+        cut off from the platform.
         """
         leave = Leave(group.group, group.epoch)
         head = self._memory.heads.get(group.group)
@@ -225,15 +230,18 @@
         for member in group.members:
             self._assign(member, leave, OrderReason.MEMBER_LOST)
 
-    def _count_groups(self, verdicts: Mapping[GroupId, GroupStatus]) -> None:
-        """Count the groups that serve or will, also those not shown yet."""
-        coming = {GroupStatus.READY, GroupStatus.PENDING}
-        for judged, verdict in verdicts.items():
-            is_kept = judged not in self._memory.abandoned
-            if is_kept and verdict is GroupStatus.SERVING:
-                self._need.serving[parse_group(judged)] += 1
-            if is_kept and verdict in coming:
-                self._need.groups[parse_group(judged)] += 1
+    def _count_groups(self, statuses: Mapping[GroupId, GroupStatus]) -> None:
+        """Count the groups that serve or are going to.
+
+        Groups that were ordered and are not on the box list yet count as well.
+        """
+        upcoming = {GroupStatus.READY, GroupStatus.PENDING}
+        for group_id, status in statuses.items():
+            is_kept = group_id not in self._memory.abandoned
+            if is_kept and status is GroupStatus.SERVING:
+                self._need.serving[parse_group(group_id)] += 1
+            if is_kept and status in upcoming:
+                self._need.groups[parse_group(group_id)] += 1
         self._need.groups.update(self._need.serving)
         present = {group.group for group in self._groups}
         for name in self._memory.forming:
@@ -246,23 +254,31 @@
         order: BoxOrder,
         reason: OrderReason,
     ) -> bool:
-        """Give an order, unless one is open; answer whether it is given."""
+        """Add an order unless the box has a pending one.
+
+        Returns
+        -------
+        bool
+            Whether the order was added.
+        """
         if not self._memory.record_order(box, order, self._now):
             return False
         self._assignments.append(Assignment(box, order, reason))
         return True
 
-    def _list_free(self, verdicts: Mapping[GroupId, GroupStatus]) -> Pools:
+    def _list_free(self, statuses: Mapping[GroupId, GroupStatus]) -> Pools:
         """Return the boxes that may join a group, by fabric domain."""
         held = self._memory.list_joining(self._now)
         free: Pools = defaultdict(list)
         for box in self._boxes:
             if box.standing is None:
                 is_free = box.life not in held
-                is_free = is_free and not self._is_counted_on(box, verdicts)
+                is_free = is_free and not self._may_former_group_serve(
+                    box, statuses
+                )
             else:
-                verdict = verdicts.get(box.standing.group)
-                is_free = verdict is GroupStatus.FREE
+                status = statuses.get(box.standing.group)
+                is_free = status is GroupStatus.FREE
             is_open = box.life not in self._memory.pending
             is_fit = not self._memory.is_unfit(box, self._now)
             is_fit = is_fit and box.box not in self._kept
@@ -270,30 +286,31 @@
                 free[box.domain].append(box)
         return free
 
-    def _is_counted_on(
+    def _may_former_group_serve(
         self,
         box: FleetBox,
-        verdicts: Mapping[GroupId, GroupStatus],
+        statuses: Mapping[GroupId, GroupStatus],
     ) -> bool:
-        """Answer whether the group of a box's former life may still serve."""
+        """Return whether the group of a box's former life may still serve."""
         lives = self._memory.lives
         former = lives.find_former_standing(box)
         if former is None:
-            return self._may_be_missed(box, verdicts)
+            return self._may_have_missed_former_life(box, statuses)
         if former.rank == 0 or lives.has_group_ended(former.group):
             return False
         if former.group in self._memory.openings.unopened:
             return False
-        return verdicts.get(former.group) is not GroupStatus.FREE
+        return statuses.get(former.group) is not GroupStatus.FREE
 
-    def _may_be_missed(
+    def _may_have_missed_former_life(
         self,
         box: FleetBox,
-        verdicts: Mapping[GroupId, GroupStatus],
+        statuses: Mapping[GroupId, GroupStatus],
     ) -> bool:
-        """Answer whether a group near by may lack a box's former life.
+        """Return whether a group of the domain may lack a box's former life.
 
-        A node that has known the list for a short time only can't tell.
+        A node whose first box list is recent can't rule out that it missed a
+        restart.
         """
         if (
             box.incarnation == UNTOLD
@@ -302,13 +319,13 @@
             return False
         return any(
             group.domain == box.domain
-            and verdicts[group.group]
+            and statuses[group.group]
             in {GroupStatus.MUST_LEAVE, GroupStatus.HEADLESS}
             for group in self._groups
         )
 
     def _form(self, free: Pools) -> None:
-        """Form groups before callers come, that of the greatest need first."""
+        """Form groups before any demand is measured, greatest need first."""
         picker = GroupPicker(self._need, self._memory)
         best = picker.find_best(free)
         while best is not None:
@@ -320,13 +337,13 @@
 
 
 def _summarise(
-    verdicts: Mapping[GroupId, GroupStatus],
+    statuses: Mapping[GroupId, GroupStatus],
     free: Pools,
 ) -> FormingSummary:
     return FormingSummary(
         Counter(
-            f'{parse_group(group)}.{verdict.value}'
-            for group, verdict in verdicts.items()
+            f'{parse_group(group)}.{status.value}'
+            for group, status in statuses.items()
         ),
         {domain: len(boxes) for domain, boxes in free.items() if boxes},
     )
--- a/waywell/version/forming_memory.py
+++ b/waywell/version/forming_memory.py
@@ -1,4 +1,4 @@
-"""What the holder of the forming duty remembers between plans."""
+"""State that the holder of the forming duty keeps between plans."""
 
 from __future__ import annotations
 
@@ -34,35 +34,36 @@
     from waywell.version.routes import Engine
 
 ORDER_TIMEOUT_SECONDS = 2.5
-"""For which an order that was sent is waited for in the box list: two
+"""How long the effect of a sent order is awaited in the box list: two
 heartbeats."""
 
 JOIN_TIMEOUT_SECONDS = 4.0
-"""For which boxes that were ordered into a group may not show it yet."""
+"""How long boxes that were ordered into a group may fail to show it in the box
+list."""
 
 ABANDONED_SECONDS = 15.0
-"""For which an abandoned group is remembered while it is not listed."""
+"""How long an abandoned group that is off the box list is remembered."""
 
 UNFIT_RETRY_SECONDS = 0.5
-"""For which a box that told something else than its entry is left alone: the
-list, or its report, has caught up by then."""
+"""How long a box whose report contradicts its entry is left alone; by then the
+list or the report has caught up."""
 
 LOAD_TIMEOUT_FACTOR = 3.0
-"""Times a load's usual length after which a box that still loads is given
-up."""
+"""Multiple of a load's usual duration after which a load is given up."""
 
 REJOIN_SECONDS = 0.2
-"""To join with the model that the box served last."""
+"""Time to join a group of the model that the box served last."""
 
 LOAD_RETRY_SECONDS = 2.0
-"""For which a box that did not take an order to load is not asked again; a
-load takes some 12 seconds or more."""
+"""How long a box that did not accept a load is not asked again; a load takes
+some 12 seconds or more."""
 
 PACE_WINDOW_SECONDS = 5.0
-"""Over which the weight store's pace is judged: a load counts that long."""
+"""How long a load counts against the weight store's pace once nothing is known
+of it any more."""
 
 STORE_PACE_SHARE = 0.9
-"""Part of the weight store's pace that is used; the rest covers loads that a
+"""Share of the weight store's pace that is used; the rest covers loads that a
 former holder began."""
 
 
@@ -77,39 +78,39 @@
     """A group whose joins were ordered by this holder."""
 
     members: tuple[BoxLife, ...]
-    """Its members, in the lives that were asked to join."""
+    """Members, in the lives that were ordered to join."""
 
     begun_at: float
-    """When, in seconds."""
+    """When the joins were ordered, in seconds."""
 
     def is_fresh(self, now: float) -> bool:
-        """Answer whether its boxes may only not show it yet."""
+        """Return whether the members may still be absent from the box list."""
         return now - self.begun_at <= JOIN_TIMEOUT_SECONDS
 
 
 @attrs.frozen
 class IntendedGroup:
-    """A group whose members are still to leave others."""
+    """A planned group some of whose members have yet to leave other groups."""
 
     model: EngineModel
-    """Its model."""
+    """Model that the group is to serve."""
 
     members: tuple[BoxLife, ...]
-    """Its members, the head first."""
+    """Members, the head first."""
 
     since: float
-    """When it was decided on, in seconds."""
+    """When the group was decided on, in seconds."""
 
 
 @attrs.frozen
 class SearchSnapshot:
-    """When the domains were searched for changes, and for which boxes."""
+    """The inputs of a search for group changes, and its time."""
 
     at: float
-    """When, in seconds."""
+    """When the search ran, in seconds."""
 
     idle: frozenset[BoxLife]
-    """Boxes that might join a group."""
+    """Boxes that were free to join a group."""
 
     serving: frozenset[GroupId]
     """Groups that served."""
@@ -117,103 +118,106 @@
 
 @attrs.frozen
 class CachedChanges:
-    """The changes of groups that one fabric domain allows."""
+    """The group changes that one fabric domain allows."""
 
     key: object
-    """What they depend on."""
+    """Equal as long as the domain allows the same changes."""
 
     changes: tuple[CandidateChange, ...]
-    """The changes."""
+    """Changes that the domain allows."""
 
 
 @attrs.frozen
 class Staging:
-    """A model that a box loads beside all else."""
+    """A model that a box loads into its host's memory, outside any group."""
 
     model: ModelName
-    """The model."""
+    """Model whose weights are loaded."""
 
     begun_at: float
-    """When it was ordered, in seconds."""
+    """When the load was ordered, in seconds."""
 
 
 @attrs.define
 class FormingMemory:
-    """What the holder of the duty remembers between plans."""
+    """State that the holder of the forming duty keeps between plans."""
 
     next_epoch: int = 1
     """Epoch of the next group."""
 
     pending: dict[BoxLife, tuple[BoxOrder, float]] = attrs.Factory(dict)
-    """Orders whose effect is not seen yet, with when they were sent."""
+    """Orders whose effect is not visible yet, with the time of sending in
+    seconds."""
 
     forming: dict[GroupId, FormingGroup] = attrs.Factory(dict)
-    """Groups that were ordered."""
+    """Groups whose joins were ordered and that may not be on the box
+    list yet."""
 
     stalled_since: dict[GroupId, float] = attrs.Factory(dict)
-    """When a group was first seen in its present trouble."""
+    """When a group was first seen incomplete or still joining, in seconds."""
 
     heads: dict[GroupId, FleetBox] = attrs.Factory(dict)
-    """Heads of groups that served, as they were last listed."""
+    """Heads of groups that served, as last listed."""
 
     openings: GroupOpenings = attrs.Factory(GroupOpenings)
-    """What may be done with groups that this holder formed."""
+    """Which groups may be opened and which were never ordered to open."""
 
     abandoned: dict[GroupId, float] = attrs.Factory(dict)
-    """Groups that were ordered to close, or whose members were ordered
-    elsewhere, with when that was."""
+    """Groups that were ordered to close, or whose members were ordered into
+    other groups, with the time in seconds."""
 
     unfit: dict[BoxLife, float] = attrs.Factory(dict)
-    """Boxes whose entry contradicts what they told themselves, or that told
-    nothing, with when they were asked."""
+    """Boxes that did not answer before a join, or whose report contradicted
+    their entry, with the time of asking in seconds."""
 
     groups_left_by_head: set[GroupId] = attrs.Factory(set)
     """Groups whose head is known to be gone or to have left."""
 
     is_first_start: bool = False
-    """Whether this holder saw the very first start: then loads keep no pace
-    until callers come."""
+    """Whether this holder saw a fleet that had never loaded weights; loads
+    then ignore the weight store's pace until demand is measured."""
 
     intended: list[IntendedGroup] = attrs.Factory(list)
     """Groups for which others were closed."""
 
     last_search: SearchSnapshot | None = None
-    """For what the domains were last searched."""
+    """Inputs of the last search for group changes."""
 
     candidate_changes: dict[DomainName, CachedChanges] = attrs.Factory(dict)
     """Changes that each domain allowed when it was last searched."""
 
     planned_since: float | None = None
-    """When this holder first planned with callers there, in seconds."""
+    """When this holder first planned with measured demand, in seconds."""
 
     loads: dict[BoxLife, float] = attrs.Factory(dict)
-    """Boxes that load weights, with when that was ordered, in seconds."""
+    """Boxes whose loads count against the weight store's pace, with the time
+    of the order in seconds."""
 
     load_refused_at: dict[BoxLife, float] = attrs.Factory(dict)
-    """When a box last did not take an order to load: it loads for an earlier
-    holder, or gave no answer."""
+    """When a box last did not accept a load, in seconds: it is loading for an
+    earlier holder, or did not answer."""
 
     lost: dict[BoxLife, float] = attrs.Factory(dict)
-    """Boxes that gave no sign of life although they are listed, with when
-    they were last asked."""
+    """Boxes that are listed but did not answer, with the time of the last
+    question in seconds."""
 
     reports: dict[BoxLife, TimedReport] = attrs.Factory(dict)
-    """What boxes told when they were last asked."""
+    """Last report of each box."""
 
     last_models: Mapping[BoxLife, ModelName] = attrs.Factory(dict)
-    """Model that each box served last, kept by the node."""
+    """Model that each box served last; owned by the node."""
 
     lives: LifeTracker = attrs.Factory(LifeTracker)
-    """Boxes that started again, kept by the node."""
+    """Boxes that restarted, with their former lives; owned by the node."""
 
     staging: dict[BoxLife, Staging] = attrs.Factory(dict)
-    """Models that boxes load beside all else."""
+    """Models that boxes are loading into their hosts' memory."""
 
     load_failures: LoadFailures = attrs.Factory(LoadFailures)
-    """Loads that ended boxes, kept by the node."""
+    """Loads during which boxes ended; owned by the node."""
 
     def update(self, fleet: Fleet, engine: Engine, now: float) -> None:
-        """Take in a box list: drop what is seen, or was waited for in vain."""
+        """Apply a box list: drop what has taken effect or timed out."""
         present = set(fleet.groups)
         self._forget_orders(fleet, now)
         self._forget_groups(present, now)
@@ -225,13 +229,19 @@
         )
 
     def record_order(self, box: FleetBox, order: BoxOrder, now: float) -> bool:
-        """Remember an order, unless one is open; answer whether so."""
+        """Record an order unless the box has a pending one.
+
+        Returns
+        -------
+        bool
+            Whether the order was recorded.
+        """
         if isinstance(order, Leave | Close):
             self.openings.record_ending(order.group)
         if box.life in self.pending:
             return False
         self.pending[box.life] = (order, now)
-        self._note_load(box, order, now)
+        self._record_load(box, order, now)
         return True
 
     def record_not_formed(
@@ -253,7 +263,7 @@
         result: OrderResult,
         now: float,
     ) -> None:
-        """Take in what came of an order."""
+        """Apply the result of an order."""
         box, order = assignment.box, assignment.order
         if result in _WITHOUT_EFFECT:
             self.pending.pop(box.life, None)
@@ -261,12 +271,12 @@
             if isinstance(order, Join):
                 self.forming.pop(order.group, None)
         if isinstance(order, Leave):
-            self._note_left(box, order, result)
+            self._record_leave(box, order, result)
         if isinstance(order, Stage) and result is not OrderResult.ACCEPTED:
-            self._give_back_load(box, result, now)
+            self._release_load(box, result, now)
 
     def list_joining(self, now: float) -> set[BoxLife]:
-        """Return the boxes that were ordered into groups just now."""
+        """Return the boxes that were recently ordered into groups."""
         return {
             life
             for forming in self.forming.values()
@@ -275,28 +285,28 @@
         }
 
     def is_unfit(self, box: FleetBox, now: float) -> bool:
-        """Answer whether a box was asked just now and did not fit a join."""
+        """Return whether a box recently failed the check before a join."""
         return now - self.unfit.get(box.life, -math.inf) < UNFIT_RETRY_SECONDS
 
     def has_last_served(self, box: FleetBox, model: EngineModel) -> bool:
-        """Answer whether a model is the one that a box served last."""
+        """Return whether a model is the one that a box served last."""
         return self.last_models.get(box.life) == model.name
 
     def has_room(self, box: FleetBox) -> bool:
-        """Answer whether a load pushes out nothing that a box may need.
+        """Return whether a load evicts nothing that a box may need.
 
-        Its host keeps the last model that was loaded; what it served last is
-        held besides.
+        A host keeps the last model that was loaded; the model that the box
+        served last is held in addition.
         """
         return set(box.staged) <= {self.last_models.get(box.life)}
 
     def is_slow(self, life: BoxLife) -> bool:
-        """Answer whether a box told that its work takes long."""
+        """Return whether a box has reported a slow pace."""
         reading = self.reports.get(life)
         return reading is not None and reading.report.is_slow()
 
     def has_weights(self, box: FleetBox, model: EngineModel) -> bool:
-        """Answer whether a box can join a group of a model without a load."""
+        """Return whether a box can join a group of a model without a load."""
         return self.has_last_served(box, model) or model.name in box.staged
 
     def estimate_join_seconds(
@@ -310,25 +320,25 @@
         return model.load_seconds
 
     def may_load(self, engine: Engine, now: float) -> bool:
-        """Answer whether the weight store's pace allows one more load."""
+        """Return whether the weight store's pace allows one more load."""
         if len(self.loads) >= engine.loads_at_once:
             return False
         recent = sum(now - begun < 1 for begun in self.loads.values())
         return recent < max(1, engine.loads_per_second * STORE_PACE_SHARE)
 
     def may_order_load(self, box: FleetBox, now: float) -> bool:
-        """Answer whether a box neither loads nor refused a moment ago."""
+        """Return whether a box is free to load and refused none recently."""
         load_refused_at = self.load_refused_at.get(box.life, -math.inf)
         is_asked = box.life in self.staging or box.life in self.pending
         return not is_asked and now - load_refused_at > LOAD_RETRY_SECONDS
 
-    def _note_load(
+    def _record_load(
         self,
         box: FleetBox,
         order: BoxOrder,
         now: float,
     ) -> None:
-        """Remember that a box is ordered to load a model, or to stop."""
+        """Record that a box is ordered to load a model, or to stop."""
         failures = self.load_failures
         if isinstance(order, Stage):
             failures.record_start(box, order.model, LoadKind.STAGE, now)
@@ -338,7 +348,7 @@
         elif isinstance(order, Leave):
             failures.forget(box.life)
 
-    def _give_back_load(
+    def _release_load(
         self,
         box: FleetBox,
         result: OrderResult,
@@ -346,8 +356,8 @@
     ) -> None:
         """Forget a load that a box refused, or may not have begun.
 
-        Asking again is safe: a box that loads the model refuses.  A load that
-        may have begun counts for the weight store's pace all the same.
+        A repeated order is safe: a box that is loading the model refuses it. A
+        load that may have begun still counts against the weight store's pace.
         """
         self.pending.pop(box.life, None)
         self.staging.pop(box.life, None)
@@ -355,13 +365,13 @@
         if result is not OrderResult.UNKNOWN:
             self.loads.pop(box.life, None)
 
-    def _note_left(
+    def _record_leave(
         self,
         box: FleetBox,
         order: Leave,
         result: OrderResult,
     ) -> None:
-        """Note that a head has left its group, or is gone."""
+        """Record that the head of a group has left it, or is gone."""
         known = self.heads.get(order.group)
         was_head = box.standing is not None and box.standing.rank == 0
         was_head = was_head or (known is not None and known.life == box.life)
@@ -371,8 +381,8 @@
     def _forget_orders(self, fleet: Fleet, now: float) -> None:
         for life, (order, sent_at) in tuple(self.pending.items()):
             box = fleet.find_life(life)
-            is_seen = box is not None and _shows(box, order)
-            if is_seen or now - sent_at > ORDER_TIMEOUT_SECONDS:
+            is_visible = box is not None and _is_visible(box, order)
+            if is_visible or now - sent_at > ORDER_TIMEOUT_SECONDS:
                 self.pending.pop(life)
 
     def _forget_groups(self, present: set[GroupId], now: float) -> None:
@@ -393,7 +403,7 @@
         engine: Engine,
         now: float,
     ) -> None:
-        """Forget the loads that are over, by then or at the latest."""
+        """Forget loads that no longer count against the store's pace."""
         longest = max(model.load_seconds for model in engine.models)
         for life, begun_at in tuple(self.loads.items()):
             is_known = life in self.staging or life in self.pending
@@ -428,8 +438,8 @@
             known.pop(key)
 
 
-def _shows(box: FleetBox, order: BoxOrder) -> bool:
-    """Answer whether a box's entry shows the effect of an order."""
+def _is_visible(box: FleetBox, order: BoxOrder) -> bool:
+    """Return whether a box's entry shows the effect of an order."""
     standing = box.standing
     if isinstance(order, Join):
         return standing is not None and standing.epoch >= order.epoch
--- a/waywell/version/group_changes.py
+++ b/waywell/version/group_changes.py
@@ -1,4 +1,4 @@
-"""Orders that form a group, or close one, with what is remembered of them."""
+"""Orders that form or close whole groups, and their bookkeeping."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
 
 @attrs.frozen
 class GroupChanges:
-    """Gives the orders of one plan that change whole groups."""
+    """Sends the orders of one plan that form or close whole groups."""
 
     need: ModelNeed
-    """Counts the groups of each model."""
+    """Demand for the models; counts the groups that are formed."""
 
     memory: FormingMemory
-    """What the holder remembers; changed by the orders."""
+    """State of the duty's holder; updated by the orders."""
 
     assign: Callable[[FleetBox, BoxOrder, OrderReason], bool]
-    """Gives an order to a box, unless one is open; answers whether so."""
+    """Gives an order to a box unless it has a pending one; returns whether the
+    order was given."""
 
     now: float
-    """The present time, in seconds."""
+    """Current time, in seconds."""
 
     def join(self, model: EngineModel, boxes: list[FleetBox]) -> None:
-        """Let free boxes form a group; the first one is its head."""
+        """Order free boxes to form a group; the first one becomes its head."""
         epoch = Epoch(self.memory.next_epoch)
         self.memory.next_epoch += 1
         group = name_group(model.name, epoch)
@@ -50,7 +51,7 @@
             self.assign(box, join, OrderReason.NEEDED)
 
     def close(self, group: FleetGroup, reason: OrderReason) -> None:
-        """Let a group finish its work, so that its boxes may join others."""
+        """Order a group to finish its work, which frees its boxes."""
         self.memory.abandoned[group.group] = self.now
         close = Close(group.group, group.epoch)
         self.assign(group.members[0], close, reason)
--- a/waywell/version/group_openings.py
+++ b/waywell/version/group_openings.py
@@ -1,8 +1,9 @@
-"""What the holder of the forming duty may do with groups that it formed.
+"""Record of which groups this holder may open or knows to be unopened.
 
-Both sets are positive knowledge: what was forgotten, or formed by another
-holder, is in neither.  Such a group is not opened, and its head is told to
-leave before its boxes are used again; that costs an order and no promise.
+Both sets hold only positive knowledge: a group that was forgotten, or formed
+by another holder, is in neither. Such a group is not opened, and its head is
+ordered to leave before its boxes are used again; that costs an order but is
+always safe.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
     """Which groups may be opened, and which are known to serve nowhere."""
 
     openable: set[GroupId] = attrs.Factory(set)
-    """Groups whose members were ordered nothing else since they were joined.
-    Another order may be carried out at any later time."""
+    """Groups whose members got no other order since their joins. Any other
+    order may be carried out at any later time."""
 
     unopened: set[GroupId] = attrs.Factory(set)
     """Groups that were never ordered to open, so that none of them serves."""
 
     def record_formed(self, group: GroupId, boxes: Iterable[FleetBox]) -> None:
-        """Take in that boxes, perhaps of former groups, are joined to one."""
+        """Record that boxes are ordered out of any former groups into one."""
         self.openable.add(group)
         self.unopened.add(group)
         for box in boxes:
@@ -39,11 +40,11 @@
                 self.record_ending(box.standing.group)
 
     def record_opening(self, group: GroupId) -> None:
-        """Take in that a group is ordered to open."""
+        """Record that a group is ordered to open."""
         self.unopened.discard(group)
 
     def record_ending(self, group: GroupId) -> None:
-        """Take in that a member is ordered to leave, to close or elsewhere."""
+        """Record that a member is ordered to leave, close or join another."""
         self.openable.discard(group)
 
     def keep_only(self, known: Set[GroupId]) -> None:
--- a/waywell/version/group_picker.py
+++ b/waywell/version/group_picker.py
@@ -1,6 +1,6 @@
-"""Which boxes make up the groups of the very first start.
+"""Choice of boxes for the groups of the very first start.
 
-No box holds any weights then, and loads cost little until callers come.
+No box holds weights then, and loads cost little until callers come.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
     """Picks boxes for new groups, whatever weights they hold."""
 
     need: ModelNeed
-    """What callers are expected to ask of the models."""
+    """Expected demand for the models and the groups that meet it."""
 
     memory: FormingMemory
-    """What the holder remembers of the boxes."""
+    """State of the duty's holder."""
 
     def find_best(
         self,
         free: Pools,
     ) -> tuple[EngineModel, list[FleetBox]] | None:
-        """Return the model of the greatest need whose group can be made.
+        """Return the model with the greatest need for which boxes suffice.
 
-        Its boxes come with it; ``None`` where no group can be made.
+        Its boxes come with it; ``None`` if no group can be formed.
 
         Parameters
         ----------
@@ -58,7 +58,7 @@
         free: Pools,
         model: EngineModel,
     ) -> list[FleetBox]:
-        """Return the boxes that are ready soonest, where most are free."""
+        """Return the boxes ready soonest; ties go to the largest free pool."""
         return min(
             ready,
             key=lambda boxes: (
@@ -75,7 +75,7 @@
         boxes: list[FleetBox],
         model: EngineModel,
     ) -> list[FleetBox]:
-        """Return the boxes of a domain that make up a group soonest, or none.
+        """Return the boxes of a domain that form a group soonest, or none.
 
         Slow boxes come last.
         """
--- a/waywell/version/group_status.py
+++ b/waywell/version/group_status.py
@@ -1,4 +1,4 @@
-"""What is to be done about a group of boxes, judged by what they tell."""
+"""Assessment of groups: what must be done about each of them."""
 
 from __future__ import annotations
 
@@ -20,60 +20,63 @@
 
 
 class GroupStatus(enum.Enum):
-    """What is to be done about a group."""
+    """State of a group, by what must be done about it."""
 
     SERVING = 'serving'
-    """Nothing: it serves whole."""
+    """The group serves with all members; nothing to do."""
 
     PENDING = 'under_way'
-    """Nothing yet: it forms, closes, or may still serve somewhere."""
+    """The group forms, closes, or may still serve somewhere; nothing to do
+    yet."""
 
     READY = 'ready'
-    """It is to be opened."""
+    """The group is ready to be opened."""
 
     MUST_CLOSE = 'close'
-    """It is to finish its work: a member leaves."""
+    """A member is leaving or the model is unwanted; the group must finish its
+    work."""
 
     HEADLESS = 'headless'
-    """Its head is lost; the others are to leave it at once."""
+    """The head is lost; the other members must leave at once."""
 
     MUST_LEAVE = 'break'
-    """It has lost a member; the head is to leave it at once."""
+    """A member is lost or the group can't be opened; the head must leave at
+    once."""
 
     FREE = 'free'
-    """It serves nowhere; its boxes may join others."""
+    """The group serves nowhere; its boxes may join others."""
 
 
 @attrs.frozen
 class GroupAssessor:
-    """Judges groups at one moment."""
+    """Assesses the groups of one service at one moment."""
 
     fleet: Fleet
-    """The box list."""
+    """Boxes of the service."""
 
     engine: Engine
-    """Engines of the service."""
+    """Engine of the service, with its models."""
 
     memory: FormingMemory
-    """What the holder remembers."""
+    """State of the duty's holder; updated by the assessment."""
 
     now: float
-    """The present time, in seconds."""
+    """Current time, in seconds."""
 
     def assess(self, group: FleetGroup) -> GroupStatus:
-        """Return what is to be done about a group."""
+        """Return the status of a group."""
         model = self.engine.find_model(parse_group(group.group))
         if model is None:
-            return self._judge_unwanted(group)
+            return self._assess_unwanted(group)
         leaving = any(member.leaving for member in group.members)
         whole = len(group.members) == model.boxes_per_group
         if whole and not leaving:
-            return self._judge_whole(group, model)
+            return self._assess_whole(group, model)
         if whole:
-            return self._judge_unwanted(group)
-        return self._judge_incomplete(group)
+            return self._assess_unwanted(group)
+        return self._assess_incomplete(group)
 
-    def _judge_whole(
+    def _assess_whole(
         self, group: FleetGroup, model: EngineModel
     ) -> GroupStatus:
         state = _get_head_state(group)
@@ -86,43 +89,43 @@
         if state is MemberState.BROKEN:
             return GroupStatus.FREE
         if group.is_in(MemberState.READY):
-            return self._judge_ready(group)
+            return self._assess_ready(group)
         if group.is_in(MemberState.READY, MemberState.JOINING):
-            return self._judge_joining(group, model)
-        return self._judge_closed(group)
+            return self._assess_joining(group, model)
+        return self._assess_not_serving(group)
 
-    def _judge_ready(self, group: FleetGroup) -> GroupStatus:
-        """Judge a group whose boxes are all ready."""
+    def _assess_ready(self, group: FleetGroup) -> GroupStatus:
+        """Assess a group whose boxes are all ready."""
         if group.group in self.memory.openings.openable:
             return GroupStatus.READY
-        return self._judge_closed(group)
+        return self._assess_not_serving(group)
 
-    def _judge_joining(
+    def _assess_joining(
         self,
         group: FleetGroup,
         model: EngineModel,
     ) -> GroupStatus:
-        """Judge a group some of whose boxes load the model."""
+        """Assess a group some of whose boxes are loading the model."""
         seen = self.memory.stalled_since.setdefault(group.group, self.now)
         patience = (
             LOAD_TIMEOUT_FACTOR * model.load_seconds + JOIN_TIMEOUT_SECONDS
         )
         if self.now - seen > patience:
-            return self._judge_closed(group)
+            return self._assess_not_serving(group)
         return GroupStatus.PENDING
 
-    def _judge_closed(self, group: FleetGroup) -> GroupStatus:
-        """Judge a group that no box shows to serve.
+    def _assess_not_serving(self, group: FleetGroup) -> GroupStatus:
+        """Assess a group that no box reports as serving.
 
-        Where an order to open it may have been given, by this holder or by
-        another, it may still take effect; it can't once the head has left.
+        An order to open it that this holder or another one may have sent can
+        still take effect; once the head has left, it can't.
         """
         if group.group in self.memory.openings.unopened:
             return GroupStatus.FREE
         return GroupStatus.MUST_LEAVE
 
-    def _judge_unwanted(self, group: FleetGroup) -> GroupStatus:
-        """Judge a whole group that is to end in good order."""
+    def _assess_unwanted(self, group: FleetGroup) -> GroupStatus:
+        """Assess a whole group that must end in good order."""
         state = _get_head_state(group)
         if state is MemberState.OPEN:
             return GroupStatus.MUST_CLOSE
@@ -130,17 +133,17 @@
             return GroupStatus.PENDING
         if state is MemberState.BROKEN:
             return GroupStatus.FREE
-        return self._judge_closed(group)
+        return self._assess_not_serving(group)
 
-    def _judge_incomplete(self, group: FleetGroup) -> GroupStatus:
-        """Judge a group some of whose members are not on the list."""
+    def _assess_incomplete(self, group: FleetGroup) -> GroupStatus:
+        """Assess a group some of whose members are not on the box list."""
         seen = self.memory.stalled_since.setdefault(group.group, self.now)
         waited = self.now - seen
         if self._is_gathering(group):
             return GroupStatus.PENDING
         head = group.head
         if head is None:
-            return self._judge_headless(group)
+            return self._assess_headless(group)
         state = _get_head_state(group)
         if state in {MemberState.OPEN, MemberState.CLOSING}:
             return GroupStatus.MUST_LEAVE
@@ -148,13 +151,14 @@
             return GroupStatus.PENDING
         if state is MemberState.BROKEN:
             return GroupStatus.FREE
-        return self._judge_closed(group)
+        return self._assess_not_serving(group)
 
-    def _judge_headless(self, group: FleetGroup) -> GroupStatus:
-        """Judge a group whose head is not listed, but may still serve.
+    def _assess_headless(self, group: FleetGroup) -> GroupStatus:
+        """Assess a group whose head is off the box list but may still serve.
 
-        It may be cut off from the platform only, for any time, so the
-        others stay with it until each has left, unless it was never opened or
+        The head may only be cut off from the platform, for any length of time.
+        The other members therefore stay until each of them has left, unless
+        the group was never opened, its head is known to have left, or the head
         has begun a new life.
         """
         if group.group in self.memory.groups_left_by_head:
@@ -166,7 +170,7 @@
         return GroupStatus.HEADLESS
 
     def _is_gathering(self, group: FleetGroup) -> bool:
-        """Answer whether its other members may only not show it yet."""
+        """Return whether the missing members may only not be listed yet."""
         forming = self.memory.forming.get(group.group)
         if forming is None or not forming.is_fresh(self.now):
             return False
--- a/waywell/version/join_check.py
+++ b/waywell/version/join_check.py
@@ -1,14 +1,14 @@
-"""Joins that hold only for the state that a box itself told.
+"""Check of planned joins against the state that each box has reported.
 
-A join may be carried out at any time after it was sent, and the list from
-which it was planned may be older than other orders.  So a box is asked before
-it is joined, and the join carries the number of the state that it told: if the
-box has begun any order since, it refuses.
+A join may be carried out at any time after it was sent, and the box list from
+which it was planned may be older than other orders. Each box is therefore
+asked before it is joined, and the join carries the number of the reported
+state: a box that has begun any order since then refuses the join.
 
-A later life of the box begins to count anew, so that number may come again.  A
-join that is carried out there still opens nothing: its group is opened only by
-an order that was sent after all members were ready, and it can't undo a later
-join, whose epoch is higher.
+A later life of the box counts its orders from zero, so the same number may
+occur again. A join that is carried out there still opens nothing: its group is
+opened only by an order that was sent after all members were ready, and the
+join can't undo a later one, whose epoch is higher.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
     from waywell.version.box_report import BoxReport
     from waywell.version.fleet import FleetBox
 
-_AT_WORK = frozenset((MemberState.OPEN, MemberState.CLOSING))
+_SERVING_STATES = frozenset((MemberState.OPEN, MemberState.CLOSING))
 """States of a head whose group serves."""
 
 
 @attrs.frozen
 class JoinCheck:
-    """Joins of one group, checked against what its boxes told."""
+    """Result of checking the joins of one group."""
 
     joins: tuple[Assignment, ...] = ()
-    """The joins, each for the state that its box told; none where any box does
-    not fit, as the others would wait in vain."""
+    """The joins, each bound to the state that its box reported; empty if any
+    box is unfit, as the others would wait in vain."""
 
     unfit: tuple[BoxLife, ...] = ()
-    """Boxes that told nothing, or stand elsewhere than their entry says."""
+    """Boxes that did not answer, or whose state contradicts their entry."""
 
 
 def check_joins(
@@ -52,9 +52,10 @@
     Parameters
     ----------
     joins
-        The joins as planned from the list.
+        The joins as planned from the box list.
     reports
-        What the boxes told since; silent ones are missing.
+        What the boxes have reported since; boxes that did not answer are
+        missing.
     """
     unfit = tuple(
         join.box.life
@@ -64,29 +65,29 @@
     if unfit:
         return JoinCheck(unfit=unfit)
     return JoinCheck(
-        tuple(_number_join(join, reports[join.box.life]) for join in joins),
+        tuple(_bind_join(join, reports[join.box.life]) for join in joins),
     )
 
 
 def _may_join(box: FleetBox, report: BoxReport | None) -> bool:
-    """Answer whether a box is free in the state that it told.
+    """Return whether a box is free in the state that it reported.
 
-    It is where it stands in no group, or in the one that the plan found to
-    serve nowhere.  What was planned for one life holds for no later one.
+    It is free if it is in no group, or in the group that the plan found to
+    serve nowhere. A join planned for one life never holds for a later one.
     """
     if report is None:
         return False
     if not is_same_life(box.incarnation, report.incarnation):
         return False
-    told, listed = report.standing, box.standing
-    if told is None:
+    reported, listed = report.standing, box.standing
+    if reported is None:
         return True
-    if listed is None or told.state in _AT_WORK:
+    if listed is None or reported.state in _SERVING_STATES:
         return False
-    return (told.group, told.epoch) == (listed.group, listed.epoch)
+    return (reported.group, reported.epoch) == (listed.group, listed.epoch)
 
 
-def _number_join(join: Assignment, report: BoxReport) -> Assignment:
+def _bind_join(join: Assignment, report: BoxReport) -> Assignment:
     order = msgspec.structs.replace(
         join.order, orders_begun=report.orders_begun
     )
--- a/waywell/version/life_tracker.py
+++ b/waywell/version/life_tracker.py
@@ -1,14 +1,14 @@
-"""Which boxes have started again, and what their former lives leave behind.
+"""Detection of restarted boxes and of the groups of their former lives.
 
-Answers boxes that crash and return under their id within a second, alone or
-many at once.  A box that starts again holds and knows nothing of before, but
-the head of its former group does not notice: it takes requests until it
-breaks by itself.  So what is believed of a box is kept by its life, and a new
-life ends all of it here; the box itself waits until its former group serves
-nowhere.
+Boxes may crash and return under the same id within a second, alone or many at
+once. A restarted box holds no weights and no state, but the head of its former
+group does not notice: it takes requests until it breaks by itself. State about
+a box is therefore stored by its life, and a new life ends all of it here; the
+box itself waits until its former group serves nowhere.
 
-Which of two lives is the later one is told by the order in which the list
-showed them, never by comparing clocks.  Lists are only replaced by later ones.
+Which of two lives is the later one follows from the order in which the box
+lists showed them, never from a comparison of clocks. A list is only replaced
+by a later one.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
     from waywell.version.fleet import Fleet, FleetChange
 
 DEFAULT_STALL_SECONDS = 6.0
-"""Seconds for which a head goes on without one of its members, where the
-deployment does not tell."""
+"""How long a head continues without one of its members, if the deployment does
+not state it."""
 
 STALL_MARGIN = 1.0
-"""Seconds by which the list may show a new life later than it began, and a
-head may break later than it should."""
+"""Seconds by which the box list may show a new life after its beginning, or a
+head may break after it should."""
 
 ENDED_LIFE_SECONDS = 60.0
-"""Seconds for which an incarnation that has ended is remembered: no entry of
-it is shown later, also by a store that came back from an older copy."""
+"""How long an ended incarnation is remembered: no entry of it is listed later
+than that, even by a store restored from an older copy."""
 
 GONE_BOX_SECONDS = 15.0
-"""For which a box that is off the list is remembered: it may return, and no
+"""How long a box that is off the list is remembered: it may return, and no
 order to it is carried out later than that."""
 
 
 @attrs.frozen
 class FormerStanding:
-    """Where a box stood in its former life."""
+    """Place of a box in a group during its former life."""
 
     standing: Standing
-    """Its place in a group."""
+    """Group, epoch, rank and state of the former life."""
 
     ended_at: float
-    """When the list first showed the new life, in seconds."""
+    """When the box list first showed the new life, in seconds."""
 
 
 @attrs.frozen
@@ -56,10 +56,10 @@
     """A life of a box that is over."""
 
     life: BoxLife
-    """The box and its former incarnation."""
+    """Box and its former incarnation."""
 
     standing: Standing | None
-    """Where it stood."""
+    """Place of the former life in a group, if any."""
 
 
 @attrs.frozen
@@ -71,17 +71,17 @@
 
 
 class LifeTracker:
-    """Remembers where boxes stood, until their lives and groups have ended.
+    """Tracks places of boxes until their lives and groups have ended.
 
     Parameters
     ----------
     stall
-        Seconds for which a head goes on that has lost a member.
+        How long a head that has lost a member continues, in seconds.
     """
 
     def __init__(self, stall: float = DEFAULT_STALL_SECONDS) -> None:
-        """Know no box yet."""
-        self._bound_seconds = stall + STALL_MARGIN
+        """Start without any known box."""
+        self._stall_bound_seconds = stall + STALL_MARGIN
         self._listed: dict[BoxId, FleetBox] = {}
         self._gone: dict[BoxId, _Gone] = {}
         self._former: dict[BoxLife, FormerStanding] = {}
@@ -95,16 +95,16 @@
         change: FleetChange,
         now: float,
     ) -> tuple[EndedLife, ...]:
-        """Take in a later list; return the lives that it shows to be over.
+        """Apply a later box list; return the lives that it shows to be over.
 
         Parameters
         ----------
         fleet
-            The list.
+            The new box list.
         change
-            What differs from the list before.
+            Differences from the previous list.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
         if self._first_list_at is None and fleet.boxes:
             self._first_list_at = now
@@ -121,7 +121,7 @@
         return tuple(ended)
 
     def find_former_standing(self, box: FleetBox) -> Standing | None:
-        """Return where a box stood in its former life, if that may matter."""
+        """Return the place of a box's former life while it may matter."""
         former = self._former.get(box.life)
         return former.standing if former else None
 
@@ -130,20 +130,21 @@
         return life in self._ended_lives
 
     def has_group_ended(self, group: GroupId) -> bool:
-        """Answer whether the head of a group has left it, or started anew."""
+        """Return whether the head of a group has left it or restarted."""
         return group in self._ended_groups
 
     def may_have_missed_restart(self, now: float) -> bool:
-        """Answer whether a restart may have passed that this node did not see.
+        """Return whether a restart may have happened unseen by this node.
 
-        What was lost before the first list has broken after that time.
+        After the stall time, any group that lost a member before the node's
+        first list has broken.
         """
         if self._first_list_at is None:
             return True
-        return now - self._first_list_at < self._bound_seconds
+        return now - self._first_list_at < self._stall_bound_seconds
 
     def _find_known(self, name: BoxId) -> FleetBox | None:
-        """Return a box as it was last listed, if that is not long ago."""
+        """Return a box as it was last listed, if that is recent."""
         gone = self._gone.get(name)
         return gone.box if gone else self._listed.get(name)
 
@@ -153,16 +154,17 @@
         box: FleetBox,
         now: float,
     ) -> list[EndedLife]:
-        """Note what a newer entry tells; return the life that is over."""
+        """Apply a newer entry of a box; return the life that is over."""
         standing = known.standing
         is_same = known.life == box.life
         own = box.standing
         if own is not None and own.rank == 0:
-            # A list that went back may have shown it elsewhere; members of its
-            # group were joined to others while it served.
+            # An outdated list may have shown the head outside this group.  If
+            # the group stayed marked as ended, its members would be joined
+            # to other groups while it serves.
             self._ended_groups.pop(own.group, None)
         if standing is not None and standing.rank == 0:
-            if not is_same or not _stands_in(box, standing):
+            if not is_same or not _is_member_of(box, standing):
                 self._ended_groups[standing.group] = now
         if is_same:
             return []
@@ -180,15 +182,15 @@
             if now - ended_at > ENDED_LIFE_SECONDS:
                 self._ended_lives.pop(life)
         for life, former in tuple(self._former.items()):
-            if now - former.ended_at > self._bound_seconds:
+            if now - former.ended_at > self._stall_bound_seconds:
                 self._former.pop(life)
         for group, ended_at in tuple(self._ended_groups.items()):
             if now - ended_at > GONE_BOX_SECONDS and group not in fleet.groups:
                 self._ended_groups.pop(group)
 
 
-def _stands_in(box: FleetBox, standing: Standing) -> bool:
-    """Answer whether a box stands in the same group as before."""
+def _is_member_of(box: FleetBox, standing: Standing) -> bool:
+    """Return whether a box is still in the same group."""
     own = box.standing
     if own is None:
         return False
--- a/waywell/version/load_failures.py
+++ b/waywell/version/load_failures.py
@@ -1,9 +1,9 @@
-"""Which models crash the boxes that load them, and when they may be loaded.
+"""Detection of models whose loads crash boxes, and back-off of such loads.
 
-One box that ends while it loads tells nothing of the weights.  Two in a row,
-in different domains or at different moments and with no load between them
-that succeeded, may: the model is then loaded by one box or group at a time,
-after a back-off that doubles with each crash and ends with a success.
+A single box that ends while it loads says nothing about the weights. Two in a
+row may: in different domains or at different moments, with no successful load
+between them. The model is then loaded by one box or group at a time, after a
+back-off that doubles with each crash and ends with a success.
 """
 
 from __future__ import annotations
@@ -23,48 +23,48 @@
     from waywell.version.fleet import Fleet, FleetBox
 
 CRASH_LIMIT = 2
-"""Crashes in a row from which on a model's loads are limited."""
+"""Consecutive crashes from which on a model's loads are limited."""
 
 DOMAIN_LOSS_SECONDS = 1.0
-"""Seconds within which the ends of boxes of one domain count as one: a domain
-that is lost ends all of its boxes, whatever they load."""
+"""Time within which crashes of boxes of one domain count as one: the loss of a
+domain ends all of its boxes, whatever they load."""
 
 FIRST_BACKOFF = 5.0
 """Seconds without a load after the crash that reaches the limit."""
 
 MAX_BACKOFF = 600.0
-"""Seconds without a load after the latest crash, at the most."""
+"""Longest time without a load after the latest crash, in seconds."""
 
 MIN_LOAD_TIMEOUT = 60.0
-"""Seconds after which a load that shows no outcome is forgotten, at the
-least: the deployment may not tell how long loads take."""
+"""Shortest time after which a load without an outcome is forgotten, in
+seconds: the deployment may not state how long loads take."""
 
 
 class LoadKind(enum.Enum):
-    """How a box is made to load a model."""
+    """Way in which a box loads a model."""
 
     STAGE = 'stage'
-    """Into its host's memory, beside all else."""
+    """Into its host's memory, beside its other work."""
 
     JOIN = 'join'
-    """To serve it, as a member of a group."""
+    """To serve it as a member of a group."""
 
 
 @attrs.frozen
 class LoadAttempt:
-    """A load that was ordered and shows no outcome yet."""
+    """A load that was ordered and has no known outcome yet."""
 
     model: ModelName
-    """The model."""
+    """Model whose weights are loaded."""
 
     kind: LoadKind
-    """How it is loaded."""
+    """Way in which it is loaded."""
 
     domain: DomainName
     """Fabric domain of the box."""
 
     begun_at: float
-    """When it was ordered, in seconds."""
+    """When the load was ordered, in seconds."""
 
 
 @attrs.frozen
@@ -72,13 +72,13 @@
     """A back-off that has begun, for logs."""
 
     model: ModelName
-    """The model."""
+    """Model whose loads back off."""
 
     kind: LoadKind
-    """How it is loaded."""
+    """Way in which the crashed load was made."""
 
     crashes: int
-    """Crashes in a row."""
+    """Consecutive crashes so far."""
 
     seconds: float
     """Length of the back-off, in seconds."""
@@ -86,31 +86,31 @@
 
 @attrs.define
 class _CrashCount:
-    """Crashes of the loads of one model, since the last that succeeded."""
+    """Crashes of the loads of one model since the last success."""
 
     crashes: int = 0
     last_at: float = -math.inf
     last_domain: DomainName | None = None
-    waits_until: float = -math.inf
+    backoff_until: float = -math.inf
 
     def is_limited(self) -> bool:
         return self.crashes >= CRASH_LIMIT
 
-    def is_same_loss(self, domain: DomainName, now: float) -> bool:
-        is_near = now - self.last_at < DOMAIN_LOSS_SECONDS
-        return is_near and domain == self.last_domain
+    def is_same_domain_loss(self, domain: DomainName, now: float) -> bool:
+        is_recent = now - self.last_at < DOMAIN_LOSS_SECONDS
+        return is_recent and domain == self.last_domain
 
 
 @attrs.define
 class LoadFailures:
-    """Counts the loads that ended boxes, by model."""
+    """Counts the loads during which boxes ended, by model."""
 
     _attempts: dict[BoxLife, LoadAttempt] = attrs.Factory(dict)
     _counts: dict[tuple[ModelName, LoadKind], _CrashCount] = attrs.Factory(
         dict
     )
     _now: float = -math.inf
-    _begun: list[LoadBackoff] = attrs.Factory(list)
+    _new_backoffs: list[LoadBackoff] = attrs.Factory(list)
 
     def record_start(
         self,
@@ -119,15 +119,15 @@
         kind: LoadKind,
         now: float,
     ) -> None:
-        """Remember that a box was ordered to load a model."""
+        """Record that a box was ordered to load a model."""
         self._attempts[box.life] = LoadAttempt(model, kind, box.domain, now)
 
     def forget(self, life: BoxLife) -> None:
-        """Forget a load that was not begun, or was called off."""
+        """Forget a load that was not begun or was cancelled."""
         self._attempts.pop(life, None)
 
     def forget_attempts(self) -> None:
-        """Forget all loads under way: their ends may have been missed."""
+        """Forget all pending loads, whose outcomes may have been missed."""
         self._attempts.clear()
 
     def update(
@@ -137,18 +137,18 @@
         longest: float,
         now: float,
     ) -> None:
-        """Apply a box list: count loads that ended their boxes.
+        """Apply a box list: count the loads that ended their boxes.
 
         Parameters
         ----------
         fleet
-            The boxes that give signs of life.
+            Boxes that are not known to be lost.
         silent
-            Boxes that are listed and gave no sign of life when asked.
+            Boxes that are listed but did not answer when asked.
         longest
-            Seconds that a load may take.
+            Longest time that a load may take, in seconds.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
         self._now = now
         earliest = now - max(MIN_LOAD_TIMEOUT, longest)
@@ -157,7 +157,7 @@
             if attempt.begun_at < earliest:
                 self._attempts.pop(life)
             elif box is not None:
-                self._compare(box, attempt)
+                self._resolve(box, attempt)
             elif life not in silent:
                 self._attempts.pop(life)
                 self._count_crash(attempt, now)
@@ -166,18 +166,18 @@
         """Return whether a box or group may begin to load a model now."""
         if not self.is_limited(model):
             return True
-        waits_until = max(
-            count.waits_until
+        backoff_until = max(
+            count.backoff_until
             for (name, _kind), count in self._counts.items()
             if name == model
         )
         is_loading = any(
             attempt.model == model for attempt in self._attempts.values()
         )
-        return self._now >= waits_until and not is_loading
+        return self._now >= backoff_until and not is_loading
 
     def is_limited(self, model: ModelName) -> bool:
-        """Return whether loads of a model have crashed too often in a row."""
+        """Return whether too many loads of a model in a row have crashed."""
         return any(
             count.is_limited()
             for (name, _kind), count in self._counts.items()
@@ -185,7 +185,7 @@
         )
 
     def list_limited(self) -> dict[ModelName, int]:
-        """Return the models whose loads are limited, with their crashes."""
+        """Return the models whose loads are limited, with crash counts."""
         crashes: dict[ModelName, int] = {}
         for (name, _kind), count in self._counts.items():
             if count.is_limited():
@@ -194,12 +194,12 @@
 
     def pop_backoffs(self) -> list[LoadBackoff]:
         """Return the back-offs that have begun since the last call."""
-        begun = self._begun
-        self._begun = []
-        return begun
+        backoffs = self._new_backoffs
+        self._new_backoffs = []
+        return backoffs
 
-    def _compare(self, box: FleetBox, attempt: LoadAttempt) -> None:
-        """Forget a load that succeeded, or whose box is to go."""
+    def _resolve(self, box: FleetBox, attempt: LoadAttempt) -> None:
+        """Forget a load that succeeded, or whose box is leaving."""
         has_succeeded = _has_succeeded(box, attempt)
         if has_succeeded:
             self._counts.pop((attempt.model, attempt.kind), None)
@@ -210,18 +210,18 @@
         count = self._counts.setdefault(
             (attempt.model, attempt.kind), _CrashCount()
         )
-        is_same = count.is_same_loss(attempt.domain, now)
+        is_already_counted = count.is_same_domain_loss(attempt.domain, now)
         count.last_at = now
         count.last_domain = attempt.domain
-        if is_same:
+        if is_already_counted:
             return
         count.crashes += 1
         if not count.is_limited():
             return
         doublings = count.crashes - CRASH_LIMIT
         seconds = min(MAX_BACKOFF, math.ldexp(FIRST_BACKOFF, doublings))
-        count.waits_until = now + seconds
-        self._begun.append(
+        count.backoff_until = now + seconds
+        self._new_backoffs.append(
             LoadBackoff(attempt.model, attempt.kind, count.crashes, seconds)
         )
 
@@ -237,23 +237,23 @@
 
 
 class LoadHistory:
-    """Keeps what loads of each service showed, for all terms of a holder."""
+    """Keeps the load failures of each service across a holder's terms."""
 
     def __init__(self) -> None:
-        """Know no service yet."""
+        """Start without any service."""
         self._failures: dict[ServiceName, LoadFailures] = {}
 
     def get(self, service: ServiceName) -> LoadFailures:
-        """Return what the loads of a service showed."""
+        """Return the load failures of a service."""
         return self._failures.setdefault(service, LoadFailures())
 
     def forget_attempts(self) -> None:
-        """Forget all loads under way."""
+        """Forget all pending loads."""
         for failures in self._failures.values():
             failures.forget_attempts()
 
     def count_crashes(self) -> dict[str, float]:
-        """Return the models whose loads are limited, with their crashes."""
+        """Return the crash counts of limited models, by ``service/model``."""
         return {
             f'{service}/{model}': float(crashes)
             for service, failures in self._failures.items()
--- a/waywell/version/model_need.py
+++ b/waywell/version/model_need.py
@@ -1,4 +1,4 @@
-"""How much work each model has for the places of its groups."""
+"""Demand for each model compared with the places of its groups."""
 
 from __future__ import annotations
 
@@ -16,84 +16,83 @@
     from waywell.version.routes import EngineModel
 
 NO_WAIT_LOAD = 0.3
-"""Part of a model's places taken up to which its requests hardly wait for each
-other."""
+"""Utilisation of a model's places up to which its requests hardly wait for
+each other."""
 
 BALANCED_RATIO = 1.25
-"""How much more of one model's places may be taken than of another's before
-groups are closed in domains without an idle box: less than one group moves in
-a model of four."""
+"""Ratio between the utilisations of two models above which groups are closed
+in domains without an idle box; below it, a model of four groups would gain or
+lose less than one."""
 
 LIGHT_LOAD_COST = 0.01
-"""Cost of a taken place below that, so that idle boxes are put to use where
-it costs nothing."""
+"""Cost of an occupied place at low utilisation, so that idle boxes are used
+where that costs nothing."""
 
 MIN_GROUPS = 0.05
-"""Groups that a model without any is reckoned to have: its requests are
-refused, which is worse than any wait."""
+"""Number of groups assumed for a model without any: its requests are refused,
+which is worse than any wait."""
 
 MIN_WORK = 1.0
-"""Places reckoned for a model that nobody asks for just now."""
+"""Places assumed for a model without current demand."""
 
 MIN_MEASURED_DEMAND = 5.0
-"""Places taken by callers from which on the models' demand is measured and
-not guessed from the operators' shares of the boxes."""
+"""Places occupied by callers from which on the models' demand is measured
+instead of derived from the operators' shares of the boxes."""
 
 
 @attrs.frozen
 class ModelNeed:
-    """What callers ask of the models, and the groups that stand for it."""
+    """Demand for the models and the groups that meet it."""
 
     engine: Engine
-    """Engines of the service."""
+    """Engine of the service, with its models."""
 
     demand: Mapping[ModelName, float]
-    """Work that callers ask of each model, in places."""
+    """Measured demand for each model, in places."""
 
     boxes: int
-    """Boxes of the service."""
+    """Number of boxes of the service."""
 
     groups: Counter[ModelName] = attrs.Factory(Counter)
-    """Groups of each model that serve or will."""
+    """Groups of each model that serve or are going to."""
 
     serving: Counter[ModelName] = attrs.Factory(Counter)
     """Groups of each model that serve now."""
 
     def has_measured_demand(self) -> bool:
-        """Answer whether enough requests came to go by them."""
+        """Return whether there are enough requests to measure demand."""
         return sum(self.demand.values()) >= MIN_MEASURED_DEMAND
 
     def rank_models(self) -> list[EngineModel]:
-        """Return the models, that with the most work a place first."""
+        """Return the models, the one with the most work per place first."""
         return sorted(self.engine.models, key=self._rank)
 
     def get_utilisation(self, model: EngineModel) -> float:
-        """Return the part of a model's places that is taken."""
+        """Return the occupied share of a model's places."""
         groups = self.groups[model.name]
         if groups <= 0:
             return math.inf
         return self._get_work(model) / (groups * self.engine.places)
 
     def is_unbalanced(self) -> bool:
-        """Answer whether one model is short while another has more room.
+        """Return whether one model is short while another has room.
 
-        Where no box is idle, a change only takes places from one model for
+        Where no box is idle, a change only moves places from one model to
         another, which pays in no other case.
         """
         loads = [self.get_utilisation(model) for model in self.engine.models]
         return max(loads) > max(NO_WAIT_LOAD, BALANCED_RATIO * min(loads))
 
     def get_cost(self, change: Mapping[ModelName, int]) -> float:
-        """Return what callers lose a second by waiting, in places.
+        """Return the callers' loss per second from waiting, in places.
 
-        It rises with the square of the part of the places that is taken, as
-        requests wait for each other ever more, and with the requests that
-        wait.
+        It rises with the square of the utilisation, as requests wait for each
+        other ever longer, and with the number of requests that wait.
 
         Parameters
         ----------
         change
-            Groups that each model has more, or less.
+            Groups that each model gains, or loses if negative.
         """
         return sum(
             self._get_model_cost(
@@ -103,15 +102,15 @@
         )
 
     def get_closing_cost(self, closed: Mapping[ModelName, int]) -> float:
-        """Return what callers lose a second while some groups don't serve.
+        """Return the callers' loss per second while groups don't serve.
 
-        Only groups that serve now count for it: those that form may be
-        seconds away, or lose a box before.
+        Only groups that serve now are counted: those that are forming may be
+        seconds away, or lose a box first.
 
         Parameters
         ----------
         closed
-            Groups that each model has less.
+            Number of groups of each model that are closed.
         """
         return sum(
             self._get_model_cost(model, self.serving[model.name] - count)
@@ -121,13 +120,13 @@
         )
 
     def get_gain(self, model: EngineModel) -> float:
-        """Return what callers gain by one more group, in places a second."""
+        """Return the callers' gain from one more group, in places a second."""
         groups = self.groups[model.name]
         before = self._get_model_cost(model, groups)
         return before - self._get_model_cost(model, groups + 1)
 
     def _get_model_cost(self, model: EngineModel, groups: int) -> float:
-        """Return what callers of a model lose a second with some groups."""
+        """Return the loss per second of a model's callers for some groups."""
         work = max(MIN_WORK, self._get_work(model))
         load = work / (max(MIN_GROUPS, groups) * self.engine.places)
         return work * (
@@ -135,7 +134,7 @@
         )
 
     def _get_work(self, model: EngineModel) -> float:
-        """Return the places that callers take; a guess before they come."""
+        """Return the places that callers occupy, or the expected number."""
         if self.has_measured_demand():
             return self.demand.get(model.name, 0.0)
         boxes = model.share * self.boxes
--- a/waywell/version/orders.py
+++ b/waywell/version/orders.py
@@ -12,124 +12,129 @@
 
 
 class Join(msgspec.Struct, frozen=True):
-    """Become a member of a group; replaces an older membership."""
+    """Become a member of a group; replaces any earlier membership."""
 
     group: GroupId
-    """The group."""
+    """Group to join."""
 
     epoch: Epoch
-    """Its epoch; a box refuses one below the highest that it has seen."""
+    """Epoch of the group; a box refuses one below the highest that it has
+    seen."""
 
     model: ModelName
     """Model to load."""
 
     members: tuple[BoxId, ...]
-    """All members; the first takes the requests."""
+    """All members; the first one is the head, which takes the requests."""
 
     orders_begun: int | None = None
-    """Number of the box's state for which it was planned; the box refuses it
-    in any later one.  ``None`` until the box has told that number."""
+    """Number of the box's state for which the join was planned; the box
+    refuses the join in any later state. ``None`` until the box has reported
+    that number."""
 
 
 class Open(msgspec.Struct, frozen=True):
-    """Begin to serve; to the head of a group that is ready."""
+    """Begin to serve; sent to the head of a group that is ready."""
 
     group: GroupId
-    """The group."""
+    """Group to open."""
 
     epoch: Epoch
-    """Its epoch."""
+    """Epoch of the group."""
 
 
 class Close(msgspec.Struct, frozen=True):
-    """Take nothing new and finish what runs; to a head."""
+    """Accept no new requests and finish running ones; sent to a head."""
 
     group: GroupId
-    """The group."""
+    """Group to close."""
 
     epoch: Epoch
-    """Its epoch."""
+    """Epoch of the group."""
 
 
 class Leave(msgspec.Struct, frozen=True):
-    """Leave a group at once, whatever runs."""
+    """Leave a group at once, whatever is running."""
 
     group: GroupId
-    """The group."""
+    """Group to leave."""
 
     epoch: Epoch
-    """Its epoch."""
+    """Epoch of the group."""
 
 
 class Stage(msgspec.Struct, frozen=True):
-    """Load a model's weights into the box's own memory."""
+    """Load a model's weights into the memory of the box's host."""
 
     model: ModelName
-    """The model."""
+    """Model whose weights are loaded."""
 
 
 BoxOrder = Union[Join, Open, Close, Leave, Stage]  # noqa: UP007 - read by msgspec
-"""All orders."""
+"""Any order that can be sent to a box."""
 
 
 class OrderResult(enum.Enum):
-    """What came of an order."""
+    """Outcome of sending an order."""
 
     ACCEPTED = 'taken'
-    """It has begun, is done, or held already."""
+    """The order has begun, is complete, or was in effect already."""
 
     CONFLICT = 'misfit'
-    """It does not fit the box's state, or the box took another one before."""
+    """The order doesn't fit the box's state, or the box accepted another one
+    first."""
 
     OUTDATED = 'outdated'
     """The box has seen a higher epoch."""
 
     GONE = 'gone'
-    """No such box is there any more: another one answers at its address."""
+    """The box no longer exists: another one answers at its address."""
 
     ENDED = 'ended'
-    """Not sent: the life of the box for which it was planned is over."""
+    """Not sent: the life of the box for which the order was planned is
+    over."""
 
     UNKNOWN = 'unknown'
-    """No answer: it may have been taken, or may still be, seconds later."""
+    """No answer: the order may have been accepted, or may still be, seconds
+    later."""
 
 
 class OrderReason(enum.Enum):
-    """Why an order is given, for logs."""
+    """Reason for an order, for logs."""
 
     NEEDED = 'needed'
     """A model has more work for its places than others."""
 
     READY = 'ready'
-    """Every member has told that it is ready."""
+    """Every member has reported that it is ready."""
 
     UNWANTED = 'unwanted'
-    """A member leaves, or nobody asks for the model any more."""
+    """A member is leaving, or the model is not requested any more."""
 
     MEMBER_LOST = 'member_lost'
     """A member is lost, or the group can't be opened safely."""
 
     SLOW_BOX = 'slow_box'
-    """A member is slow, and fast boxes make up a whole group."""
+    """A member is slow, and fast boxes can form a whole group."""
 
     OTHER_MODEL_SHORT = 'other_is_short'
     """Another model is short of places."""
 
     NO_EFFECT = 'not_heard'
-    """The order was given before and shows no effect."""
+    """The same order was sent before and shows no effect."""
 
     SPARE = 'spare'
-    """The box is to hold weights that it may need."""
+    """The box stores weights that it may need later."""
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """An order and the box that it is for."""
+    """An order together with the box that is to receive it."""
 
     box: FleetBox
     """The box, as it was when the order was planned."""
 
     order: BoxOrder
-    """The order."""
+    """Order to send."""
 
     reason: OrderReason = OrderReason.NEEDED
-    """Why it is given."""
+    """Reason for the order, for logs."""
--- a/waywell/version/regroup_planner.py
+++ b/waywell/version/regroup_planner.py
@@ -1,8 +1,8 @@
-"""Changes of groups that are begun in one plan and finished in later ones.
+"""Planning of group changes that begin in one plan and finish in later ones.
 
-A group whose boxes are still in others is decided on first: those are closed,
-its idle boxes are kept, and it is formed when the last box is free.  So the
-next plan does not form again what this one took apart.
+A group whose boxes still belong to others is recorded as intended: the other
+groups are closed, its idle boxes are reserved, and it is formed once the last
+box is free. The next plan therefore does not form again what this one closed.
 """
 
 from __future__ import annotations
@@ -27,39 +27,39 @@
     from waywell.version.domain_changes import NewGroup
 
 INTENDED_GROUP_SECONDS = 8.0
-"""For which boxes are kept for a group whose members are to leave others: the
-longest streams end within it."""
+"""How long boxes are reserved for a group whose other members have yet to
+leave their groups; the longest streams end within it."""
 
 DEMAND_WARMUP_SECONDS = 3.0
-"""From a holder's first look at callers until it closes groups by what they
-ask: after a stop of all nodes the first requests tell little."""
+"""Time from a holder's first measured demand until it closes groups because of
+it: after a stop of all nodes the first requests say little."""
 
 SEARCH_INTERVAL_SECONDS = 0.6
-"""Between two searches while no box and no group has changed: the mean of the
-requests moves little within it."""
+"""Time between two searches while no box and no group has changed; the mean of
+the requests changes little within it."""
 
 MAX_CHANGES_PER_PLAN = 4
-"""Changes of groups that one plan begins; the next one follows at once."""
+"""Group changes that one plan begins; the next plan follows at once."""
 
 
 @attrs.frozen
 class RegroupPlanner:
-    """Plans the changes of groups for one service."""
+    """Plans the group changes of one service."""
 
     need: ModelNeed
-    """What callers ask of the models."""
+    """Demand for the models and the groups that meet it."""
 
     memory: FormingMemory
-    """What the holder remembers; changed by the plan."""
+    """State of the duty's holder; updated by the plan."""
 
     changes: GroupChanges
-    """Gives the orders."""
+    """Sends the orders that form and close groups."""
 
     fleet: Fleet
-    """The boxes of the service that give signs of life."""
+    """Boxes of the service that are not known to be lost."""
 
     now: float
-    """The present time, in seconds."""
+    """Current time, in seconds."""
 
     def plan(
         self,
@@ -67,15 +67,16 @@
         serving: list[FleetGroup],
         closing: list[FleetGroup],
     ) -> None:
-        """Go on with what was begun, and make the changes that gain most.
+        """Continue pending changes and begin those with the greatest gain.
 
-        One a domain; each is weighed again by what was begun before it.
+        At most one change begins in each domain; each is weighed again after
+        those that began before it.
 
         Parameters
         ----------
         free
             Boxes that may join a group, by fabric domain; those that are
-            taken or kept for a group are removed.
+            used or reserved for a group are removed.
         serving
             Groups that serve.
         closing
@@ -92,7 +93,7 @@
                 return
             change: Regrouping | None = ranked
             if begun:
-                # What was begun before may have met the need.
+                # An earlier change of this plan may have met the demand.
                 search = self._make_search(serving, closing)
                 change = search.find_in(ranked.domain, free)
             if change is not None and self._may_form(change):
@@ -105,15 +106,15 @@
         free: Pools,
         serving: list[FleetGroup],
     ) -> bool:
-        """Answer whether boxes have changed, or work may have, since."""
+        """Return whether boxes have changed, or demand may have."""
         idle = frozenset(box.life for boxes in free.values() for box in boxes)
-        serves = frozenset(group.group for group in serving)
-        mark = SearchSnapshot(self.now, idle, serves)
+        serving_groups = frozenset(group.group for group in serving)
+        snapshot = SearchSnapshot(self.now, idle, serving_groups)
         last = self.memory.last_search
         if last is not None and self.now - last.at < SEARCH_INTERVAL_SECONDS:
-            if (last.idle, last.serving) == (idle, serves):
+            if (last.idle, last.serving) == (idle, serving_groups):
                 return False
-        self.memory.last_search = mark
+        self.memory.last_search = snapshot
         return True
 
     def _make_search(
@@ -121,31 +122,39 @@
         serving: list[FleetGroup],
         closing: list[FleetGroup],
     ) -> RegroupSearch:
-        """Return a search by what the plan has begun so far."""
+        """Return a search that accounts for what the plan has begun."""
         abandoned = self.memory.abandoned
-        rest = [one for one in serving if one.group not in abandoned]
+        remaining = [
+            group for group in serving if group.group not in abandoned
+        ]
         need = self._limit_models()
         names = {model.name for model in need.engine.models}
         return RegroupSearch(
             need,
             self.memory,
-            tuple(one for one in rest if parse_group(one.group) in names),
-            tuple(one for one in closing if parse_group(one.group) in names),
-            may_close=self._knows_demand(),
+            tuple(
+                group
+                for group in remaining
+                if parse_group(group.group) in names
+            ),
+            tuple(
+                group for group in closing if parse_group(group.group) in names
+            ),
+            may_close=self._has_watched_demand(),
         )
 
     def _may_form(self, change: Regrouping) -> bool:
-        """Return whether each new group's model may be loaded now."""
+        """Return whether the models of all new groups may be loaded now."""
         failures = self.memory.load_failures
         return all(
             failures.may_load(formed.model.name) for formed in change.formed
         )
 
     def _limit_models(self) -> ModelNeed:
-        """Return the need of the models that may be loaded now.
+        """Return the demand restricted to the models that may be loaded now.
 
-        Groups of the others are left alone: they may serve, and can't be
-        formed again.
+        Groups of the other models are left alone: they may serve, and could
+        not be formed again.
         """
         failures = self.memory.load_failures
         models = tuple(
@@ -157,15 +166,15 @@
         return attrs.evolve(self.need, engine=engine)
 
     def _form_intended(self, free: Pools) -> None:
-        """Form the groups for which others were closed, as far as they can."""
+        """Form the intended groups whose members are all free."""
         known = {box.life: box for boxes in free.values() for box in boxes}
         waiting: list[IntendedGroup] = []
         for intended in self.memory.intended:
             if not self._is_possible(intended):
                 continue
-            boxes = [known[one] for one in intended.members if one in known]
-            for kept in boxes:
-                free[kept.domain].remove(kept)
+            boxes = [known[life] for life in intended.members if life in known]
+            for reserved in boxes:
+                free[reserved.domain].remove(reserved)
             if len(boxes) == len(intended.members):
                 self.changes.join(intended.model, boxes)
             else:
@@ -174,7 +183,7 @@
         self.memory.intended = waiting
 
     def _is_possible(self, intended: IntendedGroup) -> bool:
-        """Answer whether an intended group can still be formed soon."""
+        """Return whether an intended group can still be formed soon."""
         if self.now - intended.since > INTENDED_GROUP_SECONDS:
             return False
         if not self.memory.load_failures.may_load(intended.model.name):
@@ -183,7 +192,7 @@
         return all(box is not None and not box.leaving for box in boxes)
 
     def _begin(self, change: Regrouping, free: Pools) -> None:
-        """Close the groups of a change, and form those that can be."""
+        """Close the groups of a change and form those that can be formed."""
         for closed in change.closed:
             self.changes.close(closed, OrderReason.OTHER_MODEL_SHORT)
             self.need.groups[parse_group(closed.group)] -= 1
@@ -192,10 +201,10 @@
             self._begin_group(formed, free)
 
     def _begin_group(self, formed: NewGroup, free: Pools) -> None:
-        """Form a group at once, or keep its idle boxes for it."""
+        """Form a group at once, or reserve its idle boxes."""
         idle = [box for box in formed.boxes if box in free[box.domain]]
-        for kept in idle:
-            free[kept.domain].remove(kept)
+        for reserved in idle:
+            free[reserved.domain].remove(reserved)
         if len(idle) == len(formed.boxes):
             self.changes.join(formed.model, idle)
             return
@@ -204,7 +213,7 @@
         self.memory.intended.append(intended)
         self.need.groups[formed.model.name] += 1
 
-    def _knows_demand(self) -> bool:
-        """Answer whether callers were looked at for long enough."""
+    def _has_watched_demand(self) -> bool:
+        """Return whether demand has been measured for long enough."""
         since = self.memory.planned_since
         return since is not None and self.now - since >= DEMAND_WARMUP_SECONDS
--- a/waywell/version/regrouping.py
+++ b/waywell/version/regrouping.py
@@ -1,11 +1,10 @@
-"""Which groups of a fabric domain are closed and formed, weighed as a whole.
-
-A single step looks poor where the whole pays: to close one group for the box
-that three idle ones lack costs places at first.  So each domain is searched
-for the change of groups, closings and all, that gains most over the time in
-which it is likely to last.  Where a box is lost each three seconds, 6 to 10 of
-45 boxes then stand in no group, in place of 12 to 17 (counted from the logs of
-one such day each).
+"""Search for the group changes of a fabric domain, weighed as a whole.
+
+A single step can look poor where the whole change pays: closing one group for
+the box that three idle ones lack costs places at first. Each domain is
+therefore searched for the change, closings included, with the greatest gain
+over the time that it is likely to last. Where a box is lost every three
+seconds, this leaves 6 to 10 of 45 boxes without a group instead of 12 to 17.
 """
 
 from __future__ import annotations
@@ -37,30 +36,30 @@
 
 
 CLOSING_SECONDS = 1.5
-"""From the order to close a group until its boxes can join another: its
+"""Time from the order to close a group until its boxes can join another: its
 streams end, and the box list shows it."""
 
 MIN_HORIZON_SECONDS = 10.0
-"""Seconds over which a change is weighed at the least, where loads are short
-or unsaid."""
+"""Shortest time over which a change is weighed, for models whose load time is
+short or unknown."""
 
 CONVERSION_COST = 0.15
-"""Cost a second of a box that leaves the model it served last, as a part of
-one place: it holds one model only until it has loaded the other again."""
+"""Cost per second, as a share of one place, of a box that leaves the model it
+served last: until it has loaded that model again it holds only one."""
 
 MIN_LOAD_FOR_SLOW_BOXES = 0.6
-"""Part of a model's places taken from which on slow boxes are put to use."""
+"""Utilisation of a model's places above which slow boxes are used."""
 
 
 @attrs.frozen
 class Regrouping:
-    """A change of the groups of one domain, with what it gains."""
+    """A change of the groups of one domain, with its gain."""
 
     candidate: CandidateChange
-    """The change."""
+    """The change itself."""
 
     gain: float
-    """What callers gain by it, in place-seconds."""
+    """Gain for callers, in place-seconds."""
 
     @property
     def closed(self) -> tuple[FleetGroup, ...]:
@@ -69,12 +68,12 @@
 
     @property
     def formed(self) -> tuple[NewGroup, ...]:
-        """Return the groups to form of their boxes and idle ones."""
+        """Return the groups to form from their boxes and idle ones."""
         return self.candidate.formed
 
     @property
     def domain(self) -> DomainName:
-        """Return the fabric domain that it changes."""
+        """Return the fabric domain of the change."""
         head = self.formed[0].boxes[0]
         return head.domain
 
@@ -85,7 +84,7 @@
 
 
 def _make_changes(search: RegroupSearch) -> DomainChanges:
-    """Return what lists the changes that a domain allows."""
+    """Return the generator of the changes that a domain allows."""
     need = search.need
     models = need.engine.models
     return DomainChanges(
@@ -99,19 +98,19 @@
 
 
 def _get_present_cost(search: RegroupSearch) -> float:
-    """Return what callers lose a second while nothing is changed."""
+    """Return the callers' loss per second without any change."""
     return search.need.get_cost({})
 
 
 @attrs.frozen
 class RegroupSearch:
-    """Looks for the change of groups that gains most."""
+    """Searches for the group changes with the greatest gain."""
 
     need: ModelNeed
-    """What callers ask of the models."""
+    """Demand for the models and the groups that meet it."""
 
     memory: FormingMemory
-    """What the holder remembers of the boxes."""
+    """State of the duty's holder."""
 
     serving: tuple[FleetGroup, ...]
     """Groups that serve."""
@@ -120,7 +119,7 @@
     """Groups that were ordered to close."""
 
     may_close: bool = True
-    """Whether groups may be closed for others."""
+    """Whether groups may be closed in favour of others."""
 
     closable: Counter[ModelName] = attrs.field(
         init=False, default=attrs.Factory(_count_closable, takes_self=True)
@@ -130,33 +129,34 @@
     present_cost: float = attrs.field(
         init=False, default=attrs.Factory(_get_present_cost, takes_self=True)
     )
-    """What callers lose a second while nothing is changed."""
+    """Loss of callers per second without any change, in places."""
 
     changes: DomainChanges = attrs.field(
         init=False, default=attrs.Factory(_make_changes, takes_self=True)
     )
-    """Lists what each domain allows."""
+    """Lists the changes that each domain allows."""
 
     costs: dict[Counts, float] = attrs.field(init=False, factory=dict)
-    """Costs that are worked out already, by change."""
+    """Computed losses per second after a change, by net group counts."""
 
-    missed: dict[Counts, float] = attrs.field(init=False, factory=dict)
-    """Losses meanwhile that are worked out already, by groups closed."""
+    closing_costs: dict[Counts, float] = attrs.field(init=False, factory=dict)
+    """Computed losses per second until a change is complete, by closed group
+    counts."""
 
     def list_best(self, idle: Pools) -> list[Regrouping]:
-        """Return the best change of each domain, that gains most first.
+        """Return the best change of each domain, greatest gain first.
 
-        Domains where no change gains anything are left out.
+        Domains where no change has a gain are left out.
 
         Parameters
         ----------
         idle
             Boxes that may join a group, by fabric domain.
         """
-        near = divide_by_domain(self.serving)
-        names = sorted(set(idle) | set(near))
+        serving_by_domain = divide_by_domain(self.serving)
+        names = sorted(set(idle) | set(serving_by_domain))
         best = [
-            self._find_best(name, _make_domain(name, idle, near))
+            self._find_best(name, _make_domain(name, idle, serving_by_domain))
             for name in names
         ]
         for gone in self.memory.candidate_changes.keys() - set(names):
@@ -165,45 +165,48 @@
         return sorted(found, key=lambda change: -change.gain)
 
     def find_in(self, domain: DomainName, idle: Pools) -> Regrouping | None:
-        """Return the best change of one domain, if any gains something."""
-        near = divide_by_domain(self.serving)
-        return self._find_best(domain, _make_domain(domain, idle, near))
+        """Return the best change of one domain, if any has a gain."""
+        serving_by_domain = divide_by_domain(self.serving)
+        return self._find_best(
+            domain, _make_domain(domain, idle, serving_by_domain)
+        )
 
     def _find_best(
         self,
         name: DomainName,
         domain: Domain,
     ) -> Regrouping | None:
-        """Return the change of one domain that gains most, if any gains."""
+        """Return the change of one domain with the greatest gain, if any."""
         if not domain.idle and not self.need.is_unbalanced():
             return None
         best = max(
             (
-                Regrouping(one, gain)
-                for one in self._list_possible(name, domain)
-                if self._may_make(one) and (gain := self._weigh(one)) > 0
+                Regrouping(candidate, gain)
+                for candidate in self._list_candidates(name, domain)
+                if self._may_make(candidate)
+                and (gain := self._weigh(candidate)) > 0
             ),
             key=lambda change: change.gain,
             default=None,
         )
         return best
 
-    def _list_possible(
+    def _list_candidates(
         self,
         name: DomainName,
         domain: Domain,
     ) -> tuple[CandidateChange, ...]:
-        """Return the changes of a domain, those known where it is the same."""
+        """Return the changes of a domain, cached while it is unchanged."""
         known = self.memory.candidate_changes.get(name)
-        mark = self.changes.describe(domain)
-        if known is None or known.key != mark:
-            possible = tuple(self.changes.list_candidates(domain))
-            known = CachedChanges(mark, possible)
+        key = self.changes.describe(domain)
+        if known is None or known.key != key:
+            changes = tuple(self.changes.list_candidates(domain))
+            known = CachedChanges(key, changes)
             self.memory.candidate_changes[name] = known
         return known.changes
 
     def _may_make(self, change: CandidateChange) -> bool:
-        """Answer whether the groups of a change may be closed now."""
+        """Return whether the groups of a change may be closed now."""
         if not change.closed:
             return True
         return self.may_close and all(
@@ -214,30 +217,33 @@
         )
 
     def _weigh(self, change: CandidateChange) -> float:
-        """Return what a change gains, in place-seconds."""
-        won = self.present_cost - self._get_cost(change.net_counts)
-        won -= self._get_conversion_cost(change)
+        """Return the gain of a change, in place-seconds."""
+        saved = self.present_cost - self._get_cost(change.net_counts)
+        saved -= self._get_conversion_cost(change)
         closing = CLOSING_SECONDS if change.closed else 0.0
-        waited = closing + change.ready_seconds + self.need.engine.form_seconds
-        lasting = max(0.0, self._get_horizon() - waited)
-        return won * lasting - self._get_missed(change.closed_counts) * waited
+        delay = closing + change.ready_seconds + self.need.engine.form_seconds
+        duration = max(0.0, self._get_horizon() - delay)
+        return (
+            saved * duration
+            - self._get_closing_cost(change.closed_counts) * delay
+        )
 
-    def _get_cost(self, change: Counts) -> float:
-        """Return what callers lose a second after a change, in places."""
-        cost = self.costs.get(change)
+    def _get_cost(self, net_counts: Counts) -> float:
+        """Return the callers' loss per second after a change, in places."""
+        cost = self.costs.get(net_counts)
         if cost is None:
-            cost = self.need.get_cost(self._name(change))
-            self.costs[change] = cost
+            cost = self.need.get_cost(self._key_by_model(net_counts))
+            self.costs[net_counts] = cost
         return cost
 
     def _get_conversion_cost(self, change: CandidateChange) -> float:
-        """Return what it costs a second that boxes leave their models.
+        """Return the cost per second of boxes that leave their models.
 
-        A box that joins with another model gives up the weights of the one
-        that it served.  Where that one is short, this is worth as much as its
-        part in one more group: after the loss of a box, survivors of groups of
-        eight became groups of four of a model with room, and the large one
-        had 1 to 4 of its 6 groups for 10 s (one day's log).
+        A box that joins with another model gives up the weights of the one it
+        served. Where that model is short of places, the weights are worth the
+        box's share of one more group. Otherwise, after the loss of a box, the
+        survivors of groups of eight became groups of four of a model with
+        room, and the large model had 1 to 4 of its 6 groups for 10 s.
         """
         cost = CONVERSION_COST * change.other_conversions
         for model, count in zip(
@@ -248,15 +254,17 @@
                 cost += count * max(CONVERSION_COST, worth)
         return cost
 
-    def _get_missed(self, less: Counts) -> float:
-        """Return what callers lose a second until a change is made."""
-        missed = self.missed.get(less)
-        if missed is None:
-            missed = self.need.get_closing_cost(self._name(less))
-            self.missed[less] = missed
-        return missed
+    def _get_closing_cost(self, closed_counts: Counts) -> float:
+        """Return the callers' loss per second until a change is complete."""
+        cost = self.closing_costs.get(closed_counts)
+        if cost is None:
+            cost = self.need.get_closing_cost(
+                self._key_by_model(closed_counts)
+            )
+            self.closing_costs[closed_counts] = cost
+        return cost
 
-    def _name(self, counts: Counts) -> dict[ModelName, int]:
+    def _key_by_model(self, counts: Counts) -> dict[ModelName, int]:
         models = self.need.engine.models
         return {
             model.name: count
@@ -264,9 +272,9 @@
         }
 
     def _get_horizon(self) -> float:
-        """Return for how long a change is likely to last, in seconds.
+        """Return how long a change is likely to last, in seconds.
 
-        A box that is lost is made up for by a load at the latest.
+        A lost box is replaced after one load at the latest.
         """
         models = self.need.engine.models
         return max(
@@ -277,6 +285,8 @@
 def _make_domain(
     name: DomainName,
     idle: Pools,
-    near: dict[DomainName, list[FleetGroup]],
+    serving_by_domain: dict[DomainName, list[FleetGroup]],
 ) -> Domain:
-    return Domain(tuple(idle.get(name, ())), tuple(near.get(name, ())))
+    return Domain(
+        tuple(idle.get(name, ())), tuple(serving_by_domain.get(name, ()))
+    )
--- a/waywell/version/slow_groups.py
+++ b/waywell/version/slow_groups.py
@@ -1,8 +1,8 @@
-"""Which groups are dissolved because a box of theirs is slow.
+"""Choice of the groups to dissolve because one of their boxes is slow.
 
-A group runs at the pace of its slowest box.  Where the fast boxes of some slow
-groups, with idle ones, make up a whole group, these are closed, and the next
-plan joins the fast boxes with each other.
+A group runs at the pace of its slowest box. Where the fast boxes of some slow
+groups, together with idle boxes, can form a whole group, these groups are
+closed and the next plan joins the fast boxes with each other.
 """
 
 from __future__ import annotations
@@ -40,42 +40,46 @@
     Parameters
     ----------
     need
-        What callers ask of the models.
+        Demand for the models and the groups that meet it.
     memory
-        What the holder remembers of the boxes.
+        State of the duty's holder.
     idle
         Boxes in no group, by fabric domain.
     groups
-        All groups.
+        All groups of the service.
     serving
-        Those that serve.
+        Groups that serve.
     """
-    closing = [one for one in groups if one.group in memory.abandoned]
-    rest = count_closable(serving, closing)
+    closing = [group for group in groups if group.group in memory.abandoned]
+    closable = count_closable(serving, closing)
     chosen: list[FleetGroup] = []
-    for domain, near in _divide_settled(serving, closing).items():
-        found = _Regrouping(need, memory, idle.get(domain, []), near).find()
-        wanted = Counter(parse_group(one.group) for one in found)
-        if all(rest[model] >= count for model, count in wanted.items()):
-            rest.subtract(wanted)
+    for domain, domain_groups in _group_by_settled_domain(
+        serving, closing
+    ).items():
+        found = _SlowGroupSearch(
+            need, memory, idle.get(domain, []), domain_groups
+        ).find()
+        wanted = Counter(parse_group(group.group) for group in found)
+        if all(closable[model] >= count for model, count in wanted.items()):
+            closable.subtract(wanted)
             chosen.extend(found)
     return chosen
 
 
-def _divide_settled(
+def _group_by_settled_domain(
     serving: list[FleetGroup],
     closing: list[FleetGroup],
 ) -> dict[DomainName, list[FleetGroup]]:
-    """Return the groups of each fabric domain in which none is closing."""
-    busy = {one.domain for one in closing}
+    """Return the serving groups of the domains in which none is closing."""
+    closing_domains = {group.domain for group in closing}
     return divide_by_domain(
-        group for group in serving if group.domain not in busy
+        group for group in serving if group.domain not in closing_domains
     )
 
 
 @attrs.frozen
-class _Regrouping:
-    """Looks in one domain for groups whose fast boxes make up a whole one."""
+class _SlowGroupSearch:
+    """Searches one domain for groups whose fast boxes form a whole one."""
 
     need: ModelNeed
     memory: FormingMemory
@@ -83,7 +87,7 @@
     serving: list[FleetGroup]
 
     def find(self) -> tuple[FleetGroup, ...]:
-        """Return the groups to close, none where nothing is won."""
+        """Return the groups to close; none if there is nothing to gain."""
         slow = [group for group in self.serving if self._is_slow(group)]
         for model in self.need.rank_models():
             own = [
@@ -92,42 +96,42 @@
                 if parse_group(group.group) == model.name
             ]
             others = [group for group in slow if group not in own]
-            found = self._gather(model, own, others)
+            found = self._collect(model, own, others)
             if found:
                 return found
         return ()
 
-    def _gather(
+    def _collect(
         self,
         model: EngineModel,
         own: list[FleetGroup],
         others: list[FleetGroup],
     ) -> tuple[FleetGroup, ...]:
-        """Return the fewest groups whose fast boxes make up one of a model.
+        """Return the fewest groups whose fast boxes form one group of a model.
 
-        One of them is a group of the model itself, so that no model gains
-        groups by this.
+        At least one of them is a group of that model, so that no model gains
+        groups.
         """
         if not own:
             return ()
-        lacking = model.boxes_per_group - self._count_fast(self.idle, model)
+        missing = model.boxes_per_group - self._count_fast(self.idle, model)
         closed: list[FleetGroup] = []
         for group in (*self._rank(own, model), *self._rank(others, model)):
-            if lacking <= 0 and closed:
+            if missing <= 0 and closed:
                 break
             closed.append(group)
-            lacking -= self._count_fast(group.members, model)
-        return tuple(closed) if lacking <= 0 else ()
+            missing -= self._count_fast(group.members, model)
+        return tuple(closed) if missing <= 0 else ()
 
     def _rank(
         self,
         groups: list[FleetGroup],
         model: EngineModel,
     ) -> list[FleetGroup]:
-        """Return groups, that with the most fast boxes for a model first."""
+        """Return groups, those with the most fast boxes for a model first."""
         return sorted(
             groups,
-            key=lambda one: -self._count_fast(one.members, model),
+            key=lambda group: -self._count_fast(group.members, model),
         )
 
     def _is_slow(self, group: FleetGroup) -> bool:
@@ -138,7 +142,7 @@
         boxes: list[FleetBox] | tuple[FleetBox, ...],
         model: EngineModel,
     ) -> int:
-        """Return how many boxes can join a group of a model, and are fast."""
+        """Return how many fast boxes can join a group of a model."""
         return sum(
             self.memory.has_weights(box, model)
             and not self.memory.is_slow(box.life)
--- a/waywell/version/staging.py
+++ b/waywell/version/staging.py
@@ -1,8 +1,8 @@
-"""Which boxes load which model from the weight store, and when.
+"""Planning of which boxes load which model from the weight store, and when.
 
-A box holds the weights of the model that it served last, and on its host
-those of one more; it can join a group of either within about a second, while
-a load takes ten times as long and the weight store has a pace.
+A box holds the weights of the model that it served last, and its host holds
+those of one more. It can join a group of either within about a second, while a
+load takes ten times as long and the weight store limits the pace of loads.
 """
 
 from __future__ import annotations
@@ -20,29 +20,31 @@
     from waywell.version.routes import EngineModel
 
 REPLACE_RATIO = 2.0
-"""How much more a box must be worth to the model that it is to load than to
-the one that this pushes out of its host, so that loads don't undo another."""
+"""How many times more a box must be worth to the model that it loads than to
+the one that the load evicts from its host, so that loads don't undo each
+other."""
 
 SERVING_LOAD_SHARE = 0.5
-"""Part of the weight store's places that boxes which serve may take: a load
-takes its place for 12 to 16 s, and idle boxes wait for places."""
+"""Share of the weight store's concurrent loads that serving boxes may use: a
+load occupies its place for 12 to 16 s, and idle boxes wait for places."""
 
 
 class StagingPlanner:
-    """Plans loads for one service.
+    """Plans the loads of one service.
 
     Parameters
     ----------
     need
-        What callers ask of the models.
+        Demand for the models and the groups that meet it.
     memory
-        What the holder remembers; changed by the plan.
+        State of the duty's holder; updated by the plan.
     boxes
-        The boxes of the service.
+        Boxes of the service.
     assign
-        Gives an order to a box, unless one is open; answers whether so.
+        Gives an order to a box unless it has a pending one; returns whether
+        the order was given.
     now
-        The present time, in seconds.
+        Current time, in seconds.
     """
 
     def __init__(
@@ -53,7 +55,7 @@
         assign: Callable[[FleetBox, BoxOrder, OrderReason], bool],
         now: float,
     ) -> None:
-        """Plan nothing yet."""
+        """Store the inputs of the plan."""
         self._need = need
         self._memory = memory
         self._boxes = boxes
@@ -64,7 +66,8 @@
         """Load a second model into every box while that costs little.
 
         A box that serves one model can then join groups of another within
-        seconds for the rest of its life.  These loads are not counted.
+        seconds for the rest of its life. These loads don't count against the
+        weight store's pace.
         """
         for box in self._boxes:
             standing = box.standing
@@ -75,31 +78,31 @@
                 self._order(box, others[0])
 
     def load_within_pace(self, idle: Pools) -> None:
-        """Load models that boxes lack, those that callers gain most by first.
+        """Load missing models, those with the greatest gain for callers first.
 
-        Idle boxes come before those that serve: what makes up a whole group,
-        then spares of the model in need, so that a group that loses a box is
-        patched with one at hand.
+        Idle boxes come before serving ones: first loads that complete a whole
+        group, then spares of the model in need, so that a group that loses a
+        box finds a replacement at once.
 
         Parameters
         ----------
         idle
             Boxes in no group, by fabric domain.
         """
-        while wanted := self._find_wanted(idle):
-            model, boxes = wanted
+        while best := self._find_most_gainful(idle):
+            model, boxes = best
             for box in boxes:
                 if not self._load(box, model):
                     return
             self._need.groups[model.name] += 1
         if self._load_spares(idle):
-            self._load_beside()
+            self._load_serving_boxes()
 
-    def _find_wanted(
+    def _find_most_gainful(
         self,
         idle: Pools,
     ) -> tuple[EngineModel, list[FleetBox]] | None:
-        """Return the group that gains most a load, with the boxes to load."""
+        """Return the group with the greatest gain per load, with its boxes."""
         found = [
             (model, boxes)
             for domain in sorted(idle)
@@ -108,7 +111,7 @@
         ]
         return max(
             found,
-            key=lambda one: self._need.get_gain(one[0]) / len(one[1]),
+            key=lambda pair: self._need.get_gain(pair[0]) / len(pair[1]),
             default=None,
         )
 
@@ -119,7 +122,8 @@
     ) -> list[FleetBox]:
         """Return the idle boxes of a domain whose loads complete a group.
 
-        None where it is complete already, or too few boxes are idle.
+        The list is empty if the group is complete already or too few boxes are
+        idle.
         """
         size = model.boxes_per_group
         lacking = self._list_lacking(idle, model)
@@ -133,7 +137,7 @@
         idle: list[FleetBox],
         model: EngineModel,
     ) -> int:
-        """Return how many boxes hold a model or load it."""
+        """Return how many boxes hold a model or are loading it."""
         staging = self._memory.staging
         return sum(
             self._memory.has_weights(box, model)
@@ -146,9 +150,9 @@
         boxes: list[FleetBox],
         model: EngineModel,
     ) -> list[FleetBox]:
-        """Return the boxes that lack a model and may be asked to load it.
+        """Return the boxes that lack a model and may be ordered to load it.
 
-        One at the most where loads of the model have crashed their boxes.
+        At most one box is returned if loads of the model have crashed boxes.
         """
         failures = self._memory.load_failures
         if not failures.may_load(model.name):
@@ -162,7 +166,7 @@
         return lacking[:1] if failures.is_limited(model.name) else lacking
 
     def _load_spares(self, pools: Pools) -> bool:
-        """Load what idle boxes lack, the model in need first.
+        """Load what idle boxes lack, the model in greatest need first.
 
         Returns
         -------
@@ -174,11 +178,11 @@
             self._load(box, model)
             for model in self._need.rank_models()
             for box in self._list_lacking(idle, model)
-            if self._may_push_out(box, model)
+            if self._is_worth_evicting(box, model)
         )
 
-    def _may_push_out(self, box: FleetBox, model: EngineModel) -> bool:
-        """Answer whether a box gains by what it loads more than it loses."""
+    def _is_worth_evicting(self, box: FleetBox, model: EngineModel) -> bool:
+        """Return whether a load gains enough to evict what the host holds."""
         if self._memory.has_room(box):
             return True
         worths = [
@@ -189,21 +193,21 @@
         return self._get_worth(model) > REPLACE_RATIO * max(worths, default=0)
 
     def _get_worth(self, model: EngineModel) -> float:
-        """Return what callers gain by one more box of a model."""
+        """Return the callers' gain from one more box of a model."""
         return self._need.get_gain(model) / model.boxes_per_group
 
-    def _load_beside(self) -> None:
-        """Load a second model into boxes that serve and hold only one."""
-        most = SERVING_LOAD_SHARE * self._need.engine.loads_at_once
-        single = self._list_single()
+    def _load_serving_boxes(self) -> None:
+        """Load a second model into serving boxes that hold only one."""
+        max_loads = SERVING_LOAD_SHARE * self._need.engine.loads_at_once
+        single = self._list_single_model_boxes()
         for model in self._need.rank_models():
             for box in self._list_lacking(single, model):
-                if len(self._memory.loads) >= most:
+                if len(self._memory.loads) >= max_loads:
                     return
                 self._load(box, model)
 
-    def _list_single(self) -> list[FleetBox]:
-        """Return boxes whose host holds nothing but what they serve."""
+    def _list_single_model_boxes(self) -> list[FleetBox]:
+        """Return boxes whose host holds nothing but the model they serve."""
         return [
             box
             for box in self._boxes
@@ -213,7 +217,7 @@
         ]
 
     def _load(self, box: FleetBox, model: EngineModel) -> bool:
-        """Order a load; answer whether the weight store's pace allowed it."""
+        """Order a load; return whether the weight store's pace allowed it."""
         if not self._memory.may_load(self._need.engine, self._now):
             return False
         if self._order(box, model):
@@ -221,7 +225,7 @@
         return True
 
     def _list_others(self, box: FleetBox) -> list[EngineModel]:
-        """Return the models that a box holds no weights of, by need."""
+        """Return the models whose weights a box lacks, greatest need first."""
         return [
             model
             for model in self._need.rank_models()
@@ -230,7 +234,7 @@
         ]
 
     def _order(self, box: FleetBox, model: EngineModel) -> bool:
-        """Order a load whatever the pace; answer whether it is given."""
+        """Order a load regardless of the pace; return whether it was given."""
         is_given = self._assign(box, Stage(model.name), OrderReason.SPARE)
         if is_given:
             staging = Staging(model.name, self._now)
@@ -239,7 +243,7 @@
 
 
 def _is_settled(box: FleetBox) -> bool:
-    """Answer whether a box has loaded its group's model, and stays."""
+    """Return whether a box has loaded its group's model and is staying."""
     standing = box.standing
     if standing is None or box.leaving:
         return False
