--- a/tests/holder.py
+++ b/tests/holder.py
@@ -1,7 +1,7 @@
-"""A holder of the forming duty before simulated replicas.
+"""A holder of the forming duty with simulated replicas.
 
-The duty is the product's; its orders go through the adapter's words.  An order
-may be left unanswered and carried out at any later time.
+The duty is the real one, and its orders pass through the platform's encoding.
+An order may remain unanswered and be carried out at any later time.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
     from waywell.version.routes import Engine
 
 TURNS = 12
-"""Turns of the event loop after which all tasks wait for something."""
+"""Turns of the event loop after which every task is waiting."""
 
 
 @attrs.define(eq=False)
 class InFlightOrder:
-    """An order that was sent."""
+    """An order that was sent and is not carried out yet."""
 
     box: BoxId
     replica: SimReplica
@@ -53,12 +53,12 @@
     answer: asyncio.Future[OrderResult]
 
     def time_out(self) -> None:
-        """Let the holder wait for its answer no longer."""
+        """Let the holder give up waiting for the answer."""
         if not self.answer.done():
             self.answer.set_result(OrderResult.UNKNOWN)
 
     def carry_out(self) -> None:
-        """Let its replica take it, if it lives, and answer if asked still."""
+        """Apply the order to its replica if alive; answer if still awaited."""
         result = OrderResult.UNKNOWN
         if self.replica.is_alive:
             result = decode_result(self.replica.apply_order(self.body))
@@ -67,7 +67,7 @@
 
 
 class SimOrders(BoxOrders):
-    """Sends orders to replicas and keeps them until they are carried out."""
+    """Sends orders to replicas and holds them until they are carried out."""
 
     def __init__(self, sim_fleet: SimFleet) -> None:
         self.sim_fleet = sim_fleet
@@ -90,7 +90,7 @@
 
 
 class _HeldDuty(FormingDuty):
-    """Holds a term without a lease."""
+    """Forming duty that is held without a lease."""
 
     held_term = 0
 
@@ -102,7 +102,7 @@
         return self.held_term
 
     def handle_waiting(self) -> bool:
-        """Handle the messages that wait; answer whether there were any."""
+        """Handle the queued messages; return whether there were any."""
         count = self._inbox.qsize()
         for _message in range(count):
             message = self._inbox.get_nowait()
@@ -111,7 +111,7 @@
 
 
 class Holder:
-    """One node at a time holds the duty; its list may be old."""
+    """Holder of the duty, one node at a time; its box list may be outdated."""
 
     def __init__(self, sim_fleet: SimFleet, engine: Engine) -> None:
         self.sim_fleet = sim_fleet
@@ -136,31 +136,31 @@
         self.duty = self._make_duty()
 
     def close(self) -> None:
-        """End what still runs."""
+        """Stop the duty and close the event loop."""
         self.loop.run_until_complete(self.duty.stop())
         self.loop.close()
 
     def take_over(self) -> None:
-        """Let another node hold the duty; it knows the list only."""
+        """Move the duty to another node, which knows the list only."""
         self.duty.held_term = 0
         self.duty = self._make_duty()
 
     def restart_node(self) -> None:
-        """Let a node hold the duty that saw no list before."""
+        """Move the duty to a node that has seen no list before."""
         self._outlook.lives = LifeTracker()
         self._outlook.fleet = Fleet({})
         self.last_models.clear()
         self.take_over()
 
     def refresh(self) -> None:
-        """Let the list that the holder sees be true."""
+        """Bring the holder's whole box list up to date."""
         self._entries = {}
         for name in self.sim_fleet.replicas:
             self._read_entry(name)
         self._show_entries()
 
     def refresh_one(self, name: str) -> None:
-        """Let the entry of one replica be true; others may be old."""
+        """Bring one entry of the holder's box list up to date."""
         self._read_entry(name)
         self._show_entries()
 
@@ -173,7 +173,7 @@
             self._entries.pop(name, None)
 
     def hide(self, *names: str) -> list[FleetBox]:
-        """Take entries off the list; return them as they were."""
+        """Remove entries from the list; return them as they were."""
         hidden = [self._entries.pop(name) for name in names]
         self._show_entries()
         return hidden
@@ -193,17 +193,17 @@
         self.run_tasks()
 
     def report_group_heard(self, group: str) -> None:
-        """Tell the holder that a doubted group goes on."""
+        """Report to the holder that a doubted group is heard again."""
         self.duty.post(FormingDuty.Heard(GroupId(group)))
         self.run_tasks()
 
     def ask(self, name: str) -> None:
-        """Let the holder ask a box how it is."""
+        """Let the holder ask a box for its report."""
         self.loop.call_soon(self.duty._survey.ask, self._entries[name])
         self.run_tasks()
 
     def find_head(self, group: str) -> str:
-        """Return the box that takes a group's requests, as listed."""
+        """Return the listed head of a group, which takes its requests."""
         return next(
             name
             for name, box in self._entries.items()
@@ -213,36 +213,36 @@
         )
 
     def report_doubt(self, group: str) -> None:
-        """Tell the holder that a node hears nothing of a group."""
+        """Report to the holder that a node hears nothing from a group."""
         self.duty.post(FormingDuty.Doubted(GroupId(group)))
         self.run_tasks()
 
-    def carry_out(self, in_flight: InFlightOrder) -> None:
-        """Let an order reach its replica now."""
-        self.orders.in_flight.remove(in_flight)
-        in_flight.carry_out()
+    def carry_out(self, order: InFlightOrder) -> None:
+        """Carry out an order now."""
+        self.orders.in_flight.remove(order)
+        order.carry_out()
         self.run_tasks()
 
     def carry_out_all(self) -> None:
-        """Let all orders reach their replicas, in the order of sending."""
+        """Carry out all orders, in the order of sending."""
         while self.orders.in_flight:
             self.carry_out(self.orders.in_flight[0])
 
-    def time_out(self, in_flight: InFlightOrder) -> None:
-        """Let an order wait on; the holder gets no answer."""
-        in_flight.time_out()
+    def time_out(self, order: InFlightOrder) -> None:
+        """Let the holder give up waiting for an order that stays in flight."""
+        order.time_out()
         self.run_tasks()
 
     def find_in_flight(self, box: str, operation: str) -> list[InFlightOrder]:
-        """Return the orders of a kind that are on their way to a box."""
+        """Return the orders of a kind that are in flight to a box."""
         return [
-            one
-            for one in self.orders.in_flight
-            if one.box == box and one.body['operation'] == operation
+            order
+            for order in self.orders.in_flight
+            if order.box == box and order.body['operation'] == operation
         ]
 
     def run_tasks(self) -> None:
-        """Run what can run until all waits for boxes."""
+        """Run until all tasks wait for boxes."""
         self.loop.run_until_complete(self._run_turns())
 
     async def _run_turns(self) -> None:
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -1,11 +1,11 @@
-"""Model replicas that take orders as the platform's page tells, unconnected.
+"""Simulated model replicas that carry out orders as the platform specifies.
 
-A replica may start again under its id: then it stands in no group, has begun
-no orders and refuses no epoch, while the head of its former group goes on until
-it breaks by itself.
+A replica may restart under its id: it is then in no group, has begun no orders
+and refuses no epoch, while the head of its former group continues until it
+breaks by itself.
 
-They speak the protocol's words, so that what they do with an order depends on
-nothing but what is sent.
+Replicas are not connected to a network. They use the terms of the protocol, so
+that the effect of an order depends only on what is sent.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from tests.held_clock import HeldClock
 
 DOMAIN = 'd0'
-"""Fabric domain of replicas that are in no other."""
+"""Fabric domain of replicas without another one."""
 
 STALL_SECONDS = 6.0
-"""For which a head goes on that has lost a member."""
+"""How long a head that has lost a member continues."""
 
 
 @attrs.frozen
 class Membership:
-    """A replica's place in a group, as it stands."""
+    """Current place of a replica in a group."""
 
     group: str
     epoch: int
@@ -37,7 +37,7 @@
     state: str
 
     def encode(self) -> dict[str, Any]:
-        """Return what reports and entries tell of it."""
+        """Return the group part of reports and entries."""
         return {
             'name': self.group,
             'epoch': self.epoch,
@@ -48,14 +48,14 @@
 
 @attrs.define(eq=False)
 class SimReplica:
-    """A replica, in its present life.
+    """A replica in its current life.
 
     Parameters
     ----------
     name
-        Its id.
-    house
-        All replicas, which share what the rules say of groups.
+        Id of the replica.
+    sim_fleet
+        All replicas, which share the rules for groups.
     """
 
     name: str
@@ -70,10 +70,11 @@
     staged: tuple[str, ...] = ()
     membership: Membership | None = None
     reports: list[dict[str, Any]] = attrs.Factory(list)
-    """Reports from the oldest on; the last one tells how it is now."""
+    """All reports, the oldest first; the last one describes the current
+    state."""
 
     def __attrs_post_init__(self) -> None:
-        """Tell the first report."""
+        """Record the first report."""
         self.record_report()
 
     def apply_order(self, order: dict[str, Any]) -> int:
@@ -99,7 +100,7 @@
         return self._begin()
 
     def restart(self) -> None:
-        """Start again under the same id; only the host keeps what it had."""
+        """Restart under the same id; only the host's weights remain."""
         if self.membership is not None:
             self.sim_fleet.record_loss(self.membership.group)
         self.is_alive = True
@@ -111,7 +112,7 @@
         self.record_report()
 
     def set_state(self, state: str) -> None:
-        """Change how it stands in its group."""
+        """Change the state of the replica in its group."""
         assert self.membership is not None
         self.membership = attrs.evolve(self.membership, state=state)
         if state == 'ready':
@@ -119,19 +120,19 @@
         self.record_report()
 
     def finish_load(self) -> None:
-        """Be ready, where it joins a group."""
+        """Become ready if joining a group."""
         if self.membership is not None and self.membership.state == 'joining':
             self.set_state('ready')
 
     def stands_in(self, other: Membership) -> bool:
-        """Answer whether it lives, as a member of the same group."""
+        """Return whether the replica is alive and in the same group."""
         own = self.membership
         if not self.is_alive or own is None:
             return False
         return (own.group, own.epoch) == (other.group, other.epoch)
 
     def record_report(self) -> None:
-        """Tell how it is now."""
+        """Record a report of the current state."""
         own = self.membership
         self.reports.append(
             {
@@ -143,14 +144,14 @@
         )
 
     def report(self, changes_behind: int = 0) -> bytes:
-        """Return a report, perhaps one from before the last changes."""
+        """Return a report, outdated by the given number of changes."""
         latest = len(self.reports) - 1
         return json.dumps(
             self.reports[max(0, latest - changes_behind)]
         ).encode()
 
     def make_entry(self) -> dict[str, Any]:
-        """Return its entry in the list as it is now."""
+        """Return the current entry of the replica in the box list."""
         own = self.membership
         return {
             'service': 'llm',
@@ -204,21 +205,21 @@
 
 @attrs.define(eq=False)
 class SimFleet:
-    """All replicas, with the rules that hold for their groups."""
+    """All replicas, with the rules that their groups must keep."""
 
     replicas: dict[str, SimReplica] = attrs.Factory(dict)
     was_ready: set[tuple[str, str, int]] = attrs.Factory(set)
     violations: list[str] = attrs.Factory(list)
-    """Rules that were broken, in words."""
+    """Descriptions of the rules that were violated."""
 
     clock: HeldClock = attrs.Factory(HeldClock)
-    """Where the time is read."""
+    """Source of the current time."""
 
     left: dict[str, set[str]] = attrs.Factory(lambda: defaultdict(set))
-    """Replicas that left a group, by the group."""
+    """Replicas that left a group, by group."""
 
     lost_at: dict[str, float] = attrs.Factory(dict)
-    """When a group lost a member by a restart, in seconds."""
+    """When a group first lost a member by a restart, in seconds."""
 
     def add(self, name: str, staged: tuple[str, ...] = ()) -> SimReplica:
         """Start a replica under a new id."""
@@ -226,13 +227,13 @@
         return self.replicas[name]
 
     def record_ready(self, replica: SimReplica) -> None:
-        """Remember that a member was ready in its group."""
+        """Record that a member was ready in its group."""
         own = replica.membership
         assert own is not None
         self.was_ready.add((replica.name, own.group, own.epoch))
 
     def check_join(self, joining: SimReplica, order: dict[str, Any]) -> None:
-        """Note a join that comes while the replica's group serves."""
+        """Record a violation if a replica joins while its group serves."""
         for head in self.replicas.values():
             other = head.membership
             if not head.is_alive or other is None or other.rank:
@@ -247,15 +248,15 @@
                 )
 
     def record_left(self, name: str, group: str) -> None:
-        """Remember that a replica has left a group in good order."""
+        """Record that a replica has left a group by order."""
         self.left[group].add(name)
 
     def record_loss(self, group: str) -> None:
-        """Remember when a group lost its first member by a restart."""
+        """Record when a group lost its first member by a restart."""
         self.lost_at.setdefault(group, self.clock.now)
 
     def _counts_on(self, open_group: Membership, joining: SimReplica) -> bool:
-        """Answer whether an open group still has a replica as its member."""
+        """Return whether an open group still has a replica as its member."""
         own = joining.membership
         if own is not None and own.group == open_group.group:
             return True
@@ -268,7 +269,7 @@
         return self.clock.now - lost_at < STALL_SECONDS
 
     def check_open(self, own: Membership) -> None:
-        """Note a group that opens before all its members were ready."""
+        """Record a violation if a group opens before members were ready."""
         for member in own.members:
             if (member, own.group, own.epoch) not in self.was_ready:
                 self.violations.append(f'{own.group} opens before {member}')
--- a/tests/test_forming.py
+++ b/tests/test_forming.py
@@ -1,4 +1,4 @@
-"""Which orders form, open and dissolve groups."""
+"""Orders that form, open, close and dissolve groups."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
     loads_per_second=5.0,
     loads_at_once=7,
 )
-NOBODY = {BIG: 0.0, SMALL: 0.0}
-CALLERS = {BIG: 10.0, SMALL: 10.0}
+NO_DEMAND = {BIG: 0.0, SMALL: 0.0}
+SOME_DEMAND = {BIG: 10.0, SMALL: 10.0}
 
 
 def plan(
@@ -47,7 +47,7 @@
     now: float,
     demand: dict[ModelName, float] | None = None,
 ) -> list[Assignment]:
-    view = FormingView(LLM, ENGINE, make_fleet(*boxes), demand or CALLERS)
+    view = FormingView(LLM, ENGINE, make_fleet(*boxes), demand or SOME_DEMAND)
     return FormingPlanner(view, memory, now).plan()
 
 
@@ -60,58 +60,66 @@
     ]
 
 
-def know_demand(
+def make_watching_memory(
     boxes: list[FleetBox],
     demand: dict[ModelName, float],
 ) -> FormingMemory:
-    """Return the memory of a holder that has watched callers for a while."""
+    """Return the state of a holder that has watched demand for a while."""
     memory = FormingMemory(planned_since=0.0)
-    plan([box for box in boxes if box.standing], memory, 0.0, NOBODY)
+    plan([box for box in boxes if box.standing], memory, 0.0, NO_DEMAND)
     return memory
 
 
-def make_own(*groups: str) -> FormingMemory:
-    """Return the memory of a holder that formed some groups."""
+def make_memory_of_formed(*groups: str) -> FormingMemory:
+    """Return the state of a holder that formed the given groups."""
     memory = FormingMemory()
     for group in groups:
         memory.openings.record_formed(GroupId(group), [])
     return memory
 
 
-def pick(assignments: list[Assignment], kind: type) -> list[Assignment]:
-    return [one for one in assignments if isinstance(one.order, kind)]
+def select_orders(
+    assignments: list[Assignment], kind: type
+) -> list[Assignment]:
+    return [
+        assignment
+        for assignment in assignments
+        if isinstance(assignment.order, kind)
+    ]
 
 
-def show_join(assignments: list[Assignment], state: MemberState) -> list:
-    """Return the boxes as they show the joins that were ordered."""
+def apply_joins(assignments: list[Assignment], state: MemberState) -> list:
+    """Return the boxes as they are listed after the ordered joins."""
     boxes = []
-    for one in pick(assignments, Join):
-        order = one.order
+    for assignment in select_orders(assignments, Join):
+        order = assignment.order
         standing = make_group(order.group, 'x')[0].standing
-        rank = order.members.index(one.box.box)
+        rank = order.members.index(assignment.box.box)
         standing = msgspec.structs.replace(standing, rank=rank, state=state)
         boxes.append(
             msgspec.structs.replace(
-                one.box, standing=standing, staged=(order.model,)
+                assignment.box, standing=standing, staged=(order.model,)
             ),
         )
     return boxes
 
 
-def test_empty_boxes_are_all_joined_at_the_first_start() -> None:
+def test_first_start_joins_all_empty_boxes() -> None:
     boxes = [make_box(f'b{number:02}') for number in range(10)]
-    joins = pick(plan(boxes, FormingMemory(), 1.0, NOBODY), Join)
-    sizes = Counter(one.order.model for one in joins)
+    joins = select_orders(plan(boxes, FormingMemory(), 1.0, NO_DEMAND), Join)
+    sizes = Counter(assignment.order.model for assignment in joins)
     assert sizes == {BIG: 4, SMALL: 6}
-    assert len({one.box.box for one in joins}) == 10
+    assert len({assignment.box.box for assignment in joins}) == 10
 
 
 def test_groups_lie_within_one_domain() -> None:
     boxes = [make_box(f'b{number}', f'd{number % 3}') for number in range(12)]
-    joins = pick(plan(boxes, FormingMemory(), 1.0, NOBODY), Join)
+    joins = select_orders(plan(boxes, FormingMemory(), 1.0, NO_DEMAND), Join)
     domains: dict[GroupId, set[str]] = {}
-    for one in joins:
-        domains.setdefault(one.order.group, set()).add(one.box.domain)
+    for assignment in joins:
+        domains.setdefault(assignment.order.group, set()).add(
+            assignment.box.domain
+        )
     assert domains
     assert all(len(found) == 1 for found in domains.values())
 
@@ -119,55 +127,63 @@
 def test_a_group_is_opened_when_every_member_is_ready() -> None:
     memory = FormingMemory()
     boxes = [make_box(f'b{number}') for number in range(2)]
-    joined = plan(boxes, memory, 1.0, NOBODY)
-    loading = show_join(joined, MemberState.JOINING)
-    ready = show_join(joined, MemberState.READY)
+    joined = plan(boxes, memory, 1.0, NO_DEMAND)
+    loading = apply_joins(joined, MemberState.JOINING)
+    ready = apply_joins(joined, MemberState.READY)
     mixed = [ready[0], loading[1]]
-    assert not pick(plan(mixed, memory, 2.0), Open)
-    opens = pick(plan(ready, memory, 3.0), Open)
-    assert [one.box.box for one in opens] == ['b0']
+    assert not select_orders(plan(mixed, memory, 2.0), Open)
+    opens = select_orders(plan(ready, memory, 3.0), Open)
+    assert [assignment.box.box for assignment in opens] == ['b0']
 
 
-def test_a_ready_group_of_another_holder_is_left_by_its_head_first() -> None:
-    # The other holder's order to open it may still be on its way.
+def test_head_leaves_a_ready_group_of_another_holder_before_its_boxes_join() -> (
+    None
+):
+    # An order of the other holder to open the group may be in flight.
     memory = FormingMemory(next_epoch=2_000_001)
     boxes = make_group('small.1000007', 'a', 'b', head_state=MemberState.READY)
     orders = plan(boxes, memory, 1.0)
-    assert [one.box.box for one in pick(orders, Leave)] == ['a']
+    assert [
+        assignment.box.box for assignment in select_orders(orders, Leave)
+    ] == ['a']
     assert len(orders) == 1
     left = msgspec.structs.replace(boxes[0], standing=None)
     memory.groups_left_by_head.add(GroupId('small.1000007'))
-    joins = pick(plan([left, boxes[1]], memory, 1.5), Join)
-    assert {one.order.epoch for one in joins} == {2_000_001}
+    joins = select_orders(plan([left, boxes[1]], memory, 1.5), Join)
+    assert {assignment.order.epoch for assignment in joins} == {2_000_001}
 
 
-def test_a_group_that_may_have_opened_is_not_taken_apart_as_if_closed() -> (
-    None
-):
-    memory = make_own('small.7')
+def test_group_that_may_have_opened_is_not_treated_as_closed() -> None:
+    memory = make_memory_of_formed('small.7')
     boxes = make_group('small.7', 'a', 'b', head_state=MemberState.READY)
-    assert pick(plan(boxes, memory, 1.0), Open)
-    # The list does not show yet that it opened; now a member is lost.
+    assert select_orders(plan(boxes, memory, 1.0), Open)
+    # A member is lost before the list shows that the group opened.
     spare = make_box('c', staged=('small',))
     memory.pending.clear()
     orders = plan([boxes[0], spare], memory, 1.3)
-    assert [one.box.box for one in pick(orders, Leave)] == ['a']
-    assert not pick(orders, Join)
+    assert [
+        assignment.box.box for assignment in select_orders(orders, Leave)
+    ] == ['a']
+    assert not select_orders(orders, Join)
 
 
-def test_an_open_group_of_another_holder_is_left_as_it_is() -> None:
+def test_open_group_of_another_holder_gets_no_orders() -> None:
     memory = FormingMemory(next_epoch=2_000_001)
     boxes = make_group('small.1000007', 'a', 'b')
     assert not plan(boxes, memory, 1.0)
 
 
-def test_a_group_whose_member_is_lost_is_left_by_its_head_first() -> None:
+def test_head_leaves_a_group_with_a_lost_member_before_its_boxes_join() -> (
+    None
+):
     memory = FormingMemory()
     head, _lost = make_group('small.7', 'a', 'b')
     spare = make_box('c', staged=('small',))
     orders = plan([head, spare], memory, 10.0)
-    assert [one.box.box for one in pick(orders, Leave)] == ['a']
-    assert not pick(orders, Join)
+    assert [
+        assignment.box.box for assignment in select_orders(orders, Leave)
+    ] == ['a']
+    assert not select_orders(orders, Join)
 
 
 def test_survivors_of_a_lost_head_leave_before_they_join_others() -> None:
@@ -176,11 +192,13 @@
     plan(group, memory, 9.0)
     spare = make_box('c', staged=('small',))
     orders = plan([group[1], spare], memory, 10.0)
-    assert {one.box.box for one in pick(orders, Leave)} == {'a', 'b'}
-    assert not pick(orders, Join)
+    assert {
+        assignment.box.box for assignment in select_orders(orders, Leave)
+    } == {'a', 'b'}
+    assert not select_orders(orders, Join)
 
 
-def test_survivors_stay_with_a_lost_head_until_they_have_left() -> None:
+def test_survivors_of_a_lost_head_join_nothing_until_they_have_left() -> None:
     memory = FormingMemory()
     group = make_group('small.7', 'a', 'b')
     plan(group, memory, 9.0)
@@ -189,48 +207,54 @@
     for now in (12.0, 16.1, 30.0, 100.0):
         memory.pending.clear()
         orders = plan([group[1], spare], memory, now)
-        assert not pick(orders, Join)
-        assert 'b' in {one.box.box for one in pick(orders, Leave)}
+        assert not select_orders(orders, Join)
+        assert 'b' in {
+            assignment.box.box for assignment in select_orders(orders, Leave)
+        }
     memory.pending.clear()
     left = msgspec.structs.replace(group[1], standing=None)
-    joins = pick(plan([left, spare], memory, 101.0), Join)
-    assert {one.box.box for one in joins} == {'b', 'c'}
+    joins = select_orders(plan([left, spare], memory, 101.0), Join)
+    assert {assignment.box.box for assignment in joins} == {'b', 'c'}
 
 
-def test_a_leaving_member_closes_its_group_in_good_order() -> None:
+def test_leaving_member_closes_its_group() -> None:
     boxes = make_group('small.7', 'a', 'b', leaving='b')
     orders = plan(boxes, FormingMemory(), 1.0)
-    assert [type(one.order) for one in orders] == [Close]
+    assert [type(assignment.order) for assignment in orders] == [Close]
     assert orders[0].box.box == 'a'
 
 
-def test_members_of_a_group_that_never_opened_need_no_lost_head() -> None:
-    memory = make_own('small.7')
+def test_members_of_an_unopened_group_join_others_without_their_head() -> None:
+    memory = make_memory_of_formed('small.7')
     _head, member = make_group(
         'small.7', 'a', 'b', head_state=MemberState.READY
     )
     spare = make_box('c', staged=('small',))
     orders = plan([member, spare], memory, 10.0)
-    assert {one.box.box for one in pick(orders, Join)} == {'b', 'c'}
-    assert not pick(orders, Leave)
+    assert {
+        assignment.box.box for assignment in select_orders(orders, Join)
+    } == {'b', 'c'}
+    assert not select_orders(orders, Leave)
 
 
-def test_an_open_order_is_not_given_twice() -> None:
-    memory = make_own('small.7')
+def test_pending_order_is_not_sent_twice() -> None:
+    memory = make_memory_of_formed('small.7')
     boxes = make_group('small.7', 'a', 'b', head_state=MemberState.READY)
-    assert pick(plan(boxes, memory, 1.0), Open)
-    assert not pick(plan(boxes, memory, 1.2), Open)
+    assert select_orders(plan(boxes, memory, 1.0), Open)
+    assert not select_orders(plan(boxes, memory, 1.2), Open)
 
 
 def test_a_group_whose_members_were_ordered_elsewhere_is_never_opened() -> (
     None
 ):
     boxes = make_group('small.7', 'a', 'b', head_state=MemberState.READY)
-    assert pick(plan(boxes, make_own('small.7'), 2.0), Open)
-    memory = make_own('small.7')
+    assert select_orders(
+        plan(boxes, make_memory_of_formed('small.7'), 2.0), Open
+    )
+    memory = make_memory_of_formed('small.7')
     memory.openings.record_formed(GroupId('small.8'), [boxes[1]])
     for now in (2.0, 20.0, 200.0):
-        assert not pick(plan(boxes, memory, now), Open)
+        assert not select_orders(plan(boxes, memory, now), Open)
         memory.pending.clear()
 
 
@@ -238,31 +262,31 @@
 def test_a_group_is_never_opened_after_its_end_was_ordered(
     order: type,
 ) -> None:
-    memory = make_own('small.7')
+    memory = make_memory_of_formed('small.7')
     boxes = make_group('small.7', 'a', 'b', head_state=MemberState.READY)
     standing = boxes[1].standing
     ending = order(standing.group, standing.epoch)
     assert memory.record_order(boxes[1], ending, 1.0)
     memory.pending.clear()
-    assert not pick(plan(boxes, memory, 20.0), Open)
+    assert not select_orders(plan(boxes, memory, 20.0), Open)
 
 
-def test_a_group_that_the_holder_has_forgotten_is_left_by_its_head_first() -> (
-    None
-):
-    memory = make_own('small.7')
+def test_head_leaves_a_forgotten_group_before_its_boxes_join() -> None:
+    memory = make_memory_of_formed('small.7')
     boxes = make_group('small.7', 'a', 'b', head_state=MemberState.READY)
     plan([make_box('c')], memory, 1.0)
     orders = plan(boxes, memory, 2.0)
-    assert [one.box.box for one in pick(orders, Leave)] == ['a']
+    assert [
+        assignment.box.box for assignment in select_orders(orders, Leave)
+    ] == ['a']
     assert len(orders) == 1
 
 
 def test_epochs_rise_with_each_group() -> None:
     memory = FormingMemory(next_epoch=5)
     boxes = [make_box(f'b{number}') for number in range(10)]
-    joins = pick(plan(boxes, memory, 1.0, NOBODY), Join)
-    epochs = {one.order.epoch for one in joins}
+    joins = select_orders(plan(boxes, memory, 1.0, NO_DEMAND), Join)
+    epochs = {assignment.order.epoch for assignment in joins}
     assert min(epochs) == 5
     assert memory.next_epoch == max(epochs) + 1
 
@@ -273,31 +297,33 @@
     plan(group, memory, 1.0)
     left = [msgspec.structs.replace(box, standing=None) for box in group[:3]]
     spare = make_box('s', staged=('big',))
-    joins = pick(plan([*left, spare], memory, 2.0), Join)
-    assert {one.box.box for one in joins} == {'a', 'b', 'c', 's'}
-    assert {one.order.model for one in joins} == {BIG}
+    joins = select_orders(plan([*left, spare], memory, 2.0), Join)
+    assert {assignment.box.box for assignment in joins} == {'a', 'b', 'c', 's'}
+    assert {assignment.order.model for assignment in joins} == {BIG}
 
 
-def test_loads_keep_the_weight_stores_pace() -> None:
+def test_loads_stay_within_the_concurrent_limit() -> None:
     memory = FormingMemory()
     serving = make_group('small.7', 'a', 'b')
     empty = [make_box(f'n{number:02}', 'd1') for number in range(20)]
     loads = 0
     for step in range(100):
-        loads += len(pick(plan([*serving, *empty], memory, step * 0.1), Stage))
+        loads += len(
+            select_orders(plan([*serving, *empty], memory, step * 0.1), Stage)
+        )
     assert 0 < loads <= ENGINE.loads_at_once
 
 
 def test_boxes_get_a_second_model_before_callers_come() -> None:
     memory = FormingMemory()
     boxes = [make_box(f'b{number}') for number in range(4)]
-    joined = plan(boxes, memory, 1.0, NOBODY)
-    loaded = show_join(joined, MemberState.READY)
-    stages = pick(plan(loaded, memory, 3.0, NOBODY), Stage)
-    # The heads have an open order until they show it.
-    serving = show_join(joined, MemberState.OPEN)
-    stages += pick(plan(serving, memory, 4.0, NOBODY), Stage)
-    assert {one.box.box for one in stages} == {
+    joined = plan(boxes, memory, 1.0, NO_DEMAND)
+    loaded = apply_joins(joined, MemberState.READY)
+    stages = select_orders(plan(loaded, memory, 3.0, NO_DEMAND), Stage)
+    # The heads have a pending order until the list shows its effect.
+    serving = apply_joins(joined, MemberState.OPEN)
+    stages += select_orders(plan(serving, memory, 4.0, NO_DEMAND), Stage)
+    assert {assignment.box.box for assignment in stages} == {
         BoxId(f'b{n}') for n in range(4)
     }
 
@@ -307,48 +333,48 @@
     boxes = make_small_groups(4)
     boxes += make_group('big.9', 'w', 'x', 'y', 'z', domain='d1')
     demand = {BIG: 9.0, SMALL: 2.0}
-    memory = know_demand(boxes, demand)
+    memory = make_watching_memory(boxes, demand)
     orders = plan(boxes, memory, 5.0, demand)
-    assert [type(one.order) for one in orders] == [Close, Close]
+    assert [type(assignment.order) for assignment in orders] == [Close, Close]
     assert not plan(boxes, memory, 5.2, demand)
-    closed = {one.box.box for one in orders}
+    closed = {assignment.box.box for assignment in orders}
     mates = {BoxId(name.replace('h', 'm')) for name in closed}
-    # Once they have left, these very boxes become the group.
+    # Once these boxes have left, they form the group.
     boxes = [
         msgspec.structs.replace(box, standing=None)
         if box.box in closed | mates
         else box
         for box in boxes
     ]
-    joined = pick(plan(boxes, memory, 6.0, demand), Join)
-    assert {one.box.box for one in joined} == closed | mates
-    assert {one.order.model for one in joined} == {BIG}
+    joined = select_orders(plan(boxes, memory, 6.0, demand), Join)
+    assert {assignment.box.box for assignment in joined} == closed | mates
+    assert {assignment.order.model for assignment in joined} == {BIG}
 
 
-def test_no_group_is_closed_before_callers_were_watched_for_a_while() -> None:
+def test_no_group_is_closed_before_demand_was_watched_long_enough() -> None:
     boxes = make_small_groups(4)
     orders = plan(boxes, FormingMemory(), 5.0, {BIG: 9.0, SMALL: 2.0})
-    assert not pick(orders, Close)
+    assert not select_orders(orders, Close)
 
 
-def test_boxes_kept_for_a_group_are_free_again_when_one_is_lost() -> None:
+def test_reserved_boxes_are_freed_when_one_is_lost() -> None:
     boxes = [
         *make_group('big.9', 'w', 'x', 'y', 'z', domain='d1'),
         *make_small_groups(2),
         *(make_box(name, staged=('big',)) for name in ('i', 'j')),
     ]
     demand = {BIG: 9.0, SMALL: 1.0}
-    memory = know_demand(boxes, demand)
-    closes = pick(plan(boxes, memory, 5.0, demand), Close)
+    memory = make_watching_memory(boxes, demand)
+    closes = select_orders(plan(boxes, memory, 5.0, demand), Close)
     assert len(closes) == 1
     (kept,) = memory.intended
     assert {make_life('i'), make_life('j')} < set(kept.members)
     rest = [box for box in boxes if box.box != 'i']
     plan(rest, memory, 5.2, demand)
-    assert not any('i' in one.members for one in memory.intended)
+    assert not any('i' in intended.members for intended in memory.intended)
 
 
-def test_no_boxes_are_taken_from_a_model_that_is_short_itself() -> None:
+def test_model_short_of_places_gives_up_no_boxes() -> None:
     boxes = [
         msgspec.structs.replace(box, staged=(BIG,))
         for box in make_group('small.1', 'a', 'b')
@@ -368,7 +394,9 @@
         orders = plan(
             [*taken, make_box('c', staged=('small',))], FormingMemory(), 1.0
         )
-        names = {one.box.box for one in pick(orders, Join)}
+        names = {
+            assignment.box.box for assignment in select_orders(orders, Join)
+        }
         assert not names & {'a', 'b'}
 
 
@@ -378,17 +406,19 @@
         *make_group('big.2', 'w', 'x', 'y', 'z'),
         *(make_box(name, staged=('small',)) for name in ('i', 'j', 'k')),
     ]
-    stages = pick(
+    stages = select_orders(
         plan(boxes, FormingMemory(), 1.0, {BIG: 27.0, SMALL: 1.0}), Stage
     )
-    assert {(one.box.box, one.order.model) for one in stages} == {
+    assert {
+        (assignment.box.box, assignment.order.model) for assignment in stages
+    } == {
         ('i', BIG),
         ('j', BIG),
         ('k', BIG),
     }
 
 
-def test_boxes_that_serve_load_the_model_that_has_little_room() -> None:
+def test_serving_boxes_load_the_model_with_little_room() -> None:
     boxes = [
         *make_group('small.1', 'a', 'b'),
         *make_group('small.2', 'c', 'd'),
@@ -398,15 +428,29 @@
         last_models={make_life(name): SMALL for name in 'abcd'}
         | {make_life(name): BIG for name in 'wxyz'},
     )
-    stages = pick(plan(boxes, memory, 1.0, {BIG: 4.0, SMALL: 4.0}), Stage)
+    stages = select_orders(
+        plan(boxes, memory, 1.0, {BIG: 4.0, SMALL: 4.0}), Stage
+    )
     most = math.ceil(SERVING_LOAD_SHARE * ENGINE.loads_at_once)
-    assert [one.order.model for one in stages] == [BIG] * most
-    assert {one.box.box for one in stages} <= {'a', 'b', 'c', 'd'}
-    # The other places at the weight store are left to idle boxes.
+    assert [assignment.order.model for assignment in stages] == [BIG] * most
+    assert {assignment.box.box for assignment in stages} <= {
+        'a',
+        'b',
+        'c',
+        'd',
+    }
+    # The other loads of the weight store are left to idle boxes.
     boxes += [make_box(f'i{number}') for number in range(4)]
-    later = pick(plan(boxes, memory, 2.1, {BIG: 4.0, SMALL: 4.0}), Stage)
+    later = select_orders(
+        plan(boxes, memory, 2.1, {BIG: 4.0, SMALL: 4.0}), Stage
+    )
     assert len(later) == ENGINE.loads_at_once - most
-    assert {one.box.box for one in later} <= {'i0', 'i1', 'i2', 'i3'}
+    assert {assignment.box.box for assignment in later} <= {
+        'i0',
+        'i1',
+        'i2',
+        'i3',
+    }
 
 
 def test_boxes_that_hold_two_models_load_nothing() -> None:
@@ -424,26 +468,26 @@
         | {make_life(name): BIG for name in 'wxyz'},
     )
     orders = plan(boxes, memory, 1.0, {BIG: 9.0, SMALL: 3.0})
-    assert not pick(orders, Stage)
+    assert not select_orders(orders, Stage)
 
 
-def test_a_load_pushes_out_no_model_that_is_as_short() -> None:
+def test_load_evicts_no_model_that_is_as_short() -> None:
     boxes = [
         *make_group('small.1', 'a', 'b'),
         *make_group('big.2', 'w', 'x', 'y', 'z'),
         *(make_box(name, staged=('small',)) for name in ('i', 'j', 'k')),
     ]
     demand = {BIG: 4.0, SMALL: 9.0}
-    stages = pick(plan(boxes, FormingMemory(), 1.0, demand), Stage)
-    assert not {one.box.box for one in stages} & {'i', 'j', 'k'}
+    stages = select_orders(plan(boxes, FormingMemory(), 1.0, demand), Stage)
+    assert not {assignment.box.box for assignment in stages} & {'i', 'j', 'k'}
 
 
 @pytest.mark.parametrize(
-    # It loads already, for an earlier holder; or the order may be lost.
+    # The box is loading for an earlier holder, or the order may be lost.
     ('result', 'is_free_at_once'),
     [(OrderResult.CONFLICT, True), (OrderResult.UNKNOWN, False)],
 )
-def test_a_load_that_a_box_did_not_take_is_given_back(
+def test_load_that_a_box_did_not_accept_is_ordered_again(
     result: OrderResult,
     is_free_at_once: bool,
 ) -> None:
@@ -452,16 +496,16 @@
     boxes += make_group('big.2', 'w', 'x', 'y', 'z', domain='d1')
     memory = FormingMemory()
     demand = {BIG: 4.0, SMALL: 4.0}
-    first = pick(plan(boxes, memory, 1.0, demand), Stage)
+    first = select_orders(plan(boxes, memory, 1.0, demand), Stage)
     assert first
-    for one in first:
-        memory.record_result(one, result, 1.1)
-    asked = {one.box.box for one in first}
-    others = pick(plan(boxes, memory, 1.2, demand), Stage)
+    for assignment in first:
+        memory.record_result(assignment, result, 1.1)
+    asked = {assignment.box.box for assignment in first}
+    others = select_orders(plan(boxes, memory, 1.2, demand), Stage)
     assert bool(others) is is_free_at_once
-    assert not asked & {one.box.box for one in others}
-    again = pick(plan(boxes, memory, 7.0, demand), Stage)
-    assert asked & {one.box.box for one in again}
+    assert not asked & {assignment.box.box for assignment in others}
+    again = select_orders(plan(boxes, memory, 7.0, demand), Stage)
+    assert asked & {assignment.box.box for assignment in again}
 
 
 def test_a_load_that_may_have_begun_counts_for_the_pace() -> None:
@@ -473,13 +517,13 @@
     for tick in range(40):
         now = 1.0 + tick * 0.1
         orders = plan(boxes, memory, now, {BIG: 4.0, SMALL: 4.0})
-        for one in pick(orders, Stage):
+        for assignment in select_orders(orders, Stage):
             begun += 1
-            memory.record_result(one, OrderResult.UNKNOWN, now)
+            memory.record_result(assignment, OrderResult.UNKNOWN, now)
     assert begun <= ENGINE.loads_at_once
 
 
-def test_loads_keep_the_pace_of_the_weight_store() -> None:
+def test_loads_stay_within_the_rate_of_the_weight_store() -> None:
     engine = msgspec.structs.replace(
         ENGINE, loads_per_second=2.0, loads_at_once=20
     )
@@ -488,14 +532,14 @@
     memory = FormingMemory()
     begun = []
     for now in (1.0, 1.5, 2.1):
-        view = FormingView(LLM, engine, make_fleet(*boxes), CALLERS)
+        view = FormingView(LLM, engine, make_fleet(*boxes), SOME_DEMAND)
         orders = FormingPlanner(view, memory, now).plan()
-        begun.append(len(pick(orders, Stage)))
+        begun.append(len(select_orders(orders, Stage)))
     assert begun == [2, 0, 2]
 
 
 def test_no_serving_group_is_closed_for_one_while_others_only_form() -> None:
-    """A group that forms may lose a box before it serves."""
+    """A group that is forming may lose a box before it serves."""
     boxes = make_small_groups(4)
     joining = MemberState.JOINING
     for place in range(4, 12):
@@ -509,26 +553,26 @@
         )
     boxes += make_group('big.99', 'w', 'x', 'y', 'z', domain='d1')
     demand = {BIG: 9.0, SMALL: 30.0}
-    memory = know_demand(boxes, demand)
-    assert not pick(plan(boxes, memory, 5.0, demand), Close)
+    memory = make_watching_memory(boxes, demand)
+    assert not select_orders(plan(boxes, memory, 5.0, demand), Close)
 
 
-def test_the_same_boxes_are_searched_again_after_a_while_only() -> None:
+def test_unchanged_boxes_are_searched_again_only_after_the_interval() -> None:
     boxes = make_small_groups(4)
     boxes += make_group('big.9', 'w', 'x', 'y', 'z', domain='d1')
     calm = {BIG: 2.0, SMALL: 8.0}
-    memory = know_demand(boxes, calm)
-    assert not pick(plan(boxes, memory, 5.0, calm), Close)
+    memory = make_watching_memory(boxes, calm)
+    assert not select_orders(plan(boxes, memory, 5.0, calm), Close)
     short = {BIG: 9.0, SMALL: 2.0}
-    assert not pick(plan(boxes, memory, 5.1, short), Close)
-    assert pick(
+    assert not select_orders(plan(boxes, memory, 5.1, short), Close)
+    assert select_orders(
         plan(boxes, memory, 5.01 + SEARCH_INTERVAL_SECONDS, short), Close
     )
 
 
-def test_groups_stay_where_no_box_is_idle_and_models_are_as_full() -> None:
+def test_no_group_closes_if_no_box_is_idle_and_models_are_balanced() -> None:
     boxes = make_small_groups(4)
     boxes += make_group('big.9', 'w', 'x', 'y', 'z', domain='d1')
     full = {BIG: 9.0, SMALL: 36.0}
-    memory = know_demand(boxes, full)
-    assert not pick(plan(boxes, memory, 5.0, full), Close)
+    memory = make_watching_memory(boxes, full)
+    assert not select_orders(plan(boxes, memory, 5.0, full), Close)
--- a/tests/test_forming_machine.py
+++ b/tests/test_forming_machine.py
@@ -1,10 +1,10 @@
-"""A state machine of boxes, late orders, old lists and changing holders.
+"""State machine of boxes, late orders, outdated lists and changing holders.
 
-What the holder knows may be wrong in each way that the platform allows: an
-order without an answer may be carried out at any later time, and pass later
+The holder's knowledge may be wrong in each way that the platform allows: an
+order without an answer may be carried out at any later time and overtake later
 ones; entries and reports may be older than orders that were carried out; a box
-may be off the list, or out of the holder's reach, while it serves; a new holder
-knows the list only; a restart loses what a box knew.
+may be off the list, or unreachable for the holder, while it serves; a new
+holder knows the list only; a restart loses the state of a box.
 """
 
 from __future__ import annotations
@@ -39,20 +39,20 @@
     loads_per_second=5.0,
     loads_at_once=7,
 )
-CALLERS = {BIG: 9.0, SMALL: 9.0}
-MOST_BEHIND = 3
-"""Changes by which a report may be old."""
+SOME_DEMAND = {BIG: 9.0, SMALL: 9.0}
+MAX_REPORT_LAG = 3
+"""Largest number of changes by which a report may be outdated."""
 
 LATE_ORDER_EXAMPLES = 600
-"""Examples of late orders alone.  Too few to be relied on: without the number
-that a join carries, they found a broken promise by some seeds and none by
-others; the sequence itself stands in ``test_late_joins.py``."""
+"""Examples of late orders alone. They are too few to be relied on: without the
+number that a join carries, some seeds found a violation and others none;
+``test_late_joins.py`` has the sequence itself."""
 
 ANY = st.integers(0, 99)
 
 
 class LateOrdersMachine(RuleBasedStateMachine):
-    """The holder of the duty against boxes that carry orders out late."""
+    """The duty's holder against boxes that carry out orders late."""
 
     box_count = 6
 
@@ -71,61 +71,61 @@
         model=st.sampled_from([BIG, SMALL]),
     )
     def begin(self, rounds: int, model: ModelName) -> None:
-        """Groups stand already, or all boxes are free and hold weights."""
+        """Start with open groups, or with free boxes that hold weights."""
         if not rounds:
             for replica in self.sim_fleet.replicas.values():
                 replica.staged = (model,)
         for _round in range(rounds):
             self.settle()
         self.holder.refresh()
-        self.holder.demand = CALLERS
+        self.holder.demand = SOME_DEMAND
 
     @rule()
     def plan_unanswered(self) -> None:
-        """The holder waits in vain for the answers to a plan's orders."""
+        """Plan, and time out all orders without an answer."""
         self.holder.plan()
-        for in_flight in tuple(self.holder.orders.in_flight):
-            self.holder.time_out(in_flight)
+        for order in tuple(self.holder.orders.in_flight):
+            self.holder.time_out(order)
         self.holder.clock.now += JOIN_TIMEOUT_SECONDS + 1
 
     @rule()
     def plan_again(self) -> None:
-        """The holder plans by a true list, orders being long on their way."""
+        """Plan from an up-to-date list while older orders are in flight."""
         self.holder.clock.now += ORDER_TIMEOUT_SECONDS + 1
         self.holder.refresh()
         self.holder.plan()
 
     @rule(choice=ANY, is_answered=st.booleans())
     def carry_out(self, choice: int, is_answered: bool) -> None:
-        """A box carries out an order, early or late."""
-        in_flight = self._pick_flying(choice)
-        if in_flight is not None:
+        """Carry out one order, before or after its answer timed out."""
+        order = self._pick_in_flight(choice)
+        if order is not None:
             if not is_answered:
-                self.holder.time_out(in_flight)
-            self.holder.carry_out(in_flight)
+                self.holder.time_out(order)
+            self.holder.carry_out(order)
 
     @rule(choice=ANY)
     def carry_out_group(self, choice: int) -> None:
-        """All orders of a group reach their boxes; these are ready."""
-        chosen = self._pick_flying(choice)
+        """Carry out all orders of a group and finish its loads."""
+        chosen = self._pick_in_flight(choice)
         if chosen is None:
             return
         group = chosen.body.get('group')
-        for in_flight in tuple(self.holder.orders.in_flight):
-            if in_flight.body.get('group') == group:
-                self.holder.carry_out(in_flight)
+        for order in tuple(self.holder.orders.in_flight):
+            if order.body.get('group') == group:
+                self.holder.carry_out(order)
         self.finish_loads()
 
     @rule(newest_first=st.booleans())
     def carry_out_all(self, newest_first: bool) -> None:
-        """All orders reach their boxes."""
+        """Carry out all orders."""
         in_flight = self.holder.orders.in_flight
         while in_flight:
             self.holder.carry_out(in_flight[-1 if newest_first else 0])
 
     @rule(choice=ANY)
     def start_again(self, choice: int) -> None:
-        """A box starts again under its id while orders are on their way."""
+        """Restart a box under the same id while orders are in flight."""
         self._pick(choice).restart()
 
     @invariant()
@@ -134,7 +134,7 @@
         assert not self.sim_fleet.violations
 
     def settle(self) -> None:
-        """All goes well for a while: groups are ready, then open."""
+        """Plan once and carry out everything, so that groups become ready."""
         self.holder.refresh()
         self.holder.plan()
         self.holder.carry_out_all()
@@ -142,7 +142,7 @@
         self.holder.refresh()
 
     def finish_loads(self) -> None:
-        """All boxes that join are ready."""
+        """Make all joining boxes ready."""
         for replica in self.sim_fleet.replicas.values():
             replica.finish_load()
 
@@ -150,74 +150,74 @@
         names = list(self.sim_fleet.replicas)
         return self.sim_fleet.replicas[names[choice % len(names)]]
 
-    def _pick_flying(self, choice: int) -> InFlightOrder | None:
+    def _pick_in_flight(self, choice: int) -> InFlightOrder | None:
         in_flight = self.holder.orders.in_flight
         return in_flight[choice % len(in_flight)] if in_flight else None
 
 
 class FormingMachine(LateOrdersMachine):
-    """Lists and reports are old besides, boxes are lost, holders change."""
+    """Adds outdated lists and reports, lost boxes and changes of holder."""
 
     box_count = 8
 
     @rule()
     def all_goes_well(self) -> None:
-        """Orders are answered, and groups are ready, then open."""
+        """Answer all orders, so that groups become ready and then open."""
         self.settle()
 
     @rule(callers=st.booleans())
     def plan(self, callers: bool) -> None:
-        """The holder plans by the list that it sees."""
-        self.holder.demand = CALLERS if callers else {}
+        """Plan from the list that the holder sees."""
+        self.holder.demand = SOME_DEMAND if callers else {}
         self.holder.plan()
 
     @rule(choice=ANY)
     def refresh_one(self, choice: int) -> None:
-        """One entry becomes true; the others stay as old as they are."""
+        """Update one entry; the others stay as outdated as they are."""
         self.holder.refresh_one(self._pick(choice).name)
 
-    @rule(changes=st.integers(0, MOST_BEHIND))
+    @rule(changes=st.integers(0, MAX_REPORT_LAG))
     def delay_reports(self, changes: int) -> None:
-        """Reports tell how boxes stood some changes ago."""
+        """Let reports describe the boxes as they were some changes ago."""
         self.holder.orders.changes_behind = changes
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 3.0, 10.0, 60.0]))
     def pass_time(self, seconds: float) -> None:
-        """Time passes."""
+        """Advance the clock."""
         self.holder.clock.now += seconds
 
     @rule(choice=ANY)
     def finish_load(self, choice: int) -> None:
-        """A box that joins is ready."""
+        """Make a joining box ready."""
         self._pick(choice).finish_load()
 
     @rule()
     def take_over(self) -> None:
-        """Another node holds the duty; orders of the last are on their way."""
+        """Move the duty to another node while orders are in flight."""
         self.holder.take_over()
 
     @rule()
     def refresh(self) -> None:
-        """The list that the holder sees becomes true."""
+        """Update the whole list that the holder sees."""
         self.holder.refresh()
 
     @rule(choice=ANY)
     def doubt(self, choice: int) -> None:
-        """A node hears nothing of a group: its members are asked."""
+        """Report a doubt about a group, so that its members are asked."""
         own = self._pick(choice).membership
         if own is not None:
             self.holder.report_doubt(own.group)
 
     @rule(choice=ANY)
     def time_out(self, choice: int) -> None:
-        """The holder waits no longer for an order that is on its way."""
-        in_flight = self._pick_flying(choice)
-        if in_flight is not None:
-            self.holder.time_out(in_flight)
+        """Let the holder give up waiting for an order that is in flight."""
+        order = self._pick_in_flight(choice)
+        if order is not None:
+            self.holder.time_out(order)
 
     @rule(choice=ANY)
     def break_group(self, choice: int) -> None:
-        """A head whose group stands still gives up."""
+        """Let a head break whose group no longer is whole."""
         replica = self._pick(choice)
         own = replica.membership
         if own is None or own.rank or own.state != 'open':
@@ -228,28 +228,28 @@
 
     @rule(choice=ANY)
     def lose(self, choice: int) -> None:
-        """A box is lost; the list shows it until it lapses."""
+        """End a box; the list shows it until its entry expires."""
         self._pick(choice).is_alive = False
 
     @rule(choice=ANY)
     def lapse(self, choice: int) -> None:
-        """A box is off the list: lost, or cut off from the platform only."""
+        """Remove a box from the list: lost, or cut off from the platform."""
         self._pick(choice).is_listed = False
 
     @rule(choice=ANY)
     def list_again(self, choice: int) -> None:
-        """A box that lives is on the list again."""
+        """Put a live box back on the list."""
         replica = self._pick(choice)
         replica.is_listed = replica.is_listed or replica.is_alive
 
     @rule(choice=ANY, is_reachable=st.booleans())
     def cut(self, choice: int, is_reachable: bool) -> None:
-        """The holder's questions don't reach a box, or do again."""
+        """Make a box unreachable for the holder's questions, or reachable."""
         self._pick(choice).is_reachable = is_reachable
 
     @rule(choice=ANY)
     def restart(self, choice: int) -> None:
-        """A lost box starts again: a new life with nothing but its host."""
+        """Start a lost box under a new id; its host's weights remain."""
         replica = self._pick(choice)
         if replica.is_alive:
             return
@@ -259,7 +259,7 @@
 
     @rule(choice=ANY)
     def start_again_with_its_head(self, choice: int) -> None:
-        """A member and its head start again at one moment."""
+        """Restart a member and its head at the same moment."""
         own = self._pick(choice).membership
         if own is not None:
             for name in {own.members[0], self._pick(choice).name}:
@@ -267,7 +267,7 @@
 
     @rule(choice=ANY, pace=st.sampled_from([1.0, 5.0]))
     def tell_pace(self, choice: int, pace: float) -> None:
-        """The holder hears how fast a box is."""
+        """Report the pace of a box to the holder."""
         box = self.holder.find_entry(self._pick(choice).name)
         if box is not None:
             report = BoxReport(pace)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,14 +1,10 @@
-"""A box that starts again under its id is another one to all that is believed.
+"""A box that restarts under its id is a different box to the holder.
 
-Symptom: a box that returned empty was joined to a new group while the head of
-its former group still took requests; the members of a group whose head had
-returned empty stayed idle until each of them had carried out an order.
-
-Sequence: a group serves; one of its boxes starts again under its id, holding
-and knowing nothing; the list shows it in no group.
-
-Cause: beliefs were kept by the id alone, so a box that stood in no group was
-free, and a head that stood in no group was one that had not told yet.
+A box of a serving group restarts under its id with no weights and no state,
+and the list shows it in no group. While state was stored by id alone, such a
+box counted as free and joined a new group although the head of its former
+group still took requests; after a restart of the head, the members stayed idle
+until each of them had carried out an order.
 """
 
 from __future__ import annotations
@@ -41,7 +37,7 @@
 
 @pytest.fixture
 def holder() -> Iterator[Holder]:
-    """Return a holder before one open group of two, and callers for more."""
+    """Return a holder with one open group of two and demand for more."""
     started = Holder(SimFleet(), ENGINE)
     started.demand = {PAIR: 50.0}
     for name in 'ab':
@@ -49,12 +45,12 @@
     started.refresh()
     started.plan()
     started.clock.now += SETTLE_SECONDS
-    _take_a_step(started)
+    _run_step(started)
     for replica in started.sim_fleet.replicas.values():
         replica.finish_load()
-    _take_a_step(started)
+    _run_step(started)
     assert _find_head(started).membership.state == 'open'
-    # The order to open is seen, and what was ordered is over.
+    # The effect of all orders is visible, and they are no longer pending.
     started.clock.now += ORDER_TIMEOUT_SECONDS + 10.0
     started.refresh()
     started.plan()
@@ -62,8 +58,8 @@
     started.close()
 
 
-def _take_a_step(holder: Holder) -> None:
-    """Let the holder plan by a true list, and all orders be carried out."""
+def _run_step(holder: Holder) -> None:
+    """Plan from an up-to-date list and carry out all orders."""
     holder.clock.now += ORDER_TIMEOUT_SECONDS + 0.1
     holder.refresh()
     holder.plan()
@@ -72,21 +68,21 @@
 
 def _find_head(holder: Holder) -> SimReplica:
     return next(
-        one
-        for one in holder.sim_fleet.replicas.values()
-        if one.membership and not one.membership.rank
+        replica
+        for replica in holder.sim_fleet.replicas.values()
+        if replica.membership and not replica.membership.rank
     )
 
 
 def _find_member(holder: Holder) -> SimReplica:
     return next(
-        one
-        for one in holder.sim_fleet.replicas.values()
-        if one.membership and one.membership.rank
+        replica
+        for replica in holder.sim_fleet.replicas.values()
+        if replica.membership and replica.membership.rank
     )
 
 
-def test_a_member_that_returns_empty_waits_while_its_head_serves(
+def test_restarted_member_joins_nothing_while_its_former_head_serves(
     holder: Holder,
 ) -> None:
     head, member = _find_head(holder), _find_member(holder)
@@ -94,7 +90,7 @@
     member.restart()
     holder.refresh()
     holder.plan()
-    # The head is told to leave and does not hear it.
+    # The head is ordered to leave, but the order has not arrived yet.
     assert not holder.find_in_flight(member.name, 'join')
     holder.carry_out(*holder.find_in_flight(head.name, 'leave'))
     holder.sim_fleet.replicas['c'].is_listed = False
@@ -107,7 +103,7 @@
     assert not holder.sim_fleet.violations
 
 
-def test_a_member_waits_no_longer_than_a_head_can_stand_still(
+def test_restarted_member_may_join_after_the_stall_time_of_its_head(
     holder: Holder,
 ) -> None:
     head, member = _find_head(holder), _find_member(holder)
@@ -124,7 +120,7 @@
     assert holder.find_in_flight(member.name, 'join')
 
 
-def test_a_new_holder_that_saw_no_restart_waits_as_well(
+def test_new_holder_that_saw_no_restart_does_not_join_the_member(
     holder: Holder,
 ) -> None:
     head, member = _find_head(holder), _find_member(holder)
@@ -137,7 +133,7 @@
     assert not holder.find_in_flight(member.name, 'join')
 
 
-def test_the_others_are_free_once_their_head_has_returned_empty(
+def test_members_are_free_once_their_head_has_restarted(
     holder: Holder,
 ) -> None:
     head, member = _find_head(holder), _find_member(holder)
@@ -150,10 +146,10 @@
     assert not holder.sim_fleet.violations
 
 
-def test_an_order_to_the_former_life_keeps_nothing_from_the_new_one(
+def test_pending_order_to_a_former_life_does_not_block_the_new_one(
     holder: Holder,
 ) -> None:
-    """What is pending at a life, lost or slow ends with it."""
+    """Pending orders and lost or slow marks end with the life of a box."""
     head = _find_head(holder)
     holder.sim_fleet.add('c', ('pair',))
     holder.refresh()
@@ -173,7 +169,7 @@
     assert len(joined) == 2
 
 
-def test_a_new_life_has_to_load_what_the_former_one_served(
+def test_new_life_does_not_hold_the_model_of_the_former_one(
     holder: Holder,
 ) -> None:
     head = _find_head(holder)
@@ -188,7 +184,7 @@
 def test_an_order_planned_for_a_former_life_is_not_sent(
     holder: Holder,
 ) -> None:
-    """Sequence: a box starts again while its join waits for other boxes."""
+    """A box restarts while its join waits for other boxes."""
     head = _find_head(holder)
     entry = holder.find_entry(head.name)
     order = Leave(entry.standing.group, entry.standing.epoch)
@@ -199,10 +195,10 @@
     assert not holder.orders.in_flight
 
 
-def test_a_box_that_tells_another_life_than_the_list_counts_as_lost(
+def test_box_that_reports_another_life_than_listed_counts_as_lost(
     holder: Holder,
 ) -> None:
-    """The list lags by a heartbeat; what the box tells itself is newer."""
+    """The list lags by a heartbeat; the box's own report is newer."""
     member = _find_member(holder)
     former = holder.find_entry(member.name).life
     member.restart()
--- a/tests/test_late_joins.py
+++ b/tests/test_late_joins.py
@@ -1,24 +1,15 @@
-"""A box that was ordered elsewhere stays in a group that serves.
-
-Symptom: a replica took a join of another group while the group in which it
-stood, and which it had not left, served.
-
-Sequence: one holder, one term.  A join to box ``b`` got no answer.  2.5 s later
-the holder took the box for free, as the list still showed its former group, and
-ordered it into a second group, again without an answer.  The first join was
-then carried out: its group showed ready in all members, and was opened.  The
-second join was carried out 11 s after it was sent.
-
-Cause: an order says nothing of the state in which it may be taken, so what the
-holder believed of the box when it planned need not hold when the box acts.
-
-Log lines that settled it, of a played day with the same outcome; no line tells
-that ``b`` left the first group::
-
-    15.39  order=join box=b group=gole.2000005 result=unknown
-    17.95  order=join box=b group=fixa.2000008 result=unknown
-    17.95  order=open box=a group=gole.2000005 why=ready result=taken
-    29.30  b was joined to fixa.2000008 while gole.2000005 was open
+"""A box must not join another group while its group serves.
+
+Within one term of a holder, a join to box ``b`` got no answer. 2.5 s later the
+list still showed the box's former group, so the holder considered it free and
+ordered it into a second group, again without an answer. The first join was
+then carried out: its group became ready in all members and was opened. The
+second join was carried out 11 s after it was sent, while the first group
+served.
+
+Without the number of the state for which it was planned, a join is accepted in
+any state, so what the holder assumed at the time of the plan need not hold
+when the box acts.
 """
 
 from __future__ import annotations
@@ -58,7 +49,7 @@
 
 @pytest.fixture
 def holder() -> Iterator[Holder]:
-    """Return a holder whose callers ask for more than there is."""
+    """Return a holder with more demand than there are places."""
     started = Holder(SimFleet(), ENGINE)
     started.demand = {SMALL: 50.0}
     yield started
@@ -66,11 +57,11 @@
 
 
 def _join_elsewhere(holder: Holder) -> None:
-    """Let the second join of ``b`` be under way while its group opens."""
+    """Keep the second join of ``b`` in flight while its group opens."""
     sim_fleet = holder.sim_fleet
     for name in 'ab':
         sim_fleet.add(name, ('small',))
-    # The former group of b is broken: its other member is gone.
+    # The former group of b is broken because its other member is gone.
     sim_fleet.replicas['b'].apply_order(
         {
             'operation': 'join',
@@ -103,7 +94,7 @@
     holder.plan()
 
 
-def test_a_join_planned_for_an_earlier_state_is_not_taken(
+def test_join_planned_for_an_earlier_state_is_refused(
     holder: Holder,
 ) -> None:
     _join_elsewhere(holder)
@@ -113,22 +104,22 @@
     ):
         holder.carry_out(opening)
     states = {
-        one.membership.state
-        for one in holder.sim_fleet.replicas.values()
-        if one.membership
+        replica.membership.state
+        for replica in holder.sim_fleet.replicas.values()
+        if replica.membership
     }
     assert 'open' in states
     holder.carry_out_all()
     assert not holder.sim_fleet.violations
 
 
-def test_a_group_that_was_off_the_list_may_still_have_been_opened() -> None:
-    """What was ordered to open is not forgotten with its entries.
+def test_group_that_was_off_the_list_may_still_be_open() -> None:
+    """An order to open a group must outlast the group's list entries.
 
-    Sequence: the three boxes of a group are off the list for one plan, just
-    after the order to open it was carried out; then two are back, with entries
-    from before.  Cause: the holder forgot the order as the group was not
-    listed, and took its boxes for free.  Found by reading.
+    The three boxes of a group are off the list for one plan, just after the
+    order to open it was carried out; then two return with entries from before.
+    If the holder forgets the order while the group is not listed, it considers
+    the boxes free.
     """
     holder = Holder(SimFleet(), TRIPLE_ENGINE)
     holder.demand = {TRIPLE: 50.0}
@@ -147,7 +138,9 @@
     holder.plan()
     holder.carry_out_all()
     head = next(
-        one for one in sim_fleet.replicas.values() if not one.membership.rank
+        replica
+        for replica in sim_fleet.replicas.values()
+        if not replica.membership.rank
     )
     assert head.membership.state == 'open'
     holder.clock.now += JOIN_TIMEOUT_SECONDS
--- a/tests/test_life_tracker.py
+++ b/tests/test_life_tracker.py
@@ -1,15 +1,11 @@
-"""Which groups have ended, as later lists and lists that go back tell it.
-
-A node that gives orders reads the box list itself and hears its reader's; the
-reader's can be asked for later and yet be read earlier, so the list goes back
-for a moment.  One that showed a head from before it had joined marked its
-group as ended, for as long as the group was there.  Four seconds later that
-head went off the list while it served on, and its members were joined to
-another group at once, without an order to leave.  The log told it by what it
-lacked, a line order=leave of that group between these two:
-
-    12.0290 order=open group=vode895cfe.1000023 result=taken
-    16.1096 order=join group=vode895cfe.1000029 shown=vode895cfe.1000023.ready
+"""Detection of ended groups from later and from outdated box lists.
+
+A node that gives orders reads the box list itself and also gets the list of
+its reader. The reader's list may be requested later and yet be older, so the
+list may go back for a moment. If such a list shows a head from before its
+join, its group must not stay marked as ended: when the head is later off the
+list while it still serves, the members would be joined to another group
+without an order to leave.
 """
 
 from __future__ import annotations
@@ -23,11 +19,11 @@
 
 GROUP = GroupId('notes.7')
 HEAD, MEMBER = make_group(GROUP, 'a', 'b')
-BEFORE = msgspec.structs.replace(HEAD, standing=None)
+HEAD_BEFORE_JOIN = msgspec.structs.replace(HEAD, standing=None)
 
 
 class ListSequence:
-    """Lists in the order in which they are put in force."""
+    """Box lists in the order in which they take effect."""
 
     def __init__(self) -> None:
         self.book = LifeTracker()
@@ -42,12 +38,12 @@
         self._fleet = fleet
 
 
-def test_a_list_that_goes_back_ends_no_group_for_good() -> None:
+def test_outdated_list_does_not_mark_a_group_as_ended_for_good() -> None:
     lists = ListSequence()
     lists.show(HEAD, MEMBER)
-    lists.show(BEFORE, MEMBER)
+    lists.show(HEAD_BEFORE_JOIN, MEMBER)
     lists.show(HEAD, MEMBER)
-    # Off the list it may well serve on.
+    # A head that is off the list may still serve.
     lists.show(MEMBER)
     assert not lists.book.has_group_ended(GROUP)
 
@@ -55,6 +51,6 @@
 def test_a_group_whose_head_has_left_has_ended() -> None:
     lists = ListSequence()
     lists.show(HEAD, MEMBER)
-    lists.show(BEFORE, MEMBER)
+    lists.show(HEAD_BEFORE_JOIN, MEMBER)
     lists.show(MEMBER)
     assert lists.book.has_group_ended(GROUP)
--- a/tests/test_regrouping.py
+++ b/tests/test_regrouping.py
@@ -1,7 +1,7 @@
-"""The search for changes of groups: only domains that changed are searched.
+"""Search for group changes: only domains that changed are searched.
 
 Load: a fleet of hundreds of boxes in which a few domains change at any time,
-as a box is lost there or a new one comes.
+because a box is lost there or a new one arrives.
 """
 
 from __future__ import annotations
@@ -41,35 +41,35 @@
 
 
 class Site:
-    """Boxes of some domains that come, go, and turn slow."""
+    """Boxes of some domains that arrive, disappear and turn slow."""
 
     def __init__(self) -> None:
         self.memory = FormingMemory()
         self.boxes: dict[BoxId, FleetBox] = {}
         for domain in range(DOMAINS):
             for place in range(2):
-                self.form(domain, f'small.{domain * 10 + place + 1}', 2)
-            self.form(domain, f'big.{domain * 10 + 5}', 4)
-            self.add(domain, f'idle{domain}', BIG)
+                self.add_group(domain, f'small.{domain * 10 + place + 1}', 2)
+            self.add_group(domain, f'big.{domain * 10 + 5}', 4)
+            self.add_idle(domain, f'idle{domain}', BIG)
 
-    def form(self, domain: int, group: str, size: int) -> None:
-        """Add a group that serves, whose boxes hold both models."""
+    def add_group(self, domain: int, group: str, size: int) -> None:
+        """Add a serving group whose boxes hold both models."""
         model = ModelName(group.partition('.')[0])
         names = [f'{group}-{rank}' for rank in range(size)]
         for box in make_group(group, *names):
-            self.put(domain, box, SMALL if model == BIG else BIG)
+            self.set_box(domain, box, SMALL if model == BIG else BIG)
             self.memory.last_models[box.life] = model  # type: ignore[index]
 
-    def add(self, domain: int, name: str, staged: ModelName) -> None:
+    def add_idle(self, domain: int, name: str, staged: ModelName) -> None:
         """Add an idle box that holds one model."""
-        self.put(domain, make_box(name), staged)
+        self.set_box(domain, make_box(name), staged)
 
-    def put(self, domain: int, box: FleetBox, staged: ModelName) -> None:
+    def set_box(self, domain: int, box: FleetBox, staged: ModelName) -> None:
         self.boxes[box.box] = msgspec.structs.replace(
             box, domain=DomainName(f'd{domain}'), staged=(staged,)
         )
 
-    def slow_down(self, life: BoxLife, pace: float) -> None:
+    def set_pace(self, life: BoxLife, pace: float) -> None:
         reading = TimedReport(BoxReport(pace=pace), 0.0)
         self.memory.reports[life] = reading
 
@@ -99,15 +99,15 @@
         return idle
 
 
-def forget_searches(memory: FormingMemory) -> FormingMemory:
-    """Return the same memory of boxes, without what was searched."""
+def copy_without_cache(memory: FormingMemory) -> FormingMemory:
+    """Return the same knowledge of boxes without cached changes."""
     return FormingMemory(
         last_models=memory.last_models, reports=memory.reports
     )
 
 
 @given(st.data())
-def test_what_is_known_of_domains_finds_the_same_as_a_whole_search(
+def test_search_with_cached_domains_equals_a_full_search(
     data: st.DataObject,
 ) -> None:
     site = Site()
@@ -120,25 +120,25 @@
             case 'add':
                 domain = data.draw(st.integers(0, DOMAINS - 1))
                 model = data.draw(st.sampled_from((BIG, SMALL)))
-                site.add(domain, f'new{step}', model)
+                site.add_idle(domain, f'new{step}', model)
             case 'slow':
                 box = data.draw(st.sampled_from(sorted(site.boxes)))
-                site.slow_down(make_life(box), 4.0)
+                site.set_pace(make_life(box), 4.0)
             case 'fast':
                 box = data.draw(st.sampled_from(sorted(site.boxes)))
-                site.slow_down(make_life(box), 1.0)
+                site.set_pace(make_life(box), 1.0)
         demand = {
             BIG: data.draw(st.floats(0, 60)),
             SMALL: data.draw(st.floats(0, 60)),
         }
         known = site.search(site.memory, demand)
-        whole = site.search(forget_searches(site.memory), demand)
+        whole = site.search(copy_without_cache(site.memory), demand)
         assert known == whole
 
 
 @pytest.fixture
 def searched(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Return the domains that are searched, as they are."""
+    """Return a list that collects the domains that are searched."""
     found: list[str] = []
     original = DomainChanges.list_candidates
 
@@ -160,12 +160,12 @@
     site.search(site.memory, demand)
     site.boxes.pop(BoxId('big.15-2'))
     site.search(site.memory, demand)
-    site.slow_down(make_life('small.21-0'), 4.0)
+    site.set_pace(make_life('small.21-0'), 4.0)
     site.search(site.memory, demand)
     assert searched == ['d1', 'd2']
 
 
-def test_domain_that_is_gone_is_forgotten() -> None:
+def test_cached_changes_of_a_removed_domain_are_dropped() -> None:
     site = Site()
     demand = {BIG: 30.0, SMALL: 30.0}
     site.search(site.memory, demand)
@@ -177,40 +177,38 @@
 
 
 def make_survivors() -> Site:
-    """Return a domain with what is left of one of two large groups."""
+    """Return a domain with one whole large group and survivors of another."""
     site = Site()
     site.boxes.clear()
-    site.form(0, 'big.1', 4)
+    site.add_group(0, 'big.1', 4)
     for name in ('s1', 's2', 's3'):
-        site.add(0, name, SMALL)
+        site.add_idle(0, name, SMALL)
         site.memory.last_models[make_life(name)] = BIG  # type: ignore[index]
-    site.form(1, 'small.2', 2)
+    site.add_group(1, 'small.2', 2)
     return site
 
 
-def test_survivors_of_a_short_model_are_not_given_to_one_with_room() -> None:
-    """Load: boxes are lost from groups of the larger model every few seconds.
+def test_survivors_of_a_short_model_do_not_join_a_model_with_room() -> None:
+    """Guard against losing the weights of a model that is short of places.
 
-    Symptom: 1 to 4 of 6 large groups for 10 s, while 11 to 19 of 21 small ones
-    served.  Sequence: a large group lost a box; the others were free and
-    joined as small groups, whose model gained a little; they gave up the
-    weights of the large one, which takes 16 s to load.  Cause: a box that
-    leaves a model cost the same however short the model was.
+    When a large group lost a box, its survivors joined as small groups, whose
+    model gained little, and gave up the weights of the large model, which take
+    16 s to load. Only 1 to 4 of 6 large groups served for 10 s, while 11 to 19
+    of 21 small ones did. Cause: a box that leaves a model cost the same
+    however short that model was.
     """
     site = make_survivors()
     kept = site.search(site.memory, {BIG: 12.0, SMALL: 5.0})
     assert not kept
 
 
-def test_survivors_of_a_model_with_room_help_another() -> None:
+def test_survivors_of_a_model_with_room_join_another_model() -> None:
     site = make_survivors()
     (change,) = site.search(site.memory, {BIG: 1.0, SMALL: 12.0})
-    assert [one.model.name for one in change.formed] == [SMALL]
+    assert [group.model.name for group in change.formed] == [SMALL]
 
 
-def test_survivors_that_can_form_no_group_of_their_model_help_another() -> (
-    None
-):
+def test_survivors_too_few_for_their_model_join_another_model() -> None:
     site = make_survivors()
     site.boxes = {
         name: box
@@ -218,4 +216,4 @@
         if not name.startswith('big')
     }
     (change,) = site.search(site.memory, {BIG: 12.0, SMALL: 12.0})
-    assert [one.model.name for one in change.formed] == [SMALL]
+    assert [group.model.name for group in change.formed] == [SMALL]
--- a/tests/test_silent_domain.py
+++ b/tests/test_silent_domain.py
@@ -1,15 +1,10 @@
-"""Boxes that fall silent together are known before they are counted on.
+"""Boxes that fall silent together are detected before they are used.
 
-Load: a fifth of the boxes of a fabric domain go silent at one moment, some of
-them idle.  Only the groups that have requests are doubted, so the holder formed
-groups of idle boxes that were silent as well; each such attempt took 0.6 s.
-
-Log lines that settled it (group_not_formed, and the boxes that the holder
-counted on: 167 before, 158 two seconds after 20 had gone silent)::
-
-    12.07  doubt_raised group=small.18
-    12.68  box_silent box=m2
-    14.02  groups boxes=158
+A fifth of the boxes of a fabric domain go silent at the same moment, some of
+them idle. Only groups with requests are doubted, so without asking the whole
+domain the holder formed groups of idle boxes that were silent as well; each
+such attempt took 0.6 s, and two seconds after 20 boxes had gone silent the
+holder still counted 158 of 167 boxes.
 """
 
 from __future__ import annotations
@@ -46,7 +41,7 @@
 
 @pytest.fixture
 def holder() -> Iterator[Holder]:
-    """Return a holder of one group that serves, and of two idle boxes."""
+    """Return a holder with one serving group and two idle boxes."""
     started = Holder(SimFleet(), ENGINE)
     started.demand = {TRIPLE: 50.0}
     for name in GROUPED:
@@ -69,7 +64,7 @@
     started.close()
 
 
-def _silence(holder: Holder, *names: str) -> None:
+def _make_unreachable(holder: Holder, *names: str) -> None:
     for name in names:
         holder.sim_fleet.replicas[name].is_reachable = False
 
@@ -80,8 +75,8 @@
     return membership.group
 
 
-def _note_questions(holder: Holder) -> list[str]:
-    """Return the boxes that are asked from now on, as they are."""
+def _record_questions(holder: Holder) -> list[str]:
+    """Return a list that collects the boxes that are asked from now on."""
     asked: list[str] = []
     read = holder.orders.read_report
 
@@ -93,15 +88,15 @@
     return asked
 
 
-def test_one_silent_box_lets_all_of_its_domain_be_asked(
+def test_one_silent_box_causes_its_whole_domain_to_be_asked(
     holder: Holder,
 ) -> None:
     member = next(
-        one.name
-        for one in holder.sim_fleet.replicas.values()
-        if one.membership and one.membership.rank
+        replica.name
+        for replica in holder.sim_fleet.replicas.values()
+        if replica.membership and replica.membership.rank
     )
-    _silence(holder, member, 'd')
+    _make_unreachable(holder, member, 'd')
     holder.plan()
     assert not holder.duty._get_memory(LLM).lost
     holder.report_doubt(_find_group(holder))
@@ -110,10 +105,10 @@
     }
 
 
-def test_a_domain_whose_boxes_answer_is_asked_for_nothing_more(
+def test_domain_whose_boxes_answer_is_not_asked_further(
     holder: Holder,
 ) -> None:
-    asked = _note_questions(holder)
+    asked = _record_questions(holder)
     holder.report_doubt(_find_group(holder))
     assert sorted(asked) == sorted(GROUPED)
 
@@ -121,34 +116,28 @@
 def test_a_silent_domain_is_asked_once_and_not_by_each_silent_box(
     holder: Holder,
 ) -> None:
-    asked = _note_questions(holder)
-    _silence(holder, *GROUPED, *IDLE)
+    asked = _record_questions(holder)
+    _make_unreachable(holder, *GROUPED, *IDLE)
     holder.report_doubt(_find_group(holder))
     # Each silent box is asked twice, as one packet may be lost.
     assert len(asked) == 2 * len(GROUPED + IDLE)
 
 
-def test_boxes_that_only_the_holder_does_not_reach_stay_in_their_groups(
+def test_boxes_unreachable_only_for_the_holder_stay_in_their_groups(
     holder: Holder,
 ) -> None:
-    """Load: 26 of 222 boxes are cut off from the platform and from orders.
-
-    Symptom: all groups of sixteen were taken apart within 2 s, although none
-    of their streams had paused; the large model's requests came late or were
-    refused for the 10 s in which they were formed anew.
-
-    Sequence: a box crashes; the holder asks its domain, and boxes of groups
-    that serve don't answer.  Cause: silence to the holder counted as loss,
-    whatever callers got.
-
-    Log lines that settled it::
-
-        12.86  box_silent box=m4
-        12.91  order=leave box=h1 group=big.2 why=member_lost shown=big.2.open
+    """Silence towards the holder alone must not count as loss.
+
+    26 of 222 boxes are cut off from the platform and from orders. A box
+    crashes, the holder asks its domain, and boxes of serving groups don't
+    answer, although callers are served. When that counted as loss, all groups
+    of sixteen were dissolved within 2 s although none of their streams had
+    paused, and the large model's requests were late or refused for the 10 s in
+    which the groups were formed again.
     """
     group = _find_group(holder)
     holder.request_counts = {holder.find_head(group): 9}
-    _silence(holder, *GROUPED, *IDLE)
+    _make_unreachable(holder, *GROUPED, *IDLE)
     holder.ask('d')
     holder.plan()
     lost = {life.box for life in holder.duty._get_memory(LLM).lost}
@@ -156,28 +145,28 @@
     assert not holder.find_in_flight(holder.find_head(group), 'leave')
 
 
-def test_a_group_that_no_request_speaks_for_is_lost_with_its_boxes(
+def test_silent_group_without_requests_is_lost(
     holder: Holder,
 ) -> None:
     group = _find_group(holder)
-    _silence(holder, *GROUPED, *IDLE)
+    _make_unreachable(holder, *GROUPED, *IDLE)
     holder.ask('d')
     lost = {life.box for life in holder.duty._get_memory(LLM).lost}
     assert lost == {*GROUPED, *IDLE}
     assert group
 
 
-def test_a_doubted_group_that_goes_on_keeps_its_silent_boxes(
+def test_doubted_group_that_is_heard_again_keeps_its_silent_boxes(
     holder: Holder,
 ) -> None:
-    """Streams pause while a long prompt is read; that says nothing of loss.
+    """A stream that pauses while a long prompt is read is no sign of loss.
 
-    Replaces the test that a doubt alone made unreached boxes lost: each group
-    of sixteen is doubted about once a second while it is sound (one day's log).
+    A sound group of sixteen is doubted about once a second, so a doubt alone
+    must not make unreachable boxes count as lost.
     """
     group = _find_group(holder)
     holder.request_counts = {holder.find_head(group): 9}
-    _silence(holder, *GROUPED, *IDLE)
+    _make_unreachable(holder, *GROUPED, *IDLE)
     holder.report_doubt(group)
     holder.report_group_heard(group)
     holder.clock.now += ASK_AGAIN_SECONDS + 0.1
@@ -189,7 +178,7 @@
 def test_a_doubted_group_that_stays_silent_is_lost(holder: Holder) -> None:
     group = _find_group(holder)
     holder.request_counts = {holder.find_head(group): 9}
-    _silence(holder, *GROUPED, *IDLE)
+    _make_unreachable(holder, *GROUPED, *IDLE)
     holder.ask('d')
     holder.report_doubt(group)
     holder.clock.now += LISTENED_SECONDS + 0.01
--- a/tests/test_slow_groups.py
+++ b/tests/test_slow_groups.py
@@ -1,26 +1,26 @@
-"""Groups with slow boxes give their fast boxes to each other."""
+"""Groups with slow boxes are closed so that their fast boxes form others."""
 
 from __future__ import annotations
 
 import msgspec
 
 from tests.boxes import make_box, make_group, make_life
-from tests.test_forming import BIG, CALLERS, SMALL, pick, plan
+from tests.test_forming import BIG, SMALL, SOME_DEMAND, plan, select_orders
 from waywell.ids import GroupId, ModelName
 from waywell.version.box_report import BoxReport, TimedReport
 from waywell.version.fleet import FleetBox, MemberState
 from waywell.version.forming_memory import ORDER_TIMEOUT_SECONDS, FormingMemory
 from waywell.version.orders import Close, Join, OrderReason
 
-QUIET = {BIG: 2.0, SMALL: 4.0}
-"""Places taken where one group of each model is enough."""
+LOW_DEMAND = {BIG: 2.0, SMALL: 4.0}
+"""Occupied places for which one group of each model is enough."""
 
 
 def make_memory(
     *slow: str,
     lasts: dict[str, ModelName] | None = None,
 ) -> FormingMemory:
-    """Return a memory of some slow boxes, and of what others served last."""
+    """Return a state with some slow boxes and the last models of others."""
     memory = FormingMemory()
     memory.last_models = {
         make_life(name): model for name, model in (lasts or {}).items()
@@ -43,12 +43,12 @@
     memory: FormingMemory,
     now: float = 1.0,
 ) -> set[GroupId]:
-    """Make a plan; return the groups that it closes."""
-    orders = pick(plan(boxes, memory, now, CALLERS), Close)
-    return {one.order.group for one in orders}
+    """Make a plan and return the groups that it closes."""
+    orders = select_orders(plan(boxes, memory, now, SOME_DEMAND), Close)
+    return {assignment.order.group for assignment in orders}
 
 
-def test_two_groups_with_a_slow_box_each_become_a_fast_one() -> None:
+def test_two_groups_with_one_slow_box_each_are_closed_for_a_fast_one() -> None:
     boxes = [
         *make_group('small.1', 'a', 'b'),
         *make_group('small.2', 'c', 'd'),
@@ -60,18 +60,22 @@
     assert len(close_groups(fourth, make_memory('b', 'd'))) == 2
 
 
-def test_an_idle_fast_box_takes_the_place_of_a_slow_one() -> None:
+def test_idle_fast_box_replaces_a_slow_one() -> None:
     boxes = [
         *make_group('small.1', 'a', 'b'),
         *make_group('small.2', 'c', 'd'),
         make_box('spare', staged=('small',)),
     ]
     assert close_groups(boxes, make_memory('b')) == {'small.1'}
-    orders = pick(plan(boxes, make_memory('b'), 1.0, CALLERS), Close)
-    assert [one.reason for one in orders] == [OrderReason.SLOW_BOX]
+    orders = select_orders(
+        plan(boxes, make_memory('b'), 1.0, SOME_DEMAND), Close
+    )
+    assert [assignment.reason for assignment in orders] == [
+        OrderReason.SLOW_BOX
+    ]
 
 
-def test_boxes_of_other_domains_do_not_help() -> None:
+def test_idle_boxes_of_other_domains_do_not_replace_slow_ones() -> None:
     boxes = [
         *make_group('small.1', 'a', 'b'),
         *make_group('small.2', 'c', 'd'),
@@ -80,7 +84,7 @@
     assert close_groups(boxes, make_memory('b')) == set()
 
 
-def test_half_of_a_models_groups_go_on_serving() -> None:
+def test_half_of_the_groups_of_a_model_keep_serving() -> None:
     boxes = [
         box
         for number in range(6)
@@ -98,9 +102,7 @@
     assert close_groups([*boxes, *spares], memory, 1.2) == set()
 
 
-def test_a_slow_group_of_the_big_model_takes_a_fast_box_of_a_slow_small_one() -> (
-    None
-):
+def test_slow_big_group_gets_a_fast_box_of_a_slow_small_group() -> None:
     boxes = [
         *make_group('big.1', 'a', 'b', 'c', 'd'),
         *stage(make_group('small.2', 'e', 'f'), BIG),
@@ -110,22 +112,24 @@
     assert close_groups(boxes, make_memory('d', 'f')) == {'big.1', 'small.2'}
 
 
-def test_a_new_group_is_made_of_fast_boxes_first() -> None:
+def test_new_group_prefers_fast_boxes() -> None:
     boxes = [make_box(name, staged=('small',)) for name in 'abcd']
     boxes += make_group('small.9', 'x', 'y')
     memory = make_memory('a', 'c', lasts=dict.fromkeys('abcd', SMALL))
-    joins = pick(plan(boxes, memory, 1.0, QUIET), Join)
-    assert {one.box.box for one in joins} == {'b', 'd'}
+    joins = select_orders(plan(boxes, memory, 1.0, LOW_DEMAND), Join)
+    assert {assignment.box.box for assignment in joins} == {'b', 'd'}
 
 
 def test_slow_boxes_serve_where_a_model_is_short_of_places() -> None:
     boxes = [make_box(name, staged=('small',)) for name in 'ab']
     memory = make_memory('a', 'b', lasts=dict.fromkeys('ab', SMALL))
-    joins = pick(plan(boxes, memory, 1.0, CALLERS), Join)
-    assert {one.box.box for one in joins} == {'a', 'b'}
+    joins = select_orders(plan(boxes, memory, 1.0, SOME_DEMAND), Join)
+    assert {assignment.box.box for assignment in joins} == {'a', 'b'}
 
 
-def test_a_group_that_is_closing_gives_nothing_yet() -> None:
+def test_no_slow_group_is_closed_while_another_of_the_domain_is_closing() -> (
+    None
+):
     boxes = [
         *make_group('small.1', 'a', 'b', head_state=MemberState.CLOSING),
         *make_group('small.2', 'c', 'd'),
@@ -137,11 +141,11 @@
     memory = make_memory('b', 'd')
     memory.abandoned[boxes[0].standing.group] = 0.5
     assert close_groups(boxes, memory) == set()
-    # Once the first is gone, the next may follow.
+    # The next group may close once the first one is gone.
     assert close_groups(boxes[2:], make_memory('b', 'd')) == {'small.2'}
 
 
-def test_an_order_to_close_that_was_lost_is_given_again() -> None:
+def test_lost_close_order_is_sent_again() -> None:
     boxes = [
         *make_group('small.1', 'a', 'b'),
         *make_group('small.2', 'c', 'd'),
@@ -150,7 +154,7 @@
     memory = make_memory('b')
     assert close_groups(boxes, memory, 1.0) == {'small.1'}
     assert close_groups(boxes, memory, 1.2) == set()
-    # The head still says that it is open.
+    # The head still reports that it is open.
     assert close_groups(boxes, memory, 1.1 + ORDER_TIMEOUT_SECONDS) == {
         'small.1'
     }
