--- a/tests/holder.py
+++ b/tests/holder.py
@@ -86,7 +86,7 @@
         replica = self.sim_fleet.replicas[box.box]
         if not replica.is_alive or not replica.is_reachable:
             return None
-        return decode_report(box, replica.report(self.changes_behind))
+        return decode_report(box, replica.encode_report(self.changes_behind))
 
 
 class _HeldDuty(FormingDuty):
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -88,7 +88,7 @@
         if operation == 'join':
             return self._apply_join(order)
         own = self.membership
-        if own is None or (own.group, own.epoch) != _name_group(order):
+        if own is None or (own.group, own.epoch) != _get_group_key(order):
             return HTTPStatus.CONFLICT
         if operation == 'leave':
             self.membership = None
@@ -97,7 +97,7 @@
             return self._apply_open(own)
         else:
             self.set_state('ready')
-        return self._begin()
+        return self._record_begun_order()
 
     def restart(self) -> None:
         """Restart under the same id; only the host's weights remain."""
@@ -124,7 +124,7 @@
         if self.membership is not None and self.membership.state == 'joining':
             self.set_state('ready')
 
-    def stands_in(self, other: Membership) -> bool:
+    def is_member_of(self, other: Membership) -> bool:
         """Return whether the replica is alive and in the same group."""
         own = self.membership
         if not self.is_alive or own is None:
@@ -143,7 +143,7 @@
             },
         )
 
-    def report(self, changes_behind: int = 0) -> bytes:
+    def encode_report(self, changes_behind: int = 0) -> bytes:
         """Return a report, outdated by the given number of changes."""
         latest = len(self.reports) - 1
         return json.dumps(
@@ -168,21 +168,21 @@
             'group': None if own is None else own.encode(),
         }
 
-    def _begin(self) -> int:
+    def _record_begun_order(self) -> int:
         self.orders_begun += 1
         self.record_report()
         return HTTPStatus.ACCEPTED
 
     def _apply_stage(self, order: dict[str, Any]) -> int:
         self.staged = (order['model'],)
-        return self._begin()
+        return self._record_begun_order()
 
     def _apply_join(self, order: dict[str, Any]) -> int:
         own = self.membership
         members = tuple(order['members'])
         if order['epoch'] < self.highest_epoch:
             return HTTPStatus.PRECONDITION_FAILED
-        if own is not None and (own.group, own.epoch) == _name_group(order):
+        if own is not None and (own.group, own.epoch) == _get_group_key(order):
             same = own.members == members
             return HTTPStatus.OK if same else HTTPStatus.PRECONDITION_FAILED
         self.sim_fleet.check_join(self, order)
@@ -191,16 +191,16 @@
         if own is not None:
             self.sim_fleet.record_left(self.name, own.group)
         rank = members.index(self.name)
-        group, epoch = _name_group(order)
+        group, epoch = _get_group_key(order)
         self.membership = Membership(group, epoch, members, rank, 'joining')
-        return self._begin()
+        return self._record_begun_order()
 
     def _apply_open(self, own: Membership) -> int:
         if own.state != 'ready':
             return HTTPStatus.CONFLICT
         self.sim_fleet.check_open(own)
         self.set_state('open')
-        return self._begin()
+        return self._record_begun_order()
 
 
 @attrs.define(eq=False)
@@ -240,7 +240,7 @@
                 continue
             if other.group == order['group'] or other.state != 'open':
                 continue
-            if self._counts_on(other, joining):
+            if self._has_member(other, joining):
                 own = other
                 self.violations.append(
                     f'{joining.name} joins {order["group"]} while'
@@ -255,7 +255,7 @@
         """Record when a group lost its first member by a restart."""
         self.lost_at.setdefault(group, self.clock.now)
 
-    def _counts_on(self, open_group: Membership, joining: SimReplica) -> bool:
+    def _has_member(self, open_group: Membership, joining: SimReplica) -> bool:
         """Return whether an open group still has a replica as its member."""
         own = joining.membership
         if own is not None and own.group == open_group.group:
@@ -275,5 +275,5 @@
                 self.violations.append(f'{own.group} opens before {member}')
 
 
-def _name_group(order: dict[str, Any]) -> tuple[str, int]:
+def _get_group_key(order: dict[str, Any]) -> tuple[str, int]:
     return order['group'], order['epoch']
--- a/tests/test_forming_machine.py
+++ b/tests/test_forming_machine.py
@@ -223,7 +223,7 @@
         if own is None or own.rank or own.state != 'open':
             return
         mates = [self.sim_fleet.replicas[name] for name in own.members]
-        if not all(mate.stands_in(own) for mate in mates):
+        if not all(mate.is_member_of(own) for mate in mates):
             replica.set_state('broken')
 
     @rule(choice=ANY)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -162,9 +162,9 @@
     holder.refresh()
     holder.plan()
     joined = {
-        in_flight.box
-        for in_flight in holder.orders.in_flight
-        if in_flight.body['operation'] == 'join' and in_flight is not pending
+        order.box
+        for order in holder.orders.in_flight
+        if order.body['operation'] == 'join' and order is not pending
     }
     assert len(joined) == 2
 
--- a/tests/test_regrouping.py
+++ b/tests/test_regrouping.py
@@ -142,12 +142,12 @@
     found: list[str] = []
     original = DomainChanges.list_candidates
 
-    def note(changes: DomainChanges, domain: object) -> Iterator[object]:
+    def record(changes: DomainChanges, domain: object) -> Iterator[object]:
         boxes = [*domain.idle, *domain.serving]  # type: ignore[attr-defined]
         found.append(str(boxes[0].domain))
         return original(changes, domain)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(DomainChanges, 'list_candidates', note)
+    monkeypatch.setattr(DomainChanges, 'list_candidates', record)
     return found
 
 
--- a/tests/test_silent_domain.py
+++ b/tests/test_silent_domain.py
@@ -80,11 +80,11 @@
     asked: list[str] = []
     read = holder.orders.read_report
 
-    async def note(box: FleetBox) -> BoxReport | None:
+    async def record(box: FleetBox) -> BoxReport | None:
         asked.append(box.box)
         return await read(box)
 
-    holder.orders.read_report = note  # type: ignore[method-assign]
+    holder.orders.read_report = record  # type: ignore[method-assign]
     return asked
 
 
--- a/waywell/version/forming.py
+++ b/waywell/version/forming.py
@@ -176,10 +176,10 @@
         ]
 
     def _assess_groups(self) -> dict[GroupId, GroupStatus]:
-        assess = GroupAssessor(
+        assessor = GroupAssessor(
             self._fleet, self._engine, self._memory, self._now
         )
-        return {group.group: assess.assess(group) for group in self._groups}
+        return {group.group: assessor.assess(group) for group in self._groups}
 
     def _detect_first_start(self) -> None:
         """Record whether no box has ever loaded weights.
@@ -268,21 +268,21 @@
 
     def _list_free(self, statuses: Mapping[GroupId, GroupStatus]) -> Pools:
         """Return the boxes that may join a group, by fabric domain."""
-        held = self._memory.list_joining(self._now)
+        joining = self._memory.list_joining(self._now)
         free: Pools = defaultdict(list)
         for box in self._boxes:
             if box.standing is None:
-                is_free = box.life not in held
+                is_free = box.life not in joining
                 is_free = is_free and not self._may_former_group_serve(
                     box, statuses
                 )
             else:
                 status = statuses.get(box.standing.group)
                 is_free = status is GroupStatus.FREE
-            is_open = box.life not in self._memory.pending
+            has_no_order = box.life not in self._memory.pending
             is_fit = not self._memory.is_unfit(box, self._now)
             is_fit = is_fit and box.box not in self._kept
-            if is_free and is_open and is_fit and not box.leaving:
+            if is_free and has_no_order and is_fit and not box.leaving:
                 free[box.domain].append(box)
         return free
 
--- a/waywell/version/forming_memory.py
+++ b/waywell/version/forming_memory.py
@@ -302,8 +302,8 @@
 
     def is_slow(self, life: BoxLife) -> bool:
         """Return whether a box has reported a slow pace."""
-        reading = self.reports.get(life)
-        return reading is not None and reading.report.is_slow()
+        timed_report = self.reports.get(life)
+        return timed_report is not None and timed_report.report.is_slow()
 
     def has_weights(self, box: FleetBox, model: EngineModel) -> bool:
         """Return whether a box can join a group of a model without a load."""
@@ -328,9 +328,9 @@
 
     def may_order_load(self, box: FleetBox, now: float) -> bool:
         """Return whether a box is free to load and refused none recently."""
-        load_refused_at = self.load_refused_at.get(box.life, -math.inf)
+        refused_at = self.load_refused_at.get(box.life, -math.inf)
         is_asked = box.life in self.staging or box.life in self.pending
-        return not is_asked and now - load_refused_at > LOAD_RETRY_SECONDS
+        return not is_asked and now - refused_at > LOAD_RETRY_SECONDS
 
     def _record_load(
         self,
@@ -407,8 +407,8 @@
         longest = max(model.load_seconds for model in engine.models)
         for life, begun_at in tuple(self.loads.items()):
             is_known = life in self.staging or life in self.pending
-            counted = longest if is_known else PACE_WINDOW_SECONDS
-            if now - begun_at > counted:
+            max_age = longest if is_known else PACE_WINDOW_SECONDS
+            if now - begun_at > max_age:
                 self.loads.pop(life)
         for refusals in (self.load_refused_at, self.unfit):
             for life in tuple(refusals):
--- a/waywell/version/group_status.py
+++ b/waywell/version/group_status.py
@@ -106,11 +106,13 @@
         model: EngineModel,
     ) -> GroupStatus:
         """Assess a group some of whose boxes are loading the model."""
-        seen = self.memory.stalled_since.setdefault(group.group, self.now)
-        patience = (
+        first_seen = self.memory.stalled_since.setdefault(
+            group.group, self.now
+        )
+        timeout = (
             LOAD_TIMEOUT_FACTOR * model.load_seconds + JOIN_TIMEOUT_SECONDS
         )
-        if self.now - seen > patience:
+        if self.now - first_seen > timeout:
             return self._assess_not_serving(group)
         return GroupStatus.PENDING
 
@@ -137,8 +139,10 @@
 
     def _assess_incomplete(self, group: FleetGroup) -> GroupStatus:
         """Assess a group some of whose members are not on the box list."""
-        seen = self.memory.stalled_since.setdefault(group.group, self.now)
-        waited = self.now - seen
+        first_seen = self.memory.stalled_since.setdefault(
+            group.group, self.now
+        )
+        waited = self.now - first_seen
         if self._is_gathering(group):
             return GroupStatus.PENDING
         head = group.head
@@ -170,7 +174,7 @@
         return GroupStatus.HEADLESS
 
     def _is_gathering(self, group: FleetGroup) -> bool:
-        """Return whether the missing members may only not be listed yet."""
+        """Return whether the missing members may just not be listed yet."""
         forming = self.memory.forming.get(group.group)
         if forming is None or not forming.is_fresh(self.now):
             return False
--- a/waywell/version/life_tracker.py
+++ b/waywell/version/life_tracker.py
@@ -156,17 +156,17 @@
     ) -> list[EndedLife]:
         """Apply a newer entry of a box; return the life that is over."""
         standing = known.standing
-        is_same = known.life == box.life
-        own = box.standing
-        if own is not None and own.rank == 0:
-            # An outdated list may have shown the head outside this group.  If
+        is_same_life = known.life == box.life
+        current = box.standing
+        if current is not None and current.rank == 0:
+            # An outdated list may have shown the head outside this group. If
             # the group stayed marked as ended, its members would be joined
             # to other groups while it serves.
-            self._ended_groups.pop(own.group, None)
+            self._ended_groups.pop(current.group, None)
         if standing is not None and standing.rank == 0:
-            if not is_same or not _is_member_of(box, standing):
+            if not is_same_life or not _is_member_of(box, standing):
                 self._ended_groups[standing.group] = now
-        if is_same:
+        if is_same_life:
             return []
         self._ended_lives.pop(box.life, None)
         self._ended_lives[known.life] = now
@@ -191,7 +191,7 @@
 
 def _is_member_of(box: FleetBox, standing: Standing) -> bool:
     """Return whether a box is still in the same group."""
-    own = box.standing
-    if own is None:
+    current = box.standing
+    if current is None:
         return False
-    return (own.group, own.epoch) == (standing.group, standing.epoch)
+    return (current.group, current.epoch) == (standing.group, standing.epoch)
--- a/waywell/version/model_need.py
+++ b/waywell/version/model_need.py
@@ -80,8 +80,12 @@
         Where no box is idle, a change only moves places from one model to
         another, which pays in no other case.
         """
-        loads = [self.get_utilisation(model) for model in self.engine.models]
-        return max(loads) > max(NO_WAIT_LOAD, BALANCED_RATIO * min(loads))
+        utilisations = [
+            self.get_utilisation(model) for model in self.engine.models
+        ]
+        return max(utilisations) > max(
+            NO_WAIT_LOAD, BALANCED_RATIO * min(utilisations)
+        )
 
     def get_cost(self, change: Mapping[ModelName, int]) -> float:
         """Return the callers' loss per second from waiting, in places.
@@ -126,11 +130,12 @@
         return before - self._get_model_cost(model, groups + 1)
 
     def _get_model_cost(self, model: EngineModel, groups: int) -> float:
-        """Return the loss per second of a model's callers for some groups."""
+        """Return a model's loss per second with some number of groups."""
         work = max(MIN_WORK, self._get_work(model))
-        load = work / (max(MIN_GROUPS, groups) * self.engine.places)
+        utilisation = work / (max(MIN_GROUPS, groups) * self.engine.places)
         return work * (
-            max(0.0, load - NO_WAIT_LOAD) ** 2 + LIGHT_LOAD_COST * load
+            max(0.0, utilisation - NO_WAIT_LOAD) ** 2
+            + LIGHT_LOAD_COST * utilisation
         )
 
     def _get_work(self, model: EngineModel) -> float:
--- a/waywell/version/regrouping.py
+++ b/waywell/version/regrouping.py
@@ -241,9 +241,9 @@
 
         A box that joins with another model gives up the weights of the one it
         served. Where that model is short of places, the weights are worth the
-        box's share of one more group. Otherwise, after the loss of a box, the
-        survivors of groups of eight became groups of four of a model with
-        room, and the large model had 1 to 4 of its 6 groups for 10 s.
+        box's share of one more group. At a fixed cost, after the loss of a
+        box, the survivors of groups of eight became groups of four of a model
+        with room, and the large model had 1 to 4 of its 6 groups for 10 s.
         """
         cost = CONVERSION_COST * change.other_conversions
         for model, count in zip(
--- a/waywell/version/staging.py
+++ b/waywell/version/staging.py
@@ -75,7 +75,7 @@
                 continue
             others = self._list_others(box)
             if others and box.life not in self._memory.staging:
-                self._order(box, others[0])
+                self._order_load(box, others[0])
 
     def load_within_pace(self, idle: Pools) -> None:
         """Load missing models, those with the greatest gain for callers first.
@@ -220,7 +220,7 @@
         """Order a load; return whether the weight store's pace allowed it."""
         if not self._memory.may_load(self._need.engine, self._now):
             return False
-        if self._order(box, model):
+        if self._order_load(box, model):
             self._memory.loads[box.life] = self._now
         return True
 
@@ -233,7 +233,7 @@
             and self._memory.load_failures.may_load(model.name)
         ]
 
-    def _order(self, box: FleetBox, model: EngineModel) -> bool:
+    def _order_load(self, box: FleetBox, model: EngineModel) -> bool:
         """Order a load regardless of the pace; return whether it was given."""
         is_given = self._assign(box, Stage(model.name), OrderReason.SPARE)
         if is_given:
