--- a/tests/holder.py
+++ b/tests/holder.py
@@ -1,7 +1,7 @@
-"""A holder of the forming duty before simulated replicas.
+"""A holder of the forming duty with simulated replicas.
 
-The duty is the product's; its orders go through the adapter's words.  An order
-may be left unanswered and carried out at any later time.
+The duty is the real one, and its orders pass through the platform's encoding.
+An order may remain unanswered and be carried out at any later time.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
     compare_fleets,
     note_models,
 )
-from waywell.version.lives import LifeBook
+from waywell.version.life_tracker import LifeTracker
 from waywell.version.orders import Assignment, OrderResult
 
 if TYPE_CHECKING:
-    from tests.replicas import SimHouse, SimReplica
+    from tests.replicas import SimFleet, SimReplica
     from waywell.version.box_report import BoxReport
     from waywell.version.routes import Engine
 
 TURNS = 12
-"""Turns of the event loop after which all tasks wait for something."""
+"""Turns of the event loop after which every task is waiting."""
 
 
 @attrs.define(eq=False)
-class FlyingOrder:
-    """An order that was sent."""
+class InFlightOrder:
+    """An order that was sent and is not carried out yet."""
 
     box: BoxId
     replica: SimReplica
@@ -53,44 +53,44 @@
     answer: asyncio.Future[OrderResult]
 
     def time_out(self) -> None:
-        """Let the holder wait for its answer no longer."""
+        """Let the holder give up waiting for the answer."""
         if not self.answer.done():
             self.answer.set_result(OrderResult.UNKNOWN)
 
     def carry_out(self) -> None:
-        """Let its replica take it, if it lives, and answer if asked still."""
+        """Apply the order to its replica if alive; answer if still awaited."""
         result = OrderResult.UNKNOWN
         if self.replica.is_alive:
-            result = decode_result(self.replica.take(self.body))
+            result = decode_result(self.replica.apply_order(self.body))
         if not self.answer.done():
             self.answer.set_result(result)
 
 
 class SimOrders(BoxOrders):
-    """Sends orders to replicas and keeps them until they are carried out."""
+    """Sends orders to replicas and holds them until they are carried out."""
 
-    def __init__(self, house: SimHouse) -> None:
-        self.house = house
-        self.flying: list[FlyingOrder] = []
+    def __init__(self, sim_fleet: SimFleet) -> None:
+        self.sim_fleet = sim_fleet
+        self.in_flight: list[InFlightOrder] = []
         self.changes_behind = 0
 
     async def give(self, assignment: Assignment, fence: int) -> OrderResult:
         name = assignment.box.box
-        replica = self.house.replicas[name]
+        replica = self.sim_fleet.replicas[name]
         answer = asyncio.get_running_loop().create_future()
         body = encode_order(assignment, fence)
-        self.flying.append(FlyingOrder(name, replica, body, answer))
+        self.in_flight.append(InFlightOrder(name, replica, body, answer))
         return await answer
 
     async def read_report(self, box: FleetBox) -> BoxReport | None:
-        replica = self.house.replicas[box.box]
+        replica = self.sim_fleet.replicas[box.box]
         if not replica.is_alive or not replica.is_reachable:
             return None
-        return decode_report(box, replica.report(self.changes_behind))
+        return decode_report(box, replica.encode_report(self.changes_behind))
 
 
 class _HeldDuty(FormingDuty):
-    """Holds a term without a lease."""
+    """Forming duty that is held without a lease."""
 
     held_term = 0
 
@@ -102,7 +102,7 @@
         return self.held_term
 
     def handle_waiting(self) -> bool:
-        """Handle the messages that wait; answer whether there were any."""
+        """Handle the queued messages; return whether there were any."""
         count = self._inbox.qsize()
         for _message in range(count):
             message = self._inbox.get_nowait()
@@ -111,14 +111,14 @@
 
 
 class Holder:
-    """One node at a time holds the duty; its list may be old."""
+    """Holder of the duty, one node at a time; its box list may be outdated."""
 
-    def __init__(self, house: SimHouse, engine: Engine) -> None:
-        self.house = house
-        self.clock = house.clock
-        self.orders = SimOrders(house)
+    def __init__(self, sim_fleet: SimFleet, engine: Engine) -> None:
+        self.sim_fleet = sim_fleet
+        self.clock = sim_fleet.clock
+        self.orders = SimOrders(sim_fleet)
         self.demand: dict[ModelName, float] = {}
-        self.count_requests: dict[str, int] = {}
+        self.request_counts: dict[str, int] = {}
         self.loop = asyncio.new_event_loop()
         self._entries: dict[str, FleetBox] = {}
         self.last_models: dict[BoxLife, ModelName] = {}
@@ -128,7 +128,7 @@
             eras=EraTracker(),
             fleet=Fleet({}),
             last_models=self.last_models,
-            lives=LifeBook(),
+            lives=LifeTracker(),
             kept=frozenset(),
             get_boxes_age=lambda _now: 0.0,
         )
@@ -136,36 +136,36 @@
         self.duty = self._make_duty()
 
     def close(self) -> None:
-        """End what still runs."""
+        """Stop the duty and close the event loop."""
         self.loop.run_until_complete(self.duty.stop())
         self.loop.close()
 
     def take_over(self) -> None:
-        """Let another node hold the duty; it knows the list only."""
+        """Move the duty to another node, which knows the list only."""
         self.duty.held_term = 0
         self.duty = self._make_duty()
 
     def restart_node(self) -> None:
-        """Let a node hold the duty that saw no list before."""
-        self._outlook.lives = LifeBook()
+        """Move the duty to a node that has seen no list before."""
+        self._outlook.lives = LifeTracker()
         self._outlook.fleet = Fleet({})
         self.last_models.clear()
         self.take_over()
 
     def refresh(self) -> None:
-        """Let the list that the holder sees be true."""
+        """Bring the holder's whole box list up to date."""
         self._entries = {}
-        for name in self.house.replicas:
+        for name in self.sim_fleet.replicas:
             self._read_entry(name)
         self._show_entries()
 
     def refresh_one(self, name: str) -> None:
-        """Let the entry of one replica be true; others may be old."""
+        """Bring one entry of the holder's box list up to date."""
         self._read_entry(name)
         self._show_entries()
 
     def _read_entry(self, name: str) -> None:
-        replica = self.house.replicas[name]
+        replica = self.sim_fleet.replicas[name]
         if replica.is_listed:
             entry = replica.make_entry()
             self._entries[name] = decode_server(name, entry)
@@ -173,12 +173,12 @@
             self._entries.pop(name, None)
 
     def hide(self, *names: str) -> list[FleetBox]:
-        """Take entries off the list; return them as they were."""
+        """Remove entries from the list; return them as they were."""
         hidden = [self._entries.pop(name) for name in names]
         self._show_entries()
         return hidden
 
-    def show_again(self, *entries: FleetBox) -> None:
+    def relist(self, *entries: FleetBox) -> None:
         """Put entries back on the list as they were."""
         self._entries.update({entry.box: entry for entry in entries})
         self._show_entries()
@@ -192,18 +192,18 @@
         self.duty.post(FormingDuty.PlanTick())
         self.run_tasks()
 
-    def hear(self, group: str) -> None:
-        """Tell the holder that a doubted group goes on."""
+    def report_group_heard(self, group: str) -> None:
+        """Report to the holder that a doubted group is heard again."""
         self.duty.post(FormingDuty.Heard(GroupId(group)))
         self.run_tasks()
 
     def ask(self, name: str) -> None:
-        """Let the holder ask a box how it is."""
+        """Let the holder ask a box for its report."""
         self.loop.call_soon(self.duty._survey.ask, self._entries[name])
         self.run_tasks()
 
     def find_head(self, group: str) -> str:
-        """Return the box that takes a group's requests, as listed."""
+        """Return the listed head of a group, which takes its requests."""
         return next(
             name
             for name, box in self._entries.items()
@@ -212,37 +212,37 @@
             and not box.standing.rank
         )
 
-    def doubt(self, group: str) -> None:
-        """Tell the holder that a node hears nothing of a group."""
+    def report_doubt(self, group: str) -> None:
+        """Report to the holder that a node hears nothing from a group."""
         self.duty.post(FormingDuty.Doubted(GroupId(group)))
         self.run_tasks()
 
-    def carry_out(self, flying: FlyingOrder) -> None:
-        """Let an order reach its replica now."""
-        self.orders.flying.remove(flying)
-        flying.carry_out()
+    def carry_out(self, order: InFlightOrder) -> None:
+        """Carry out an order now."""
+        self.orders.in_flight.remove(order)
+        order.carry_out()
         self.run_tasks()
 
     def carry_out_all(self) -> None:
-        """Let all orders reach their replicas, in the order of sending."""
-        while self.orders.flying:
-            self.carry_out(self.orders.flying[0])
+        """Carry out all orders, in the order of sending."""
+        while self.orders.in_flight:
+            self.carry_out(self.orders.in_flight[0])
 
-    def time_out(self, flying: FlyingOrder) -> None:
-        """Let an order wait on; the holder gets no answer."""
-        flying.time_out()
+    def time_out(self, order: InFlightOrder) -> None:
+        """Let the holder give up waiting for an order that stays in flight."""
+        order.time_out()
         self.run_tasks()
 
-    def find_flying(self, box: str, operation: str) -> list[FlyingOrder]:
-        """Return the orders of a kind that are on their way to a box."""
+    def find_in_flight(self, box: str, operation: str) -> list[InFlightOrder]:
+        """Return the orders of a kind that are in flight to a box."""
         return [
-            one
-            for one in self.orders.flying
-            if one.box == box and one.body['operation'] == operation
+            order
+            for order in self.orders.in_flight
+            if order.box == box and order.body['operation'] == operation
         ]
 
     def run_tasks(self) -> None:
-        """Run what can run until all waits for boxes."""
+        """Run until all tasks wait for boxes."""
         self.loop.run_until_complete(self._run_turns())
 
     async def _run_turns(self) -> None:
@@ -256,7 +256,7 @@
         before, after = self._outlook.fleet, Fleet(dict(self._entries))
         change = compare_fleets(before, after)
         note_models(self.last_models, before, change)
-        self._outlook.lives.note(after, change, self.clock.now)
+        self._outlook.lives.update(after, change, self.clock.now)
         self._outlook.fleet = after
 
     def _make_duty(self) -> _HeldDuty:
@@ -270,7 +270,7 @@
             2.0,
             FormingSources(
                 lambda _now: self.demand,
-                lambda life: self.count_requests.get(life.box, 0),
+                lambda life: self.request_counts.get(life.box, 0),
             ),
         )
         duty.held_term = self._term
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -1,11 +1,11 @@
-"""Model replicas that take orders as the platform's page tells, unconnected.
+"""Simulated model replicas that carry out orders as the platform specifies.
 
-A replica may start again under its id: then it stands in no group, has begun
-no orders and refuses no epoch, while the head of its former group goes on until
-it breaks by itself.
+A replica may restart under its id: it is then in no group, has begun no orders
+and refuses no epoch, while the head of its former group continues until it
+breaks by itself.
 
-They speak the protocol's words, so that what they do with an order depends on
-nothing but what is sent.
+Replicas are not connected to a network. They use the terms of the protocol, so
+that the effect of an order depends only on what is sent.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from tests.held_clock import HeldClock
 
 DOMAIN = 'd0'
-"""Fabric domain of replicas that are in no other."""
+"""Fabric domain of replicas without another one."""
 
 STALL_SECONDS = 6.0
-"""For which a head goes on that has lost a member."""
+"""How long a head that has lost a member continues."""
 
 
 @attrs.frozen
 class Membership:
-    """A replica's place in a group, as it stands."""
+    """Current place of a replica in a group."""
 
     group: str
     epoch: int
@@ -37,7 +37,7 @@
     state: str
 
     def encode(self) -> dict[str, Any]:
-        """Return what reports and entries tell of it."""
+        """Return the group part of reports and entries."""
         return {
             'name': self.group,
             'epoch': self.epoch,
@@ -48,92 +48,93 @@
 
 @attrs.define(eq=False)
 class SimReplica:
-    """A replica, in its present life.
+    """A replica in its current life.
 
     Parameters
     ----------
     name
-        Its id.
-    house
-        All replicas, which share what the rules say of groups.
+        Id of the replica.
+    sim_fleet
+        All replicas, which share the rules for groups.
     """
 
     name: str
-    house: SimHouse
+    sim_fleet: SimFleet
     domain: str = DOMAIN
     is_alive: bool = True
     is_listed: bool = True
     is_reachable: bool = True
     born: int = 1
     orders_begun: int = 0
-    highest: int = 0
+    highest_epoch: int = 0
     staged: tuple[str, ...] = ()
     membership: Membership | None = None
-    told: list[dict[str, Any]] = attrs.Factory(list)
-    """Reports from the oldest on; the last one tells how it is now."""
+    reports: list[dict[str, Any]] = attrs.Factory(list)
+    """All reports, the oldest first; the last one describes the current
+    state."""
 
     def __attrs_post_init__(self) -> None:
-        """Tell the first report."""
-        self.note_change()
+        """Record the first report."""
+        self.record_report()
 
-    def take(self, order: dict[str, Any]) -> int:
+    def apply_order(self, order: dict[str, Any]) -> int:
         """Carry out an order; return the status of the answer."""
         expected = order.get('expect_rev')
         if expected is not None and expected != self.orders_begun:
             return HTTPStatus.CONFLICT
         operation = order['operation']
         if operation == 'stage':
-            return self._take_stage(order)
+            return self._apply_stage(order)
         if operation == 'join':
-            return self._take_join(order)
+            return self._apply_join(order)
         own = self.membership
-        if own is None or (own.group, own.epoch) != _name_group(order):
+        if own is None or (own.group, own.epoch) != _get_group_key(order):
             return HTTPStatus.CONFLICT
         if operation == 'leave':
             self.membership = None
-            self.house.note_left(self.name, own.group)
+            self.sim_fleet.record_left(self.name, own.group)
         elif operation == 'open':
-            return self._take_open(own)
+            return self._apply_open(own)
         else:
             self.set_state('ready')
-        return self._begin()
+        return self._record_begun_order()
 
     def restart(self) -> None:
-        """Start again under the same id; only the host keeps what it had."""
+        """Restart under the same id; only the host's weights remain."""
         if self.membership is not None:
-            self.house.note_loss(self.membership.group)
+            self.sim_fleet.record_loss(self.membership.group)
         self.is_alive = True
         self.born += 1
         self.orders_begun = 0
-        self.highest = 0
+        self.highest_epoch = 0
         self.membership = None
-        self.told = []
-        self.note_change()
+        self.reports = []
+        self.record_report()
 
     def set_state(self, state: str) -> None:
-        """Change how it stands in its group."""
+        """Change the state of the replica in its group."""
         assert self.membership is not None
         self.membership = attrs.evolve(self.membership, state=state)
         if state == 'ready':
-            self.house.note_ready(self)
-        self.note_change()
+            self.sim_fleet.record_ready(self)
+        self.record_report()
 
     def finish_load(self) -> None:
-        """Be ready, where it joins a group."""
+        """Become ready if joining a group."""
         if self.membership is not None and self.membership.state == 'joining':
             self.set_state('ready')
 
-    def stands_in(self, other: Membership) -> bool:
-        """Answer whether it lives, as a member of the same group."""
+    def is_member_of(self, other: Membership) -> bool:
+        """Return whether the replica is alive and in the same group."""
         own = self.membership
         if not self.is_alive or own is None:
             return False
         return (own.group, own.epoch) == (other.group, other.epoch)
 
-    def note_change(self) -> None:
-        """Tell how it is now."""
+    def record_report(self) -> None:
+        """Record a report of the current state."""
         own = self.membership
-        self.told.append(
+        self.reports.append(
             {
                 'born': self.born,
                 'seq_no': self.orders_begun,
@@ -142,13 +143,15 @@
             },
         )
 
-    def report(self, changes_behind: int = 0) -> bytes:
-        """Return a report, perhaps one from before the last changes."""
-        latest = len(self.told) - 1
-        return json.dumps(self.told[max(0, latest - changes_behind)]).encode()
+    def encode_report(self, changes_behind: int = 0) -> bytes:
+        """Return a report, outdated by the given number of changes."""
+        latest = len(self.reports) - 1
+        return json.dumps(
+            self.reports[max(0, latest - changes_behind)]
+        ).encode()
 
     def make_entry(self) -> dict[str, Any]:
-        """Return its entry in the list as it is now."""
+        """Return the current entry of the replica in the box list."""
         own = self.membership
         return {
             'service': 'llm',
@@ -158,102 +161,102 @@
             'slots': 9,
             'state': 'ready',
             'cold_left_ms': 0,
-            'seq_no': len(self.told),
+            'seq_no': len(self.reports),
             'born': self.born,
             'domain': self.domain,
             'staged': list(self.staged),
             'group': None if own is None else own.encode(),
         }
 
-    def _begin(self) -> int:
+    def _record_begun_order(self) -> int:
         self.orders_begun += 1
-        self.note_change()
+        self.record_report()
         return HTTPStatus.ACCEPTED
 
-    def _take_stage(self, order: dict[str, Any]) -> int:
+    def _apply_stage(self, order: dict[str, Any]) -> int:
         self.staged = (order['model'],)
-        return self._begin()
+        return self._record_begun_order()
 
-    def _take_join(self, order: dict[str, Any]) -> int:
+    def _apply_join(self, order: dict[str, Any]) -> int:
         own = self.membership
         members = tuple(order['members'])
-        if order['epoch'] < self.highest:
+        if order['epoch'] < self.highest_epoch:
             return HTTPStatus.PRECONDITION_FAILED
-        if own is not None and (own.group, own.epoch) == _name_group(order):
+        if own is not None and (own.group, own.epoch) == _get_group_key(order):
             same = own.members == members
             return HTTPStatus.OK if same else HTTPStatus.PRECONDITION_FAILED
-        self.house.check_join(self, order)
-        self.highest = order['epoch']
+        self.sim_fleet.check_join(self, order)
+        self.highest_epoch = order['epoch']
         self.staged = (order['model'],)
         if own is not None:
-            self.house.note_left(self.name, own.group)
+            self.sim_fleet.record_left(self.name, own.group)
         rank = members.index(self.name)
-        group, epoch = _name_group(order)
+        group, epoch = _get_group_key(order)
         self.membership = Membership(group, epoch, members, rank, 'joining')
-        return self._begin()
+        return self._record_begun_order()
 
-    def _take_open(self, own: Membership) -> int:
+    def _apply_open(self, own: Membership) -> int:
         if own.state != 'ready':
             return HTTPStatus.CONFLICT
-        self.house.check_open(own)
+        self.sim_fleet.check_open(own)
         self.set_state('open')
-        return self._begin()
+        return self._record_begun_order()
 
 
 @attrs.define(eq=False)
-class SimHouse:
-    """All replicas, with the rules that hold for their groups."""
+class SimFleet:
+    """All replicas, with the rules that their groups must keep."""
 
     replicas: dict[str, SimReplica] = attrs.Factory(dict)
     was_ready: set[tuple[str, str, int]] = attrs.Factory(set)
-    broken: list[str] = attrs.Factory(list)
-    """Rules that were broken, in words."""
+    violations: list[str] = attrs.Factory(list)
+    """Descriptions of the rules that were violated."""
 
     clock: HeldClock = attrs.Factory(HeldClock)
-    """Where the time is read."""
+    """Source of the current time."""
 
     left: dict[str, set[str]] = attrs.Factory(lambda: defaultdict(set))
-    """Replicas that left a group, by the group."""
+    """Replicas that left a group, by group."""
 
     lost_at: dict[str, float] = attrs.Factory(dict)
-    """When a group lost a member by a restart, in seconds."""
+    """When a group first lost a member by a restart, in seconds."""
 
     def add(self, name: str, staged: tuple[str, ...] = ()) -> SimReplica:
         """Start a replica under a new id."""
         self.replicas[name] = SimReplica(name, self, staged=staged)
         return self.replicas[name]
 
-    def note_ready(self, replica: SimReplica) -> None:
-        """Remember that a member was ready in its group."""
+    def record_ready(self, replica: SimReplica) -> None:
+        """Record that a member was ready in its group."""
         own = replica.membership
         assert own is not None
         self.was_ready.add((replica.name, own.group, own.epoch))
 
     def check_join(self, joining: SimReplica, order: dict[str, Any]) -> None:
-        """Note a join that comes while the replica's group serves."""
+        """Record a violation if a replica joins while its group serves."""
         for head in self.replicas.values():
             other = head.membership
             if not head.is_alive or other is None or other.rank:
                 continue
             if other.group == order['group'] or other.state != 'open':
                 continue
-            if self._counts_on(other, joining):
+            if self._has_member(other, joining):
                 own = other
-                self.broken.append(
+                self.violations.append(
                     f'{joining.name} joins {order["group"]} while'
                     f' {own.group} is open',
                 )
 
-    def note_left(self, name: str, group: str) -> None:
-        """Remember that a replica has left a group in good order."""
+    def record_left(self, name: str, group: str) -> None:
+        """Record that a replica has left a group by order."""
         self.left[group].add(name)
 
-    def note_loss(self, group: str) -> None:
-        """Remember when a group lost its first member by a restart."""
+    def record_loss(self, group: str) -> None:
+        """Record when a group lost its first member by a restart."""
         self.lost_at.setdefault(group, self.clock.now)
 
-    def _counts_on(self, open_group: Membership, joining: SimReplica) -> bool:
-        """Answer whether an open group still has a replica as its member."""
+    def _has_member(self, open_group: Membership, joining: SimReplica) -> bool:
+        """Return whether an open group still has a replica as its member."""
         own = joining.membership
         if own is not None and own.group == open_group.group:
             return True
@@ -266,11 +269,11 @@
         return self.clock.now - lost_at < STALL_SECONDS
 
     def check_open(self, own: Membership) -> None:
-        """Note a group that opens before all its members were ready."""
+        """Record a violation if a group opens before members were ready."""
         for member in own.members:
             if (member, own.group, own.epoch) not in self.was_ready:
-                self.broken.append(f'{own.group} opens before {member}')
+                self.violations.append(f'{own.group} opens before {member}')
 
 
-def _name_group(order: dict[str, Any]) -> tuple[str, int]:
+def _get_group_key(order: dict[str, Any]) -> tuple[str, int]:
     return order['group'], order['epoch']
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -13,7 +13,7 @@
 from waywell.version.fleet import Fleet
 from waywell.version.forming import FormingPlanner, FormingView
 from waywell.version.forming_memory import FormingMemory
-from waywell.version.joining import check_joins
+from waywell.version.join_check import check_joins
 from waywell.version.orders import Assignment, Join, OrderResult
 
 if TYPE_CHECKING:
@@ -168,7 +168,7 @@
     ) -> None:
         check = check_joins(joins, reports)
         if check.unfit:
-            self._memory.note_not_formed(
+            self._memory.record_not_formed(
                 group, check.unfit, self._timeline.now
             )
         for join in check.joins:
@@ -198,4 +198,4 @@
         assignment: Assignment,
         result: OrderResult,
     ) -> None:
-        self._memory.note_result(assignment, result, self._timeline.now)
+        self._memory.record_result(assignment, result, self._timeline.now)
