--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -12,7 +12,7 @@
 from tests.boxes import make_fleet, make_group
 from tests.held_clock import HeldClock
 from tests.lone_quarantine import LoneQuarantine
-from tests.lone_turns import LoneTurns
+from tests.lone_rate_limiter import LoneRateLimiter
 from waywell.codes import Refusal
 from waywell.connection.body_end import BodyEnd, BodyOutcome
 from waywell.connection.exchange import SendFault
@@ -148,7 +148,7 @@
         )
         self.outlook = outlook
         self.quarantine = LoneQuarantine(self.clock)
-        self.turns = LoneTurns(self.clock)
+        self.turns = LoneRateLimiter(self.clock)
         self.paths = HeldPaths()
         self.budget = ResendBudget(ResendLimits(0.2, 90.0, 10.0), 0.0)
         self.forwarder = Forwarder(
--- a/tests/lone_turns.py
+++ b/tests/lone_rate_limiter.py
@@ -7,20 +7,20 @@
 
 from tests.lone_gossip import LoneGossip
 from tests.lone_quarantine import NotedLinks
-from waywell.limits.turns import START_SECONDS, Turns
+from waywell.limits.rate_limiter import STARTUP_SECONDS, RateLimiter
 
 if TYPE_CHECKING:
     from tests.held_clock import HeldClock
 
 
-class LoneTurns(Turns):
+class LoneRateLimiter(RateLimiter):
     """Deals all turns itself, as a node does that has run for a while."""
 
     def __init__(self, clock: HeldClock) -> None:
         """Know of no limit."""
         self.noted = NotedLinks()
         started = clock.now
-        clock.now = started - START_SECONDS
+        clock.now = started - STARTUP_SECONDS
         super().__init__(
             LoneGossip('own'), self.noted, clock, Random(1), lambda: True
         )
--- a/tests/test_turn_dealer.py
+++ b/tests/test_permit_issuer.py
@@ -21,10 +21,14 @@
 from waywell.bench.turn_fleet import HALL, LIFE, TurnFleet, TurnNode
 from waywell.connection.named_limit import NO_LIMIT
 from waywell.ids import HallName, Incarnation, NodeId
-from waywell.limits.dealers import DEALERS, DealerChoice, NodeView
-from waywell.limits.named_limits import LimitWord, NamedLimits
-from waywell.limits.turn_bucket import URGENT_TURNS, TurnBucket
-from waywell.limits.turn_dealer import HANDOVER_SECONDS, TurnDealer
+from waywell.limits.issuer_assignment import (
+    ISSUERS_PER_REPLICA,
+    IssuerAssignment,
+    MembershipView,
+)
+from waywell.limits.permit_bucket import MAX_URGENT_PERMITS, PermitBucket
+from waywell.limits.permit_issuer import HANDOVER_SECONDS, PermitIssuer
+from waywell.limits.reported_limits import LimitReport, ReportedLimits
 from waywell.version.fleet import BoxLife
 from waywell.version.lives import EndedLife
 
@@ -128,10 +132,10 @@
     def join(self) -> None:
         if len(self.fleet.nodes) < 9:
             node = self.add_node()
-            word = LimitWord(
+            word = LimitReport(
                 self.limit, self.named_at, self.named_at, self.named_at, HALL
             )
-            node.limits.note(LIFE, word, 'test')
+            node.limits.record(LIFE, word, 'test')
 
     @rule(limit=st.sampled_from((0.0, 0.2, 1.0, 5.0, 50.0)))
     def name(self, limit: float) -> None:
@@ -209,8 +213,8 @@
         for node in fleet.nodes.values()
         if not node.dealer.dump().get(LIFE.box, {}).get('turns')
     )
-    assert not new.deal(LIFE, 0, 10.0 + HANDOVER_SECONDS).turns
-    assert new.deal(LIFE, 0, 14.0 + HANDOVER_SECONDS).turns
+    assert not new.grant(LIFE, 0, 10.0 + HANDOVER_SECONDS).permits
+    assert new.grant(LIFE, 0, 14.0 + HANDOVER_SECONDS).permits
 
 
 def test_new_dealers_wait_while_others_do_not_know_of_them() -> None:
@@ -221,7 +225,7 @@
     for number in range(40):
         # Those that join at one moment know those of before, not each other.
         node = fleet.add(f'joined{number}')
-        node.limits.note(LIFE, LimitWord(limit, 0, 0, 0, HALL), 'test')
+        node.limits.record(LIFE, LimitReport(limit, 0, 0, 0, HALL), 'test')
         node.see({one.name: one.hall for one in (*before, node)}, 5)
     for step in range(1, 201):
         now = 6.0 + step * 0.05
@@ -242,34 +246,36 @@
 
 
 def test_less_urgent_requests_come_behind_and_are_not_starved() -> None:
-    bucket = TurnBucket(1.0, 1.0, 0.0)
+    bucket = PermitBucket(1.0, 1.0, 0.0)
     dealt = []
     for step in range(1, 401):
         for rank in (5, 0):
-            if bucket.deal(rank, 1, step * 0.1).turns:
+            if bucket.grant(rank, 1, step * 0.1).permits:
                 dealt.append(rank)
-    assert dealt.count(5) >= len(dealt) / (URGENT_TURNS + 2)
+    assert dealt.count(5) >= len(dealt) / (MAX_URGENT_PERMITS + 2)
     assert dealt.count(0) >= len(dealt) / 2
 
 
 def test_nodes_of_the_replicas_hall_deal_where_there_are_some() -> None:
     halls = {NodeId(f'n{number}'): HallName('far') for number in range(6)}
     near = {NodeId('near'): HALL}
-    choice = DealerChoice(NodeView(NodeId('near'), halls | near, 7))
+    choice = IssuerAssignment(MembershipView(NodeId('near'), halls | near, 7))
     assert choice.choose(LIFE.box, HALL) == ('near',)
-    choice = DealerChoice(NodeView(NodeId('n0'), halls, 7))
-    assert len(choice.choose(LIFE.box, HALL)) == DEALERS
+    choice = IssuerAssignment(MembershipView(NodeId('n0'), halls, 7))
+    assert len(choice.choose(LIFE.box, HALL)) == ISSUERS_PER_REPLICA
 
 
 def test_a_limit_ends_with_the_life_of_its_box() -> None:
-    limits = NamedLimits()
-    limits.note(LIFE, LimitWord(1.0, 0.0, 0.0, 0.0, HALL), 'own')
-    dealer = TurnDealer(limits)
-    choice = DealerChoice(NodeView(NodeId('a'), {NodeId('a'): HALL}, 1))
-    dealer.tend(choice, 0.0)
+    limits = ReportedLimits()
+    limits.record(LIFE, LimitReport(1.0, 0.0, 0.0, 0.0, HALL), 'own')
+    dealer = PermitIssuer(limits)
+    choice = IssuerAssignment(
+        MembershipView(NodeId('a'), {NodeId('a'): HALL}, 1)
+    )
+    dealer.update(choice, 0.0)
     assert dealer.dump()
     limits.forget_ended([EndedLife(LIFE, None)])
-    dealer.tend(choice, 0.1)
+    dealer.update(choice, 0.1)
     assert not dealer.dump()
     later = BoxLife(LIFE.box, Incarnation(2))
     assert limits.get(later) == NO_LIMIT
--- a/tests/test_turns.py
+++ b/tests/test_rate_limiter.py
@@ -9,7 +9,7 @@
 
 from tests.forwarder_stage import Stage
 from tests.held_clock import HeldClock
-from tests.lone_turns import LoneTurns
+from tests.lone_rate_limiter import LoneRateLimiter
 from tests.test_membership import make_record
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
@@ -21,7 +21,7 @@
     TurnAsk,
 )
 from waywell.ids import BoxId, HallName, Incarnation, NodeId
-from waywell.limits.turns import START_SECONDS, TURN_SECONDS
+from waywell.limits.rate_limiter import PERMIT_SECONDS, STARTUP_SECONDS
 from waywell.membership.links import PeerLinks
 from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
@@ -40,11 +40,11 @@
 
 
 @pytest.fixture
-def turns() -> LoneTurns:
-    return LoneTurns(HeldClock())
+def turns() -> LoneRateLimiter:
+    return LoneRateLimiter(HeldClock())
 
 
-def tell(turns: LoneTurns, message: Any) -> None:
+def tell(turns: LoneRateLimiter, message: Any) -> None:
     turns.on_received(PeerLinks.Received(OTHER, message))
 
 
@@ -53,16 +53,16 @@
     return LimitTold(LIFE.box, LIFE.incarnation, HALL, limit, sent, heard, 9.0)
 
 
-def take(turns: LoneTurns) -> Any:
+def take(turns: LoneRateLimiter) -> Any:
     return asyncio.run(turns.take_turn(LIFE, HALL, 0))
 
 
-def meet_dealers(turns: LoneTurns) -> None:
+def meet_dealers(turns: LoneRateLimiter) -> None:
     """Let other nodes stand in the replica's hall, until they deal."""
     now = turns._clock.read()
     turns._links.has_peer = lambda _node: True  # type: ignore[method-assign]
     for number in range(50):
-        turns.tend(now)
+        turns.refresh(now)
         if 'own' not in turns._choice.choose(LIFE.box, HALL):
             return
         turns._gossip.table.merge(make_record(f'n{number}'), now)
@@ -70,7 +70,7 @@
 
 
 def test_a_change_of_a_limit_is_told_to_all_and_passed_on(
-    turns: LoneTurns,
+    turns: LoneRateLimiter,
 ) -> None:
     now = turns._clock.read()
     turns.note_answer(LIFE, HALL, 1.0, now - 0.1)
@@ -83,7 +83,9 @@
     assert len(turns.noted.passed) == 1
 
 
-def test_a_node_that_knows_a_later_word_says_so(turns: LoneTurns) -> None:
+def test_a_node_that_knows_a_later_word_says_so(
+    turns: LoneRateLimiter,
+) -> None:
     now = turns._clock.read()
     turns.note_answer(LIFE, HALL, 1.0, now - 5.0)
     turns._clock.now += 1.0
@@ -97,7 +99,7 @@
 
 @pytest.mark.parametrize('gap', [-0.2, -0.01, 0.0, 0.01, 0.04, 0.06, 0.2])
 def test_two_nodes_that_differ_soon_agree(gap: float) -> None:
-    first, second = LoneTurns(HeldClock()), LoneTurns(HeldClock())
+    first, second = LoneRateLimiter(HeldClock()), LoneRateLimiter(HeldClock())
     first.note_answer(LIFE, HALL, 1.0, first._clock.now - 0.1)
     second._clock.now += gap
     second.note_answer(LIFE, HALL, 2.0, second._clock.now)
@@ -116,28 +118,28 @@
 
 
 def test_a_peer_that_may_have_missed_words_gets_them_all(
-    turns: LoneTurns,
+    turns: LoneRateLimiter,
 ) -> None:
     turns.note_answer(LIFE, HALL, 1.0, 0.0)
     turns.on_opened(PeerLinks.Opened(make_record('other')))
     ((_node, known),) = turns.noted.sent
-    other = LoneTurns(HeldClock())
+    other = LoneRateLimiter(HeldClock())
     tell(other, known)
     assert isinstance(known, KnownLimits)
     assert other.get_limit(LIFE) == 1.0
 
 
-def test_a_turn_lapses(turns: LoneTurns) -> None:
+def test_a_turn_lapses(turns: LoneRateLimiter) -> None:
     turns.note_answer(LIFE, HALL, 1.0, 0.0)
     turn = take(turns)
     now = turns._clock.read()
     assert turns.may_send(LIFE, turn, now)
-    assert not turns.may_send(LIFE, turn, now + TURN_SECONDS)
+    assert not turns.may_send(LIFE, turn, now + PERMIT_SECONDS)
     assert not turns.may_send(LIFE, None, now)
 
 
 def test_a_node_that_got_no_turn_does_not_ask_at_once_again(
-    turns: LoneTurns,
+    turns: LoneRateLimiter,
 ) -> None:
     turns.note_answer(LIFE, HALL, 0.2, 0.0)
     while take(turns) is not None:
@@ -152,18 +154,18 @@
 
 
 def test_a_node_that_just_started_deals_nothing() -> None:
-    turns = LoneTurns(HeldClock())
-    turns._deals_from = turns._clock.read() + START_SECONDS
+    turns = LoneRateLimiter(HeldClock())
+    turns._deals_from = turns._clock.read() + STARTUP_SECONDS
     turns.note_answer(LIFE, HALL, 100.0, 0.0)
     assert take(turns) is None
-    turns._clock.now += START_SECONDS + 3.0
-    turns.tend(turns._clock.now)
+    turns._clock.now += STARTUP_SECONDS + 3.0
+    turns.refresh(turns._clock.now)
     turns._clock.now += 5.0
     assert take(turns) is not None
 
 
 def test_a_dealer_answers_others_and_learns_the_limit_from_them(
-    turns: LoneTurns,
+    turns: LoneRateLimiter,
 ) -> None:
     tell(turns, TurnAsk(7, make_told(1.0, 0.1, 0.0), 0))
     assert turns.get_limit(LIFE) == 1.0
@@ -176,7 +178,7 @@
 
 
 def test_a_silent_dealer_is_given_up_and_its_late_turn_is_used(
-    turns: LoneTurns,
+    turns: LoneRateLimiter,
 ) -> None:
     turns.note_answer(LIFE, HALL, 1.0, 0.0)
     meet_dealers(turns)
@@ -190,7 +192,7 @@
 
 
 def test_a_limit_lasts_no_longer_than_the_replica_says_so(
-    turns: LoneTurns,
+    turns: LoneRateLimiter,
 ) -> None:
     now = turns._clock.read()
     turns.note_answer(LIFE, HALL, 0.0, now)
@@ -237,7 +239,9 @@
     asyncio.run(play())
 
 
-def test_a_request_asks_few_replicas_for_a_turn(turns: LoneTurns) -> None:
+def test_a_request_asks_few_replicas_for_a_turn(
+    turns: LoneRateLimiter,
+) -> None:
     now = turns._clock.read()
     free = BoxLife(BoxId('b'), Incarnation(1))
     turns.note_answer(LIFE, HALL, 1.0, now)
--- a/waywell/bench/turn_fleet.py
+++ b/waywell/bench/turn_fleet.py
@@ -12,9 +12,9 @@
 import attrs
 
 from waywell.ids import BoxId, HallName, Incarnation, NodeId
-from waywell.limits.dealers import DealerChoice, NodeView
-from waywell.limits.named_limits import LimitWord, NamedLimits
-from waywell.limits.turn_dealer import TurnDealer
+from waywell.limits.issuer_assignment import IssuerAssignment, MembershipView
+from waywell.limits.permit_issuer import PermitIssuer
+from waywell.limits.reported_limits import LimitReport, ReportedLimits
 from waywell.version.fleet import BoxLife
 
 if TYPE_CHECKING:
@@ -34,14 +34,14 @@
 
     name: NodeId
     hall: HallName
-    limits: NamedLimits = attrs.Factory(NamedLimits)
+    limits: ReportedLimits = attrs.Factory(ReportedLimits)
     part: int = 0
-    choice: DealerChoice = attrs.field(init=False)
-    dealer: TurnDealer = attrs.field(init=False)
+    choice: IssuerAssignment = attrs.field(init=False)
+    dealer: PermitIssuer = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """See nobody else yet."""
-        self.dealer = TurnDealer(self.limits)
+        self.dealer = PermitIssuer(self.limits)
         self.see({self.name: self.hall}, 1, is_placed=False)
 
     def see(
@@ -52,8 +52,8 @@
         is_placed: bool = True,
     ) -> None:
         """See other nodes from now on."""
-        view = NodeView(self.name, dict(halls), known, is_placed)
-        self.choice = DealerChoice(view)
+        view = MembershipView(self.name, dict(halls), known, is_placed)
+        self.choice = IssuerAssignment(view)
 
 
 class TurnFleet:
@@ -90,19 +90,19 @@
             if other.part == node.part
         }
         known = node.choice.view.halls.keys() | self.nodes.keys()
-        node.see(live, max(node.choice.view.known, len(known)))
+        node.see(live, max(node.choice.view.known_count, len(known)))
 
     def name_limit(self, limit: float, now: float) -> None:
         """Let every node hear of a limit."""
-        word = LimitWord(limit, now, now, now, HALL)
+        word = LimitReport(limit, now, now, now, HALL)
         for node in self.nodes.values():
-            node.limits.note(LIFE, word, 'test')
-            node.dealer.tend(node.choice, now)
+            node.limits.record(LIFE, word, 'test')
+            node.dealer.update(node.choice, now)
 
     def tend(self, now: float) -> None:
         """Let every node look at the limits and the nodes of now."""
         for node in self.nodes.values():
-            node.dealer.tend(node.choice, now)
+            node.dealer.update(node.choice, now)
 
     def ask(self, name: NodeId, now: float, rank: int = 0) -> bool:
         """Let a node send a request, if it gets a turn for it."""
@@ -113,7 +113,7 @@
             other = self.nodes.get(dealer)
             if other is None or other.part != node.part:
                 continue
-            if other.dealer.deal(LIFE, rank, now).turns:
+            if other.dealer.grant(LIFE, rank, now).permits:
                 self.sent.append(now)
                 return True
         return False
--- a/waywell/limits/dealers.py
+++ b/waywell/limits/issuer_assignment.py
@@ -22,17 +22,17 @@
     from waywell.ids import BoxId
     from waywell.membership.membership import MembershipTable
 
-DEALERS = 2
+ISSUERS_PER_REPLICA = 2
 """Nodes that deal the turns of one replica: the second one deals half of them
 while the first is not known to be lost."""
 
-HALL_DEALERS = 8
+ISSUERS_PER_HALL = 8
 """Nodes of a hall that deal at all, so that each node keeps few streams where
 all replicas have a limit."""
 
 
 @attrs.frozen
-class NodeView:
+class MembershipView:
     """The entry boxes as one of them sees them."""
 
     own: NodeId
@@ -41,19 +41,19 @@
     halls: dict[NodeId, HallName]
     """Data halls of the nodes that are live."""
 
-    known: int
+    known_count: int
     """Nodes that are live, or were lost without having left."""
 
     is_placed: bool = True
     """Whether it knows that it knows the others, or that there are none."""
 
     @property
-    def part(self) -> float:
+    def live_fraction(self) -> float:
         """Return the part of the known nodes that is live here."""
-        return len(self.halls) / max(1, self.known)
+        return len(self.halls) / max(1, self.known_count)
 
 
-class DealerChoice:
+class IssuerAssignment:
     """Chooses the dealers of replicas in one view, and remembers them.
 
     Parameters
@@ -62,7 +62,7 @@
         The view.
     """
 
-    def __init__(self, view: NodeView) -> None:
+    def __init__(self, view: MembershipView) -> None:
         """Choose nothing yet."""
         self.view = view
         self._by_hall: dict[HallName, list[NodeId]] = {}
@@ -83,7 +83,9 @@
         """
         chosen = self._by_box.get((box, hall))
         if chosen is None:
-            chosen = tuple(_rank(self._list_dealing(hall), box)[:DEALERS])
+            chosen = tuple(
+                _rank(self._list_dealing(hall), box)[:ISSUERS_PER_REPLICA]
+            )
             self._by_box[box, hall] = chosen
         return chosen
 
@@ -95,19 +97,19 @@
             near = [
                 node for node, its_hall in halls.items() if its_hall == hall
             ]
-            dealing = _rank(near or halls, hall)[:HALL_DEALERS]
+            dealing = _rank(near or halls, hall)[:ISSUERS_PER_HALL]
             self._by_hall[hall] = dealing
         return dealing
 
 
-def make_view(table: MembershipTable, *, is_placed: bool) -> NodeView:
+def make_view(table: MembershipTable, *, is_placed: bool) -> MembershipView:
     """Return how a membership table shows the nodes."""
     known = sum(
         not record.was_leaving and record.state is not NodeState.LEAVING
         for record in table.records
     )
     halls = {record.node: record.hall for record in table.list_live()}
-    return NodeView(table.own.node, halls, known, is_placed)
+    return MembershipView(table.own.node, halls, known, is_placed)
 
 
 def _rank(nodes: Iterable[NodeId], name: str) -> list[NodeId]:
--- a/waywell/limits/turn_dealer.py
+++ b/waywell/limits/permit_issuer.py
@@ -9,26 +9,30 @@
 
 from typing import TYPE_CHECKING
 
-from waywell.limits.turn_bucket import SHORTEST_WAIT, Deal, TurnBucket
+from waywell.limits.permit_bucket import (
+    MIN_RETRY_SECONDS,
+    PermitBucket,
+    PermitGrant,
+)
 from waywell.telemetry.events import log_event
 
 if TYPE_CHECKING:
-    from waywell.limits.dealers import DealerChoice
-    from waywell.limits.named_limits import LimitWord, NamedLimits
+    from waywell.limits.issuer_assignment import IssuerAssignment
+    from waywell.limits.reported_limits import LimitReport, ReportedLimits
     from waywell.version.fleet import BoxLife
 
-TRIAL_RATE = 0.2
+MIN_RATE = 0.2
 """Requests a second that a replica gets at least, from all nodes: one that
 names 0 is only heard to have taken it back in an answer."""
 
-HELD_TURNS = 2.0
+BURST_PERMITS = 2.0
 """Turns that a bucket holds at most beside those of a moment."""
 
-HELD_SECONDS = 0.1
+BURST_SECONDS = 0.1
 """Moment of the rate that a bucket holds as well, so that high limits are
 dealt in few messages."""
 
-NEW_SECONDS = 1.5
+NEW_LIMIT_SECONDS = 1.5
 """After a replica's first word of a limit, in which its dealers begin with a
 full bucket: no other node has dealt before."""
 
@@ -37,7 +41,7 @@
 it is none any more."""
 
 
-class TurnDealer:
+class PermitIssuer:
     """Deals the turns of the replicas that one node is a dealer of.
 
     Parameters
@@ -46,14 +50,14 @@
         What replicas have named.
     """
 
-    def __init__(self, limits: NamedLimits) -> None:
+    def __init__(self, limits: ReportedLimits) -> None:
         """Deal nothing yet."""
         self._limits = limits
-        self._buckets: dict[BoxLife, TurnBucket] = {}
-        self.dealt = 0
+        self._buckets: dict[BoxLife, PermitBucket] = {}
+        self.granted = 0
         self.refused = 0
 
-    def tend(self, choice: DealerChoice, now: float) -> None:
+    def update(self, choice: IssuerAssignment, now: float) -> None:
         """Begin or end to deal, and keep to the limits of now."""
         limited = self._limits.list_limited() if choice.view.is_placed else {}
         mine = {
@@ -66,10 +70,12 @@
             log_event('dealing_ended', box=gone.box)
         for life, word in mine.items():
             dealers = len(choice.choose(life.box, word.hall))
-            rate = max(word.limit, TRIAL_RATE) * choice.view.part / dealers
-            self._set_pace(life, word, rate, now)
+            rate = (
+                max(word.limit, MIN_RATE) * choice.view.live_fraction / dealers
+            )
+            self._set_rate(life, word, rate, now)
 
-    def deal(self, life: BoxLife, rank: int, now: float) -> Deal:
+    def grant(self, life: BoxLife, rank: int, now: float) -> PermitGrant:
         """Deal turns of a replica, or refuse.
 
         Parameters
@@ -82,14 +88,14 @@
             The present time, in seconds.
         """
         if not self._limits.is_limited(life):
-            return Deal(1)
+            return PermitGrant(1)
         bucket = self._buckets.get(life)
         if bucket is None:
-            return Deal(wait=SHORTEST_WAIT)
-        wanted = max(1, int(bucket.rate * HELD_SECONDS / 2))
-        deal = bucket.deal(rank, wanted, now)
-        self.dealt += deal.turns
-        self.refused += not deal.turns
+            return PermitGrant(retry_after=MIN_RETRY_SECONDS)
+        wanted = max(1, int(bucket.rate * BURST_SECONDS / 2))
+        deal = bucket.grant(rank, wanted, now)
+        self.granted += deal.permits
+        self.refused += not deal.permits
         return deal
 
     def dump(self) -> dict[str, dict[str, float]]:
@@ -107,40 +113,40 @@
         """Return how much is dealt."""
         return {
             'dealing': len(self._buckets),
-            'dealt': self.dealt,
+            'dealt': self.granted,
             'refused': self.refused,
         }
 
-    def _set_pace(
+    def _set_rate(
         self,
         life: BoxLife,
-        word: LimitWord,
+        word: LimitReport,
         rate: float,
         now: float,
     ) -> None:
-        most = measure_most(rate)
+        most = compute_capacity(rate)
         bucket = self._buckets.get(life)
         if bucket is None:
-            is_new = now - word.named_at < NEW_SECONDS
+            is_new = now - word.limited_since < NEW_LIMIT_SECONDS
             begins_at = now if is_new else now + HANDOVER_SECONDS
             level = most if is_new else 0.0
-            self._buckets[life] = TurnBucket(rate, most, begins_at, level)
+            self._buckets[life] = PermitBucket(rate, most, begins_at, level)
             log_event(
                 'dealing_begun',
                 box=life.box,
                 limit=word.limit,
                 rate=round(rate, 3),
-                limit_age=round(now - word.named_at, 2),
+                limit_age=round(now - word.limited_since, 2),
             )
         elif bucket.rate != rate:
-            bucket.set_pace(rate, most, now)
+            bucket.set_rate(rate, most, now)
 
 
-def measure_most(rate: float) -> float:
+def compute_capacity(rate: float) -> float:
     """Return the turns that a bucket of a rate holds at most.
 
     With the two dealers of a replica, and turns that are used within half a
     second, the most that is sent within 4 s stays below one and a half times
     what the limit allows and five requests: at a limit of 1 it is 7.6 of 11.
     """
-    return min(HELD_TURNS, 1 + rate) + HELD_SECONDS * rate
+    return min(BURST_PERMITS, 1 + rate) + BURST_SECONDS * rate
--- a/waywell/limits/turn_asks.py
+++ b/waywell/limits/permit_requests.py
@@ -9,7 +9,7 @@
 import attrs
 
 from waywell.connection.peer import LimitTold, TurnAnswer, TurnAsk
-from waywell.limits.turn_bucket import SHORTEST_WAIT, Deal
+from waywell.limits.permit_bucket import MIN_RETRY_SECONDS, PermitGrant
 from waywell.telemetry.events import log_event
 from waywell.version.fleet import BoxLife
 
@@ -21,15 +21,15 @@
 """For a dealer to answer: some ten times the way there and back; a request
 that waits for its turn is not tried elsewhere meanwhile."""
 
-SILENT_SECONDS = 1.0
+SILENCE_SECONDS = 1.0
 """For which a dealer that did not answer is not asked."""
 
-MOST_OPEN = 1024
+MAX_PENDING = 1024
 """Questions without an answer that are remembered."""
 
 
 @attrs.frozen
-class LateTurns:
+class LatePermits:
     """Turns that came when their request no longer waited for them."""
 
     life: BoxLife
@@ -48,10 +48,10 @@
 
     life: BoxLife
     at: float
-    answered: asyncio.Future[Deal]
+    answered: asyncio.Future[PermitGrant]
 
 
-class TurnAsks:
+class PermitRequests:
     """Asks other nodes for turns.
 
     Parameters
@@ -79,7 +79,7 @@
         told: LimitTold,
         rank: int,
         now: float,
-    ) -> Deal:
+    ) -> PermitGrant:
         """Ask a dealer for a turn; one that is silent counts as a refusal.
 
         Parameters
@@ -94,30 +94,30 @@
             The present time, in seconds.
         """
         self._serial += 1
-        answered: asyncio.Future[Deal]
+        answered: asyncio.Future[PermitGrant]
         answered = asyncio.get_running_loop().create_future()
         life = BoxLife(told.box, told.incarnation)
         self._open[self._serial] = _Asked(life, now, answered)
-        while len(self._open) > MOST_OPEN:
+        while len(self._open) > MAX_PENDING:
             self._open.popitem(last=False)
         self._links.send(dealer, TurnAsk(self._serial, told, rank))
         try:
             async with asyncio.timeout(ANSWER_SECONDS):
                 return await answered
         except TimeoutError:
-            self._silent[dealer] = now + SILENT_SECONDS
+            self._silent[dealer] = now + SILENCE_SECONDS
             log_event('dealer_silent', node=dealer, box=told.box)
-            return Deal(wait=SHORTEST_WAIT)
+            return PermitGrant(retry_after=MIN_RETRY_SECONDS)
 
-    def take_answer(self, answer: TurnAnswer) -> LateTurns | None:
+    def handle_answer(self, answer: TurnAnswer) -> LatePermits | None:
         """Take in an answer; return its turns where nobody waits for them."""
         asked = self._open.pop(answer.ask, None)
         if asked is None:
             return None
         if not asked.answered.done():
-            asked.answered.set_result(Deal(answer.turns, answer.wait))
+            asked.answered.set_result(PermitGrant(answer.turns, answer.wait))
             return None
-        return LateTurns(asked.life, answer.turns, asked.at)
+        return LatePermits(asked.life, answer.turns, asked.at)
 
     def forget_old(self, now: float) -> None:
         """Ask those again that were silent for long enough."""
@@ -125,6 +125,6 @@
             if until <= now:
                 self._silent.pop(node)
 
-    def count_open(self) -> int:
+    def count_pending(self) -> int:
         """Return how many questions are open."""
         return len(self._open)
--- a/waywell/limits/turns.py
+++ b/waywell/limits/rate_limiter.py
@@ -18,11 +18,15 @@
     TurnAnswer,
     TurnAsk,
 )
-from waywell.limits.dealers import DealerChoice, make_view
-from waywell.limits.named_limits import LimitWord, NamedLimits
-from waywell.limits.turn_asks import TurnAsks
-from waywell.limits.turn_bucket import LONGEST_WAIT, SHORTEST_WAIT, Deal
-from waywell.limits.turn_dealer import TurnDealer
+from waywell.limits.issuer_assignment import IssuerAssignment, make_view
+from waywell.limits.permit_bucket import (
+    MAX_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
+    PermitGrant,
+)
+from waywell.limits.permit_issuer import PermitIssuer
+from waywell.limits.permit_requests import PermitRequests
+from waywell.limits.reported_limits import LimitReport, ReportedLimits
 from waywell.membership.links import PeerLinks
 from waywell.process.actor import Actor, Message
 from waywell.request.turn_source import MOST_MISSED, Turn, TurnSource
@@ -38,11 +42,11 @@
     from waywell.version.fleet import Replica
     from waywell.version.lives import EndedLife
 
-TURN_SECONDS = 0.5
+PERMIT_SECONDS = 0.5
 """For which a turn that was dealt may be used, from when it was asked for: a
 few times the longest way between halls and a new connection."""
 
-START_SECONDS = 2.0
+STARTUP_SECONDS = 2.0
 """After its start, for which a node deals nothing: it may not have met those
 that deal."""
 
@@ -55,7 +59,7 @@
     until: float
 
 
-class Turns(Actor, TurnSource):
+class RateLimiter(Actor, TurnSource):
     """Tells limits, deals turns and asks for them.
 
     Parameters
@@ -85,18 +89,20 @@
     ) -> None:
         """Know of no limit."""
         super().__init__('turns')
-        self.limits = NamedLimits()
-        self._dealer = TurnDealer(self.limits)
+        self.limits = ReportedLimits()
+        self._dealer = PermitIssuer(self.limits)
         self._gossip = gossip
         self._links = links
         self._clock = clock
         self._random = random
         self._is_placed = is_placed
-        self._deals_from = clock.read() + START_SECONDS
-        self._choice = DealerChoice(make_view(gossip.table, is_placed=False))
+        self._deals_from = clock.read() + STARTUP_SECONDS
+        self._choice = IssuerAssignment(
+            make_view(gossip.table, is_placed=False)
+        )
         self._is_tending = False
         self._is_due = False
-        self._asks = TurnAsks(links)
+        self._requests = PermitRequests(links)
         self._purses: dict[BoxLife, _Purse] = {}
         self._waits: dict[BoxLife, float] = {}
         links.subscribe(
@@ -108,10 +114,10 @@
             TurnAnswer,
         )
 
-    def tend(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """Follow the nodes and the limits of now; forget what is over."""
         self.limits.forget_old(now)
-        self._asks.forget_old(now)
+        self._requests.forget_old(now)
         limited = self.limits.list_limited()
         if not limited and not self._is_tending:
             return
@@ -119,8 +125,8 @@
         is_placed = now >= self._deals_from and self._is_placed()
         view = make_view(self._gossip.table, is_placed=is_placed)
         if view != self._choice.view:
-            self._choice = DealerChoice(view)
-        self._dealer.tend(self._choice, now)
+            self._choice = IssuerAssignment(view)
+        self._dealer.update(self._choice, now)
         self._keep_streams(limited)
         for kept in (self._waits, self._purses):
             for life in kept.keys() - limited.keys():
@@ -137,8 +143,8 @@
         if limit == NO_LIMIT and self.limits.find(life) is None:
             return
         now = self._clock.read()
-        word = LimitWord(limit, sent_at, now, now, hall)
-        if self.limits.note(life, word, 'own'):
+        word = LimitReport(limit, sent_at, now, now, hall)
+        if self.limits.record(life, word, 'own'):
             self._follow(life)
             self._links.spread(_describe(life, word, now))
 
@@ -180,13 +186,13 @@
             return held
         dealers = self._list_dealers(life, hall, now)
         # The streams to the dealers of a new limit stand in a moment.
-        wait = LONGEST_WAIT if dealers else SHORTEST_WAIT
+        wait = MAX_RETRY_SECONDS if dealers else MIN_RETRY_SECONDS
         for dealer in dealers:
             deal = await self._ask(dealer, life, rank)
-            if deal.turns:
-                self._keep(life, deal.turns, now + TURN_SECONDS)
+            if deal.permits:
+                self._keep(life, deal.permits, now + PERMIT_SECONDS)
                 return self._take_held(life, self._clock.read())
-            wait = min(wait, deal.wait)
+            wait = min(wait, deal.retry_after)
         wait *= 0.5 + self._random.random()
         self._waits[life] = self._clock.read() + wait
         return None
@@ -194,7 +200,7 @@
     def find_wait(self, lives: Iterable[BoxLife], now: float) -> float | None:
         """Return in how many seconds the first of some boxes has a turn."""
         waits = [
-            max(SHORTEST_WAIT, self._waits.get(life, now) - now)
+            max(MIN_RETRY_SECONDS, self._waits.get(life, now) - now)
             if self.limits.is_limited(life)
             else 0.0
             for life in lives
@@ -204,19 +210,19 @@
     def forget_ended(self, ended: Iterable[EndedLife]) -> None:
         """Forget the limits of lives that are over."""
         self.limits.forget_ended(ended)
-        self.tend(self._clock.read())
+        self.refresh(self._clock.read())
 
     def on_changed(self, _changed: Changed) -> None:
         """Follow limits that have changed."""
         self._is_due = False
-        self.tend(self._clock.read())
+        self.refresh(self._clock.read())
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
         """Tell a peer all that is known here; it may have missed it."""
         now = self._clock.read()
         words = tuple(
             _describe(life, word, now)
-            for life, word in self.limits.list_words().items()
+            for life, word in self.limits.list_reports().items()
         )
         if words:
             self._links.send(opened.record.node, KnownLimits(words))
@@ -246,7 +252,7 @@
             **super().dump(),
             'limits': self.limits.dump(now),
             'dealt_here': self._dealer.dump(),
-            'asked': self._asks.count_open(),
+            'asked': self._requests.count_pending(),
         }
 
     def _follow(self, life: BoxLife) -> None:
@@ -282,34 +288,36 @@
         dealers = [
             node
             for node in self._choice.choose(life.box, hall)
-            if node == own or self._asks.may_ask(node, now)
+            if node == own or self._requests.may_ask(node, now)
         ]
         self._random.shuffle(dealers)
         return dealers
 
-    async def _ask(self, dealer: NodeId, life: BoxLife, rank: int) -> Deal:
+    async def _ask(
+        self, dealer: NodeId, life: BoxLife, rank: int
+    ) -> PermitGrant:
         """Ask a dealer for a turn."""
         now = self._clock.read()
         if dealer == self._gossip.table.own.node:
-            return self._dealer.deal(life, rank, now)
+            return self._dealer.grant(life, rank, now)
         word = self.limits.find(life)
         if word is None:
-            return Deal(1)
+            return PermitGrant(1)
         told = _describe(life, word, now)
-        return await self._asks.ask(dealer, told, rank, now)
+        return await self._requests.ask(dealer, told, rank, now)
 
     def _answer(self, node: NodeId, ask: TurnAsk) -> None:
         self._take_told(ask.told, node)
         life = BoxLife(ask.told.box, ask.told.incarnation)
-        deal = self._dealer.deal(life, ask.rank, self._clock.read())
-        answer = TurnAnswer(ask.ask, deal.turns, round(deal.wait, 3))
+        deal = self._dealer.grant(life, ask.rank, self._clock.read())
+        answer = TurnAnswer(ask.ask, deal.permits, round(deal.retry_after, 3))
         self._links.send(node, answer)
 
     def _take_answer(self, answer: TurnAnswer) -> None:
         """Take in an answer; the next request may use what came too late."""
-        late = self._asks.take_answer(answer)
+        late = self._requests.handle_answer(answer)
         if late is not None and late.turns:
-            self._keep(late.life, late.turns, late.asked_at + TURN_SECONDS)
+            self._keep(late.life, late.turns, late.asked_at + PERMIT_SECONDS)
             self._waits.pop(late.life, None)
 
     def _take_told(self, told: LimitTold, sender: NodeId) -> None:
@@ -318,10 +326,10 @@
         life = BoxLife(told.box, told.incarnation)
         word = _read_told(told, now)
         known = self.limits.find(life)
-        if self.limits.note(life, word, sender):
+        if self.limits.record(life, word, sender):
             self._follow(life)
             self._links.pass_on(told, sender)
-        elif known is not None and not word.says_the_same(known):
+        elif known is not None and not word.is_equivalent(known):
             self._links.send(sender, _describe(life, known, now))
 
     def _keep_streams(self, limited: Iterable[BoxLife]) -> None:
@@ -345,7 +353,7 @@
         )
 
 
-def _describe(life: BoxLife, word: LimitWord, now: float) -> LimitTold:
+def _describe(life: BoxLife, word: LimitReport, now: float) -> LimitTold:
     """Return a word with ages in place of this node's times."""
     return LimitTold(
         life.box,
@@ -353,13 +361,13 @@
         word.hall,
         None if word.limit == NO_LIMIT else word.limit,
         round(now - word.sent_at, 4),
-        round(now - word.heard_at, 4),
-        round(now - word.named_at, 3),
+        round(now - word.received_at, 4),
+        round(now - word.limited_since, 3),
     )
 
 
-def _read_told(told: LimitTold, now: float) -> LimitWord:
-    return LimitWord(
+def _read_told(told: LimitTold, now: float) -> LimitReport:
+    return LimitReport(
         NO_LIMIT if told.limit is None else told.limit,
         now - told.sent_age,
         now - told.heard_age,
--- a/waywell/limits/named_limits.py
+++ b/waywell/limits/reported_limits.py
@@ -22,26 +22,26 @@
     from waywell.version.fleet import BoxLife
     from waywell.version.lives import EndedLife
 
-KEPT_SECONDS = 600.0
+REPORT_TTL_SECONDS = 600.0
 """After which a limit that nothing was heard of is forgotten; a replica of
 which no request asks in that time takes one again as any other does."""
 
-ORDER_SECONDS = 0.05
+ORDER_MARGIN_SECONDS = 0.05
 """By which an answer must have come before the request of another left, to
 have surely been said before: a word that went round the nodes looks later than
 it is by its way."""
 
-SAME_PART = 0.1
+LIMIT_TOLERANCE = 0.1
 """Part of a limit by which another one differs that counts as the same: a
 replica that works its limit out for each answer would send a word round all
 nodes with each."""
 
-MOST_KEPT = 4096
+MAX_REPORTS = 4096
 """Boxes whose limit is kept, some 300 bytes each: more than a fleet has."""
 
 
 @attrs.frozen
-class LimitWord:
+class LimitReport:
     """What one answer said of its replica's limit."""
 
     limit: float
@@ -50,32 +50,32 @@
     sent_at: float
     """When the request left, in seconds by this node's clock."""
 
-    heard_at: float
+    received_at: float
     """When the answer came."""
 
-    named_at: float = 0.0
+    limited_since: float = 0.0
     """When the replica was first heard to have a limit."""
 
     hall: HallName = HallName('')
     """Data hall of the replica."""
 
-    def is_older(self, other: LimitWord) -> bool:
+    def precedes(self, other: LimitReport) -> bool:
         """Answer whether it was surely said before another word."""
-        return self.heard_at + ORDER_SECONDS <= other.sent_at
+        return self.received_at + ORDER_MARGIN_SECONDS <= other.sent_at
 
-    def says_the_same(self, other: LimitWord) -> bool:
+    def is_equivalent(self, other: LimitReport) -> bool:
         """Answer whether another word names about the same limit."""
         if NO_LIMIT in {self.limit, other.limit}:
             return self.limit == other.limit
-        return abs(self.limit - other.limit) <= SAME_PART * other.limit
+        return abs(self.limit - other.limit) <= LIMIT_TOLERANCE * other.limit
 
 
-class NamedLimits:
+class ReportedLimits:
     """Keeps the newest word of each replica, by the life of its box."""
 
     def __init__(self) -> None:
         """Know of no limit."""
-        self._words: dict[BoxLife, LimitWord] = {}
+        self._words: dict[BoxLife, LimitReport] = {}
 
     def get(self, life: BoxLife) -> float:
         """Return the requests a second that a box takes from all nodes."""
@@ -93,11 +93,11 @@
         word = self._words.get(life)
         return HallName('') if word is None else word.hall
 
-    def find(self, life: BoxLife) -> LimitWord | None:
+    def find(self, life: BoxLife) -> LimitReport | None:
         """Return the newest word of a box that has ever named a limit."""
         return self._words.get(life)
 
-    def list_limited(self) -> dict[BoxLife, LimitWord]:
+    def list_limited(self) -> dict[BoxLife, LimitReport]:
         """Return the limits in force."""
         return {
             life: word
@@ -105,11 +105,11 @@
             if word.limit < NO_LIMIT
         }
 
-    def list_words(self) -> dict[BoxLife, LimitWord]:
+    def list_reports(self) -> dict[BoxLife, LimitReport]:
         """Return all words, also those that ended a limit."""
         return dict(self._words)
 
-    def note(self, life: BoxLife, word: LimitWord, by: str) -> bool:
+    def record(self, life: BoxLife, word: LimitReport, by: str) -> bool:
         """Take in a word; answer whether it changes the limit.
 
         Parameters
@@ -126,14 +126,14 @@
             if word.limit < NO_LIMIT:
                 self._put(life, word, NO_LIMIT, by)
             return word.limit < NO_LIMIT
-        if word.says_the_same(known):
+        if word.is_equivalent(known):
             self._refresh(life, known, word)
             return False
         if not _replaces(word, known):
             return False
         if known.limit < NO_LIMIT:
-            named_at = min(known.named_at, word.named_at)
-            word = attrs.evolve(word, named_at=named_at)
+            limited_since = min(known.limited_since, word.limited_since)
+            word = attrs.evolve(word, limited_since=limited_since)
         self._put(life, word, known.limit, by)
         return True
 
@@ -145,7 +145,7 @@
     def forget_old(self, now: float) -> None:
         """Forget the words that nothing has confirmed for long."""
         for life, word in tuple(self._words.items()):
-            if now - word.heard_at > KEPT_SECONDS:
+            if now - word.received_at > REPORT_TTL_SECONDS:
                 self._words.pop(life)
 
     def dump(self, now: float) -> dict[str, dict[str, float]]:
@@ -153,8 +153,8 @@
         return {
             life.box: {
                 'limit': word.limit,
-                'age_seconds': round(now - word.heard_at, 2),
-                'in_force_seconds': round(now - word.named_at, 2),
+                'age_seconds': round(now - word.received_at, 2),
+                'in_force_seconds': round(now - word.limited_since, 2),
             }
             for life, word in self.list_limited().items()
         }
@@ -162,26 +162,26 @@
     def _refresh(
         self,
         life: BoxLife,
-        known: LimitWord,
-        word: LimitWord,
+        known: LimitReport,
+        word: LimitReport,
     ) -> None:
-        newest = max(known, word, key=lambda one: one.heard_at)
-        named_at = min(known.named_at, word.named_at)
+        newest = max(known, word, key=lambda one: one.received_at)
+        limited_since = min(known.limited_since, word.limited_since)
         self._words[life] = attrs.evolve(
-            newest, limit=known.limit, named_at=named_at
+            newest, limit=known.limit, limited_since=limited_since
         )
 
     def _put(
         self,
         life: BoxLife,
-        word: LimitWord,
+        word: LimitReport,
         before: float,
         by: str,
     ) -> None:
         self._words[life] = word
-        if len(self._words) > MOST_KEPT:
+        if len(self._words) > MAX_REPORTS:
             oldest = min(
-                self._words, key=lambda one: self._words[one].heard_at
+                self._words, key=lambda one: self._words[one].received_at
             )
             self._words.pop(oldest)
         log_event(
@@ -190,16 +190,16 @@
             limit=word.limit,
             before=before,
             by=by,
-            open_seconds=round(word.heard_at - word.sent_at, 3),
+            open_seconds=round(word.received_at - word.sent_at, 3),
         )
 
 
-def _replaces(word: LimitWord, known: LimitWord) -> bool:
+def _replaces(word: LimitReport, known: LimitReport) -> bool:
     """Answer whether a word is to be followed in place of another.
 
     Which of two answers that were open at one time was said last is not
     known: the lower limit holds until an answer to a later request.
     """
     if word.limit < known.limit:
-        return not word.is_older(known)
-    return known.is_older(word)
+        return not word.precedes(known)
+    return known.precedes(word)
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -16,7 +16,7 @@
 from waywell.health.health import HealthTable
 from waywell.health.prober import Prober, ProberParts
 from waywell.ids import HallName, Incarnation, NodeId
-from waywell.limits.turns import Turns
+from waywell.limits.rate_limiter import RateLimiter
 from waywell.membership.gossip import Gossip
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import (
@@ -291,7 +291,7 @@
             self.settings.seeds,
             self._random,
         )
-        self._turns = Turns(
+        self._turns = RateLimiter(
             self.gossip,
             self.links,
             self.clock,
@@ -430,7 +430,7 @@
             )
             now = self.clock.read()
             self.parts.backpressure.forget_old(now)
-            self._turns.tend(now)
+            self._turns.refresh(now)
             await asyncio.sleep(MEASURE_SECONDS)
 
     async def _close(self) -> None:
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -21,7 +21,7 @@
 from waywell.knowledge.paces import make_paces
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.knowledge.route_watch import RouteWatch
-from waywell.limits.turns import Turns
+from waywell.limits.rate_limiter import RateLimiter
 from waywell.membership.gossip import Gossip, Numbers
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import (
@@ -316,7 +316,7 @@
             self.forming.is_held,
             self.paths.watch.verify,
         )
-        self.turns = Turns(
+        self.turns = RateLimiter(
             self.gossip,
             self.links,
             self.clock,
@@ -472,7 +472,7 @@
             self._tell_readiness()
             self._forget_replicas()
             self.backpressure.forget_old(now)
-            self.turns.tend(now)
+            self.turns.refresh(now)
             for watch in (self.routes, self.fleet, self.quarantine.records):
                 watch.look_again(now)
             await asyncio.sleep(
