--- a/tests/holder.py
+++ b/tests/holder.py
@@ -29,7 +29,7 @@
     Fleet,
     FleetBox,
     compare_fleets,
-    note_models,
+    update_last_models,
 )
 from waywell.version.lives import LifeBook
 from waywell.version.orders import Assignment, OrderResult
@@ -255,7 +255,7 @@
     def _show_entries(self) -> None:
         before, after = self._outlook.fleet, Fleet(dict(self._entries))
         change = compare_fleets(before, after)
-        note_models(self.last_models, before, change)
+        update_last_models(self.last_models, before, change)
         self._outlook.lives.note(after, change, self.clock.now)
         self._outlook.fleet = after
 
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -10,8 +10,8 @@
 from waywell.ids import BoxId, DomainName, Epoch, GroupId, HallName
 from waywell.version.assembly import (
     AssemblyView,
-    doubts_boxes,
-    find_missing,
+    find_missing_members,
+    is_box_list_implausible,
     plan_assembly,
 )
 from waywell.version.objects import (
@@ -230,7 +230,7 @@
     lost = {groups[number].head.box for number in gone}
     seen = {box.box: box for box in boxes if box.box not in lost}
     words = {groups[number].group for number in down}
-    assert doubts_boxes(roster, seen, words) is doubted
+    assert is_box_list_implausible(roster, seen, words) is doubted
 
 
 def test_half_formed_group_is_formed_again() -> None:
@@ -431,7 +431,7 @@
         )
         for group in later:
             if group.state is GroupState.SERVING:
-                assert find_missing(group, self.boxes) == ()
+                assert find_missing_members(group, self.boxes) == ()
 
 
 TestAssemblyMachine = AssemblyMachine.TestCase
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,25 +9,25 @@
 from waywell.standins.harness import make_configuration
 from waywell.version.configuration import (
     check_configuration,
-    join_configuration,
-    split_configuration,
+    make_configuration_entries,
+    parse_configuration,
 )
 from waywell.version.document import Document
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 from waywell.version.toml_text import read_toml
 
 
 def list_faults(raw: Any) -> tuple[str, ...]:
-    with pytest.raises(FaultsError) as caught:
+    with pytest.raises(InvalidInputError) as caught:
         check_configuration(raw, 'f')
     return caught.value.faults
 
 
 def test_split_and_join_are_inverse() -> None:
     configuration = check_configuration(make_configuration(), 'f')
-    entries = split_configuration(configuration)
-    joined = join_configuration(Document(1, entries))
-    assert split_configuration(joined) == entries
+    entries = make_configuration_entries(configuration)
+    joined = parse_configuration(Document(1, entries))
+    assert make_configuration_entries(joined) == entries
     assert joined.goal == configuration.goal
     assert set(entries) == {
         'service/llm',
@@ -91,5 +91,5 @@
 
 
 def test_toml_fault_names_the_line() -> None:
-    with pytest.raises(FaultsError, match='line 2'):
+    with pytest.raises(InvalidInputError, match='line 2'):
         read_toml('a = 1\nb = ]\nc = 2', 'f.toml')
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -10,8 +10,8 @@
 from waywell.version.document import (
     Change,
     Document,
+    DocumentHistory,
     DocumentKind,
-    Ledger,
     apply_change,
     compare_documents,
 )
@@ -25,7 +25,7 @@
 @given(ENTRIES, ENTRIES)
 def test_change_leads_from_old_to_new(old: dict, new: dict) -> None:
     first = Document(3, old, ('a',))
-    second = first.follow(new, 'b')
+    second = first.make_next_version(new, 'b')
     change = compare_documents(first, second)
     assert apply_change(first, change) == second
 
@@ -42,20 +42,20 @@
 
 
 def test_follow_goes_above_the_floor() -> None:
-    assert Document(3).follow({}, 'x', floor=9).number == 10
+    assert Document(3).make_next_version({}, 'x', floor=9).number == 10
 
 
 def test_operations_are_bounded() -> None:
     document = Document()
     for number in range(100):
-        document = document.follow({}, str(number))
+        document = document.make_next_version({}, str(number))
     assert document.operations[-1] == '99'
     assert len(document.operations) == 32
 
 
 @given(st.lists(st.tuples(st.integers(1, 30), ENTRIES), max_size=30))
 def test_ledger_never_goes_back(offers: list) -> None:
-    ledger = Ledger(DocumentKind.ROSTER)
+    ledger = DocumentHistory(DocumentKind.ROSTER)
     highest = 0
     for number, entries in offers:
         adopted = ledger.adopt(Document(number, entries))
@@ -66,12 +66,12 @@
 
 @pytest.mark.parametrize('have', [0, 1, 2, 3, 99])
 def test_offer_brings_any_holder_up_to_date(have: int) -> None:
-    ledger = Ledger(DocumentKind.ROSTER)
+    ledger = DocumentHistory(DocumentKind.ROSTER)
     versions = {0: Document()}
     for number in (1, 2, 3):
         versions[number] = Document(number, {'a': {'v': number}})
         ledger.adopt(versions[number])
-    offered = ledger.offer(have)
+    offered = ledger.make_update(have)
     if isinstance(offered, Change):
         assert apply_change(versions[have], offered) == ledger.current
     else:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -21,7 +21,7 @@
 from waywell.experiment.policy import POLICIES, find_policy
 from waywell.experiment.runner import Experiment, play_seeds
 from waywell.experiment.timeline import Timeline
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 
 CURRENT = POLICIES['current']
 EXAMPLES = Path(__file__).parent.parent / 'docs' / 'experiments'
@@ -222,7 +222,7 @@
 ) -> None:
     raw = make_raw()
     raw.setdefault(table, {})[key] = wrong
-    with pytest.raises(FaultsError) as caught:
+    with pytest.raises(InvalidInputError) as caught:
         check_load(raw, 'load.toml')
     assert len(caught.value.faults) == 1
     assert told in caught.value.faults[0]
@@ -232,7 +232,9 @@
 def test_a_kind_needs_a_known_model() -> None:
     raw = make_raw()
     raw['kind'][1]['model'] = 'other'
-    with pytest.raises(FaultsError, match=r"kind\[1\].model: 'other' is none"):
+    with pytest.raises(
+        InvalidInputError, match=r"kind\[1\].model: 'other' is none"
+    ):
         check_load(raw, 'load.toml')
 
 
@@ -241,7 +243,9 @@
     file.write_text('resend_ratio = 0.3\n')
     assert find_policy(str(file)).resend_ratio == 0.3
     file.write_text('resend_ratio = -1.0\n')
-    with pytest.raises(FaultsError, match='mine.toml.resend_ratio: -1.0'):
+    with pytest.raises(
+        InvalidInputError, match='mine.toml.resend_ratio: -1.0'
+    ):
         find_policy(str(file))
 
 
--- a/tests/test_front_settings.py
+++ b/tests/test_front_settings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from waywell.process.front_settings import check_front_settings
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 
 TEXT = """
 [node]
@@ -31,5 +31,5 @@
 
 
 def test_a_bound_of_nothing_is_a_fault() -> None:
-    with pytest.raises(FaultsError, match=r'resends\.window: above 0'):
+    with pytest.raises(InvalidInputError, match=r'resends\.window: above 0'):
         check_front_settings(f'{TEXT}\n[resends]\nwindow = 0.0\n', 'x')
--- a/tests/test_regrouping.py
+++ b/tests/test_regrouping.py
@@ -18,7 +18,13 @@
 from waywell.ids import BoxId, DomainName, ModelName
 from waywell.version.box_report import BoxReport, ReportReading
 from waywell.version.domain_changes import DomainChanges
-from waywell.version.fleet import BoxLife, Fleet, FleetBox, FleetGroup, Pools
+from waywell.version.fleet import (
+    BoxesByDomain,
+    BoxLife,
+    Fleet,
+    FleetBox,
+    FleetGroup,
+)
 from waywell.version.forming_memory import FormingMemory
 from waywell.version.model_need import ModelNeed
 from waywell.version.regrouping import Regrouping, RegroupSearch
@@ -90,9 +96,9 @@
         search = RegroupSearch(need, memory, tuple(serving))
         return search.list_best(self.list_idle(serving))
 
-    def list_idle(self, serving: list[FleetGroup]) -> Pools:
+    def list_idle(self, serving: list[FleetGroup]) -> BoxesByDomain:
         held = {box.box for group in serving for box in group.members}
-        idle: Pools = defaultdict(list)
+        idle: BoxesByDomain = defaultdict(list)
         for box in self.boxes.values():
             if box.box not in held:
                 idle[box.domain].append(box)
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -33,12 +33,12 @@
 from waywell.version.assembly import AssemblyView, plan_assembly
 from waywell.version.configuration import (
     check_configuration,
-    join_configuration,
-    split_configuration,
+    make_configuration_entries,
+    parse_configuration,
 )
 from waywell.version.document import Document, compare_documents
 from waywell.version.repair import SparesOnly
-from waywell.version.roster import Box, BoxState, Group, Roster, join_roster
+from waywell.version.roster import Box, BoxState, Group, Roster, parse_roster
 from waywell.version.serving import RequestShape, ServingIndex
 
 if TYPE_CHECKING:
@@ -147,10 +147,10 @@
     roster = settle(boxes, configuration)
     idle = AssemblyView(boxes, configuration, {})
     broken = AssemblyView(lose_one(boxes, roster), configuration, {})
-    document = Document(roster.number, roster.split())
+    document = Document(roster.number, roster.to_entries())
     plan = plan_assembly(roster, broken, SparesOnly(), 0)
     later = roster.replace(roster.number + 1, plan.changed, plan.removed)
-    change = compare_documents(document, Document(9, later.split()))
+    change = compare_documents(document, Document(9, later.to_entries()))
     return {
         'groups': groups,
         'plan_idle_ms': time_call(
@@ -162,7 +162,7 @@
         'roster_kb': len(document.encode()) / 1000,
         'change_bytes': len(msgspec.msgpack.encode(change)),
         'adopt_ms': time_call(
-            lambda: ServingIndex(configuration, join_roster(document)),
+            lambda: ServingIndex(configuration, parse_roster(document)),
         ),
     }
 
@@ -254,11 +254,11 @@
         ],
     }
     configuration = check_configuration(raw, 'bench')
-    document = Document(1, split_configuration(configuration))
+    document = Document(1, make_configuration_entries(configuration))
     return {
         'objects': accounts,
         'document_kb': len(document.encode()) / 1000,
-        'join_ms': time_call(lambda: join_configuration(document)),
+        'join_ms': time_call(lambda: parse_configuration(document)),
     }
 
 
--- a/waywell/bench/feed.py
+++ b/waywell/bench/feed.py
@@ -26,7 +26,7 @@
     FleetBox,
     MemberState,
     Standing,
-    name_group,
+    make_group_name,
 )
 from waywell.version.forming import FormingPlanner, FormingView
 from waywell.version.forming_memory import FormingMemory
@@ -70,7 +70,9 @@
             DomainName(f'hall-port-d{number // DOMAIN_BOXES}'),
             places=9,
             staged=(MODEL,),
-            standing=Standing(name_group(MODEL, epoch), epoch, rank, state),
+            standing=Standing(
+                make_group_name(MODEL, epoch), epoch, rank, state
+            ),
         )
         boxes[box.box] = box
     return Fleet(boxes)
--- a/waywell/bench/repair.py
+++ b/waywell/bench/repair.py
@@ -22,7 +22,7 @@
 from waywell.version.assembly import AssemblyView, plan_assembly
 from waywell.version.objects import Configuration, Goal
 from waywell.version.repair import (
-    PAUSES_WAITED,
+    MAX_TYPICAL_PAUSES,
     CostPolicy,
     RepairPolicy,
     SparesOnly,
@@ -182,7 +182,7 @@
     def _find_next_moment(self) -> float:
         """Return when a load ends or a group has waited long enough."""
         goal = self._configuration.goal
-        patience = PAUSES_WAITED * goal.pause_seconds
+        patience = MAX_TYPICAL_PAUSES * goal.pause_seconds
         moments = [
             *self._loading.values(),
             *(since + patience for since in self._broken_since.values()),
--- a/waywell/bench/search.py
+++ b/waywell/bench/search.py
@@ -19,8 +19,8 @@
     FleetBox,
     MemberState,
     Standing,
-    name_group,
-    parse_group,
+    make_group_name,
+    parse_group_model,
 )
 from waywell.version.forming_memory import FormingMemory
 from waywell.version.model_need import ModelNeed
@@ -28,7 +28,7 @@
 from waywell.version.routes import Engine, EngineModel
 
 if TYPE_CHECKING:
-    from waywell.version.fleet import Pools
+    from waywell.version.fleet import BoxesByDomain
 
 DOMAINS = (6, 40, 126)
 """Fabric domains: a small site, a large one, the target."""
@@ -53,7 +53,7 @@
     boxes: list[FleetBox] = []
     for place, model in enumerate(GROUP_MODELS):
         epoch = Epoch(domain * len(GROUP_MODELS) + place + 1)
-        group = name_group(model.name, epoch)
+        group = make_group_name(model.name, epoch)
         other = BIG if model is SMALL else SMALL
         for rank in range(model.boxes_per_group):
             state = MemberState.READY if rank else MemberState.OPEN
@@ -96,7 +96,7 @@
             },
         )
         self.memory.last_models = {
-            box.life: parse_group(box.standing.group)
+            box.life: parse_group_model(box.standing.group)
             for box in self.fleet.boxes.values()
             if box.standing is not None
         }
@@ -110,7 +110,7 @@
             len(self.fleet.boxes),
         )
         for group in serving:
-            need.groups[parse_group(group.group)] += 1
+            need.groups[parse_group_model(group.group)] += 1
         need.serving.update(need.groups)
         RegroupSearch(need, self.memory, serving).list_best(self._list_idle())
 
@@ -129,8 +129,8 @@
             )
         self.search()
 
-    def _list_idle(self) -> Pools:
-        idle: Pools = defaultdict(list)
+    def _list_idle(self) -> BoxesByDomain:
+        idle: BoxesByDomain = defaultdict(list)
         for box in self.fleet.boxes.values():
             if box.standing is None:
                 idle[box.domain].append(box)
--- a/waywell/cli.py
+++ b/waywell/cli.py
@@ -17,7 +17,7 @@
 from waywell.version.configuration import (
     check_configuration,
 )
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 from waywell.version.toml_text import read_text, read_toml
 
 if TYPE_CHECKING:
@@ -251,7 +251,7 @@
         fire.Fire(Commands(), command=words, name='waywell')
     except CommandError as error:
         return _complain(str(error), error.status)
-    except FaultsError as error:
+    except InvalidInputError as error:
         return _complain(str(error), EXIT_FAULTS)
     except UnreachableError as error:
         return _complain(str(error), EXIT_UNREACHABLE)
--- a/waywell/connection/peer.py
+++ b/waywell/connection/peer.py
@@ -20,7 +20,7 @@
     Trait,
 )
 from waywell.membership.membership import NodeRecord
-from waywell.version.fleet import UNTOLD, FleetBox
+from waywell.version.fleet import UNKNOWN_INCARNATION, FleetBox
 from waywell.version.routes import RouteTable
 
 
@@ -72,7 +72,7 @@
     epoch: Epoch
     """Epoch of its group."""
 
-    incarnation: Incarnation = UNTOLD
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     """Incarnation of that box."""
 
 
@@ -88,7 +88,7 @@
     epoch: Epoch
     """Epoch of its group."""
 
-    incarnation: Incarnation = UNTOLD
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     """Incarnation of that box."""
 
 
@@ -163,7 +163,7 @@
     requests: int
     """Requests of the nodes that are counted."""
 
-    incarnation: Incarnation = UNTOLD
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     """Incarnation of that box."""
 
 
--- a/waywell/duties/box_survey.py
+++ b/waywell/duties/box_survey.py
@@ -12,7 +12,7 @@
 
 from waywell.telemetry.events import log_event, log_warning
 from waywell.version.box_report import BoxReport, ReportReading
-from waywell.version.fleet import BoxLife, FleetBox, is_same_life
+from waywell.version.fleet import BoxLife, FleetBox, may_be_same_life
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -260,4 +260,4 @@
 
 def _is_of(box: FleetBox, report: BoxReport) -> bool:
     """Answer whether a report is of the life that the list shows."""
-    return is_same_life(box.incarnation, report.incarnation)
+    return may_be_same_life(box.incarnation, report.incarnation)
--- a/waywell/experiment/commands.py
+++ b/waywell/experiment/commands.py
@@ -11,7 +11,7 @@
 from waywell.experiment.runner import Experiment, play_seeds
 from waywell.experiment.sweep import format_sweep, make_variants
 from waywell.experiment.table import format_json, format_table
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 
 if TYPE_CHECKING:
     from waywell.experiment.comparison import Pair
@@ -52,7 +52,9 @@
         )
         pairs = _play(experiment, seeds, jobs)
         if not pairs:
-            raise FaultsError(['interrupted before the first seed was done'])
+            raise InvalidInputError(
+                ['interrupted before the first seed was done']
+            )
         names = (str(base), str(against))
         return (format_json if json else format_table)(names, pairs)
 
@@ -101,7 +103,7 @@
 
 def _check_count(name: str, count: object) -> None:
     if isinstance(count, bool) or not isinstance(count, int) or count < 1:
-        raise FaultsError([f'--{name}: {count!r} is no number above 0'])
+        raise InvalidInputError([f'--{name}: {count!r} is no number above 0'])
 
 
 def _show_progress(done: int, seeds: int, left: float) -> None:
--- a/waywell/experiment/load_file.py
+++ b/waywell/experiment/load_file.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from waywell.version.faults import FaultsError, structure_input
+from waywell.version.input_validation import InvalidInputError, structure_input
 from waywell.version.toml_text import read_text, read_toml
 
 if TYPE_CHECKING:
@@ -242,7 +242,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault: the file, then its key or its line.
     """
     return check_load(read_toml(read_text(path), path), path)
@@ -253,13 +253,13 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault found.
     """
     load = structure_input(raw, Load, place)
     faults = [*_find_bad_figures(load), *_find_bad_names(load)]
     if faults:
-        raise FaultsError(f'{place}.{fault}' for fault in faults)
+        raise InvalidInputError(f'{place}.{fault}' for fault in faults)
     return load
 
 
--- a/waywell/experiment/policy.py
+++ b/waywell/experiment/policy.py
@@ -8,7 +8,7 @@
 import attrs
 
 from waywell.request.resend_budget import ResendLimits
-from waywell.version.faults import FaultsError, structure_input
+from waywell.version.input_validation import InvalidInputError, structure_input
 from waywell.version.toml_text import read_text, read_toml
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         When there is none, or the file has faults.
     """
     known_policy = POLICIES.get(name)
@@ -69,7 +69,9 @@
         return known_policy
     if not name.endswith('.toml'):
         known = ', '.join(POLICIES)
-        raise FaultsError([f'{name}: no policy; one of {known}, or a file'])
+        raise InvalidInputError(
+            [f'{name}: no policy; one of {known}, or a file']
+        )
     policy = structure_input(read_toml(read_text(name), name), Policy, name)
     faults = [
         f'{name}.{field.name}: {getattr(policy, field.name)!r} is below 0'
@@ -77,5 +79,5 @@
         if getattr(policy, field.name) < 0
     ]
     if faults:
-        raise FaultsError(faults)
+        raise InvalidInputError(faults)
     return policy
--- a/waywell/experiment/sweep.py
+++ b/waywell/experiment/sweep.py
@@ -11,7 +11,7 @@
 from waywell.experiment.comparison import MEASURES, Pair
 from waywell.experiment.load_file import Load, check_load
 from waywell.experiment.table import format_line
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 from waywell.version.toml_text import read_text, read_toml
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         When there is no such setting, or a value is wrong.
     """
     raw = read_toml(read_text(path), path)
@@ -95,7 +95,7 @@
     for step in path:
         table = _enter(table, step, key)
     if not isinstance(table, dict):
-        raise FaultsError([f'{key}: no such setting'])
+        raise InvalidInputError([f'{key}: no such setting'])
     is_range = isinstance(table.get(name), list)
     is_alone = isinstance(setting, int | float)
     table[name] = [setting, setting] if is_range and is_alone else setting
@@ -107,4 +107,4 @@
         return table.setdefault(step, {})
     if step.isdecimal() and int(step) < len(table):
         return table[int(step)]
-    raise FaultsError([f'{key}: no such setting'])
+    raise InvalidInputError([f'{key}: no such setting'])
--- a/waywell/knowledge/outlook.py
+++ b/waywell/knowledge/outlook.py
@@ -18,8 +18,8 @@
     Replica,
     ReplicaKey,
     compare_fleets,
-    make_key,
-    note_models,
+    make_replica_key,
+    update_last_models,
 )
 from waywell.version.lives import EndedLife, LifeBook
 from waywell.version.routes import RouteIndex, RouteTable
@@ -163,7 +163,7 @@
     def take_fleet(self, fleet: Fleet, asked_at: float) -> None:
         """Put a box list in force that was asked for at a moment."""
         change = compare_fleets(self.fleet, fleet)
-        note_models(self.last_models, self.fleet, change)
+        update_last_models(self.last_models, self.fleet, change)
         ended = self.lives.note(fleet, change, asked_at)
         self.fleet = fleet
         self.fleet_serial += 1
@@ -252,7 +252,7 @@
 
     def list_keys(self) -> set[ReplicaKey]:
         """Return the identities of all boxes with their present epochs."""
-        return {make_key(box) for box in self.fleet.boxes.values()}
+        return {make_replica_key(box) for box in self.fleet.boxes.values()}
 
     def may_send_to(self, replica: Replica) -> bool:
         """Answer whether a replica that was chosen is still in force."""
--- a/waywell/limits/permit_bucket.py
+++ b/waywell/limits/permit_bucket.py
@@ -52,7 +52,7 @@
     _urgent_until: float = 0.0
     _urgent_turns: int = 0
 
-    def set_rate(self, rate: float, capacity: float, now: float) -> None:
+    def change_rate(self, rate: float, capacity: float, now: float) -> None:
         """Fill at another rate from now on."""
         self._fill(now)
         self.rate = rate
--- a/waywell/limits/permit_issuer.py
+++ b/waywell/limits/permit_issuer.py
@@ -139,7 +139,7 @@
                 limit_age=round(now - word.limited_since, 2),
             )
         elif bucket.rate != rate:
-            bucket.set_rate(rate, most, now)
+            bucket.change_rate(rate, most, now)
 
 
 def compute_capacity(rate: float) -> float:
--- a/waywell/platform/__main__.py
+++ b/waywell/platform/__main__.py
@@ -28,11 +28,11 @@
         load_front_settings,
     )
     from waywell.telemetry.events import open_output_log  # noqa: PLC0415
-    from waywell.version.faults import FaultsError  # noqa: PLC0415
+    from waywell.version.input_validation import InvalidInputError  # noqa: PLC0415
 
     try:
         settings = load_front_settings(path)
-    except FaultsError as error:
+    except InvalidInputError as error:
         sys.stderr.write(f'{error}\n')
         sys.exit(EXIT_FAULTS)
     return run_node(
--- a/waywell/platform/servers.py
+++ b/waywell/platform/servers.py
@@ -19,12 +19,12 @@
     ServiceName,
 )
 from waywell.version.fleet import (
-    UNTOLD,
+    UNKNOWN_INCARNATION,
     FleetBox,
     MemberState,
     Standing,
-    name_group,
-    parse_group,
+    make_group_name,
+    parse_group_model,
 )
 
 _STATE_BY_WORD = MappingProxyType(
@@ -112,7 +112,7 @@
 def decode_life(born: int | msgspec.UnsetType) -> Incarnation:
     """Return which life of a server tells something."""
     if isinstance(born, msgspec.UnsetType):
-        return UNTOLD
+        return UNKNOWN_INCARNATION
     return Incarnation(born)
 
 
@@ -156,4 +156,6 @@
 
 def _name_again(group: Group) -> str:
     """Return the name that a group of this model and epoch has."""
-    return name_group(parse_group(GroupId(group.name)), Epoch(group.epoch))
+    return make_group_name(
+        parse_group_model(GroupId(group.name)), Epoch(group.epoch)
+    )
--- a/waywell/process/administration.py
+++ b/waywell/process/administration.py
@@ -15,10 +15,10 @@
 from waywell.telemetry.measures import count_stranded
 from waywell.version.configuration import (
     check_configuration,
-    split_configuration,
+    make_configuration_entries,
 )
 from waywell.version.document import DocumentKind
-from waywell.version.faults import FaultsError, structure_input
+from waywell.version.input_validation import InvalidInputError, structure_input
 from waywell.version.objects import DEFAULT_KIND
 from waywell.version.roster import Box
 from waywell.version.selector import Selector
@@ -139,12 +139,12 @@
         """
         try:
             configuration = check_configuration(raw, 'configuration')
-        except FaultsError as error:
+        except InvalidInputError as error:
             raise Refusal(
                 Code.BAD_DOCUMENT,
                 detail='\n'.join(error.faults),
             ) from error
-        entries = split_configuration(configuration)
+        entries = make_configuration_entries(configuration)
         stored = await self._read_stored()
         if operation in stored.document.operations:
             return {'number': stored.document.number, 'repeated': True}
@@ -229,7 +229,7 @@
         operation: str,
     ) -> dict[str, Any]:
         floor = self._documents.in_force.numbers.configuration
-        document = stored.document.follow(entries, operation, floor)
+        document = stored.document.make_next_version(entries, operation, floor)
         written = await self._store.write(document, stored.version)
         if isinstance(written, Failure):
             raise _refuse_write(written.failure())
@@ -273,7 +273,7 @@
 def _structure(raw: Any, shape: type[Any], place: str) -> Any:
     try:
         return structure_input(raw, shape, place)
-    except FaultsError as error:
+    except InvalidInputError as error:
         raise Refusal(
             Code.BAD_DOCUMENT,
             detail='\n'.join(error.faults),
--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -20,7 +20,7 @@
 from waywell.telemetry.events import log_event, log_warning
 from waywell.version.assembly import (
     AssemblyView,
-    doubts_boxes,
+    is_box_list_implausible,
     plan_assembly,
 )
 from waywell.version.document import Document, DocumentKind
@@ -31,7 +31,7 @@
     GroupState,
     Member,
     Roster,
-    join_roster,
+    parse_roster,
 )
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     from waywell.process.clock import Clock
     from waywell.process.documents import Documents
     from waywell.telemetry.timing import TimingSettings
-    from waywell.version.draft import Plan
+    from waywell.version.draft import RosterPlan
 
 PLAN_SECONDS = 0.5
 """Seconds between two plans."""
@@ -194,7 +194,7 @@
             return False
         self._documents.adopt(DocumentKind.ROSTER, stored.document)
         self._base = stored.document
-        self._roster = join_roster(stored.document)
+        self._roster = parse_roster(stored.document)
         return True
 
     def _is_settled(self, roster: Roster) -> bool:
@@ -220,14 +220,14 @@
     def _doubts_boxes(self, roster: Roster) -> bool:
         """Answer whether the box list must not be acted on."""
         down = self._health.list_down(self.clock.read())
-        if not doubts_boxes(roster, self.boxes, down):
+        if not is_box_list_implausible(roster, self.boxes, down):
             return False
         # Looked at again at each tick: the probers may come to agree.
         self._planned_for = ()
         log_warning('box_list_doubted', boxes=len(self.boxes))
         return True
 
-    def _plan(self, roster: Roster) -> Plan:
+    def _plan(self, roster: Roster) -> RosterPlan:
         now = self.clock.read()
         self._note_broken(roster, now)
         configuration = self._documents.in_force.configuration
@@ -241,7 +241,7 @@
                 for group in roster
                 if (group.group, group.epoch) in self._ready
             ),
-            disordered=self._find_disordered(roster, now),
+            with_stale_orders=self._find_disordered(roster, now),
         )
         policy = CostPolicy(configuration.goal)
         return plan_assembly(roster, view, policy, now)
@@ -313,11 +313,13 @@
             for group, answer in zip(leaving, answers, strict=True)
         }
 
-    async def _write(self, roster: Roster, plan: Plan) -> None:
+    async def _write(self, roster: Roster, plan: RosterPlan) -> None:
         if self._base is None:
             return
         later = roster.replace(roster.number + 1, plan.changed, plan.removed)
-        document = self._base.follow(later.split(), make_operation())
+        document = self._base.make_next_version(
+            later.to_entries(), make_operation()
+        )
         written = await self._store.write(document, self._object_version)
         # Whatever came of it, the next plan starts from what is stored.
         self._base = None
--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -10,16 +10,16 @@
 from waywell.membership.gossip import Numbers
 from waywell.process.actor import Actor, Message
 from waywell.telemetry.events import log_event, log_warning
-from waywell.version.configuration import join_configuration
+from waywell.version.configuration import parse_configuration
 from waywell.version.document import (
     Change,
     Document,
+    DocumentHistory,
     DocumentKind,
-    Ledger,
     compare_documents,
 )
 from waywell.version.objects import Configuration
-from waywell.version.roster import Roster, join_roster
+from waywell.version.roster import Roster, parse_roster
 from waywell.version.serving import ServingIndex
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         """Start with an empty configuration and roster."""
-        self.ledgers = {kind: Ledger(kind) for kind in DocumentKind}
+        self.ledgers = {kind: DocumentHistory(kind) for kind in DocumentKind}
         self.configuration = Configuration()
         self.roster = Roster(0)
         self.index = ServingIndex(self.configuration, self.roster)
@@ -63,9 +63,9 @@
         if document.number <= self.ledgers[kind].current.number:
             return False
         if kind is DocumentKind.CONFIGURATION:
-            self.configuration = join_configuration(document)
+            self.configuration = parse_configuration(document)
         else:
-            self.roster = join_roster(document)
+            self.roster = parse_roster(document)
         self.ledgers[kind].adopt(document)
         self.index = ServingIndex(self.configuration, self.roster)
         return True
@@ -180,7 +180,7 @@
         self._links.send(node, DocumentWanted(kind, have))
 
     def _answer(self, node: NodeId, wanted: DocumentWanted) -> None:
-        offered = self.in_force.ledgers[wanted.kind].offer(wanted.have)
+        offered = self.in_force.ledgers[wanted.kind].make_update(wanted.have)
         if isinstance(offered, Change):
             news = DocumentNews(wanted.kind, change=offered)
         else:
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -15,7 +15,7 @@
 from waywell.connection.desk import DeskAnswer
 from waywell.ids import ModelName
 from waywell.knowledge.era_history import EraHistory
-from waywell.version.fleet import parse_group
+from waywell.version.fleet import parse_group_model
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -184,7 +184,7 @@
 def _show_group(group: FleetGroup) -> dict[str, Any]:
     return {
         'group': group.group,
-        'model': parse_group(group.group),
+        'model': parse_group_model(group.group),
         'service': group.service,
         'domain': group.domain,
         'epoch': group.epoch,
--- a/waywell/process/front_settings.py
+++ b/waywell/process/front_settings.py
@@ -6,7 +6,7 @@
 
 from waywell.request.resend_budget import ResendLimits
 from waywell.telemetry.timing import TimingSettings
-from waywell.version.faults import FaultsError, structure_input
+from waywell.version.input_validation import InvalidInputError, structure_input
 from waywell.version.toml_text import read_text, read_toml
 
 MS = 0.001
@@ -175,12 +175,12 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         When it has another form.
     """
     host, mark, port = text.rpartition(':')
     if not mark or not port.isdecimal():
-        raise FaultsError([f'{text!r}: IP:PORT'])
+        raise InvalidInputError([f'{text!r}: IP:PORT'])
     return Address(host, int(port))
 
 
@@ -189,7 +189,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault found.
     """
     settings = structure_input(read_toml(text, place), FrontSettings, place)
@@ -198,7 +198,7 @@
         *_find_bad_bounds(settings),
     ]
     if faults:
-        raise FaultsError(f'{place}.{fault}' for fault in faults)
+        raise InvalidInputError(f'{place}.{fault}' for fault in faults)
     return settings
 
 
@@ -207,7 +207,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault found, or the reason why the file can't be read.
     """
     return check_front_settings(read_text(path), path)
@@ -226,7 +226,7 @@
     for key, text in addresses.items():
         try:
             parse_address(text)
-        except FaultsError as error:
+        except InvalidInputError as error:
             faults.append(f'{key}: {error}')
     return faults
 
--- a/waywell/process/settings.py
+++ b/waywell/process/settings.py
@@ -8,7 +8,7 @@
 import attrs
 
 from waywell.telemetry.timing import TimingSettings
-from waywell.version.faults import FaultsError, structure_input
+from waywell.version.input_validation import InvalidInputError, structure_input
 from waywell.version.toml_text import read_text, read_toml
 
 _NAME = re.compile(r'[A-Za-z0-9._-]{1,64}')
@@ -108,7 +108,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault found.
     """
     settings = structure_input(read_toml(text, place), Settings, place)
@@ -118,7 +118,7 @@
         *_find_bad_platform(settings.platform),
     ]
     if faults:
-        raise FaultsError(f'{place}.{fault}' for fault in faults)
+        raise InvalidInputError(f'{place}.{fault}' for fault in faults)
     return settings
 
 
@@ -127,7 +127,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault found, or the reason why the file can't be read.
     """
     return check_settings(read_text(path), path)
--- a/waywell/request/demand.py
+++ b/waywell/request/demand.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from waywell.version.fleet import parse_group
+from waywell.version.fleet import parse_group_model
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -68,7 +68,7 @@
     for life, requests in loads.items():
         box = fleet.find_life(life)
         if box is not None and box.standing is not None:
-            counts[parse_group(box.standing.group)] += requests
+            counts[parse_group_model(box.standing.group)] += requests
     return counts
 
 
--- a/waywell/version/assembly.py
+++ b/waywell/version/assembly.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from waywell.ids import BoxId, GroupId
-from waywell.version.draft import Draft, Plan
+from waywell.version.draft import RosterDraft, RosterPlan
 from waywell.version.objects import Configuration, GroupSet
-from waywell.version.repair import Repair, RepairPolicy
+from waywell.version.repair import BrokenGroup, RepairPolicy
 from waywell.version.roster import Box, BoxState, Group, GroupState, Member
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from waywell.version.roster import Roster
 
 
-LEAST_DOUBTED = 2
+MIN_AFFECTED_GROUPS = 2
 """Groups that a list must strike before it is doubted."""
 
 
@@ -46,7 +46,7 @@
     ready: frozenset[GroupId] = frozenset()
     """Forming groups whose boxes have all taken their order."""
 
-    disordered: frozenset[GroupId] = frozenset()
+    with_stale_orders: frozenset[GroupId] = frozenset()
     """Groups of which a box has lost its order or has a later one."""
 
 
@@ -55,9 +55,9 @@
     view: AssemblyView,
     policy: RepairPolicy,
     now: float,
-) -> Plan:
+) -> RosterPlan:
     """Return the groups to change, given what is known at ``now``."""
-    draft = Draft(roster, view.boxes)
+    draft = RosterDraft(roster, view.boxes)
     sets = {
         group_set.name: group_set for group_set in view.configuration.group_set
     }
@@ -67,7 +67,7 @@
     return draft.make_plan()
 
 
-def find_missing(
+def find_missing_members(
     group: Group,
     boxes: Mapping[BoxId, Box],
 ) -> tuple[BoxId, ...]:
@@ -79,7 +79,7 @@
     )
 
 
-def doubts_boxes(
+def is_box_list_implausible(
     roster: Roster,
     boxes: Mapping[BoxId, Box],
     down: Collection[GroupId],
@@ -100,8 +100,8 @@
         Groups that the probers speak against.
     """
     serving = [group for group in roster if group.state is GroupState.SERVING]
-    struck = [group for group in serving if find_missing(group, boxes)]
-    if len(struck) < LEAST_DOUBTED or len(struck) * 2 <= len(serving):
+    struck = [group for group in serving if find_missing_members(group, boxes)]
+    if len(struck) < MIN_AFFECTED_GROUPS or len(struck) * 2 <= len(serving):
         return False
     agreed = sum(group.group in down for group in struck)
     return agreed * 2 < len(struck)
@@ -118,7 +118,7 @@
 
     def __init__(
         self,
-        draft: Draft,
+        draft: RosterDraft,
         view: AssemblyView,
         sets: dict[str, GroupSet],
     ) -> None:
@@ -162,7 +162,7 @@
         return group_set.boxes.admits(box.selectable)
 
     def _move_by_health(self, group: Group) -> None:
-        missing = find_missing(group, self._view.boxes)
+        missing = find_missing_members(group, self._view.boxes)
         if missing and not self._are_live(missing):
             if missing != group.missing:
                 self._draft.set_state(group, GroupState.BROKEN, missing)
@@ -174,7 +174,7 @@
 
     def _must_form_again(self, group: Group) -> bool:
         half_formed = group.state is GroupState.BROKEN and not group.ordered
-        return half_formed or group.group in self._view.disordered
+        return half_formed or group.group in self._view.with_stale_orders
 
     def _may_serve(self, group: Group) -> bool:
         """Answer whether a whole group that doesn't serve may begin to.
@@ -202,7 +202,7 @@
 
     def __init__(
         self,
-        draft: Draft,
+        draft: RosterDraft,
         view: AssemblyView,
         sets: dict[str, GroupSet],
         policy: RepairPolicy,
@@ -232,7 +232,7 @@
         spares = self._list_spares(group)
         donors = self._list_donors(group)
         intact = self._draft.list_intact(group)
-        repair = Repair(
+        broken = BrokenGroup(
             since=self._view.broken_since.get(group.group, now),
             lost=len(group.missing),
             spares=len(spares),
@@ -241,12 +241,12 @@
             ),
             idle_accelerators=sum(box.accelerators for box in intact),
         )
-        choice = self._policy.choose(repair, now)
+        choice = self._policy.choose(broken, now)
         if choice.take_spares and not self._fenced.get(group.service, False):
             # A target that checks no fence could still get requests of
             # this group, so no box of it goes on before every node let go.
             self._draft.set_state(group, GroupState.LEAVING)
-        elif choice.take_spares and len(spares) >= repair.lost:
+        elif choice.take_spares and len(spares) >= broken.lost:
             self._fill_places(group, spares)
         elif choice.take_donors:
             self._merge(group, spares, donors)
@@ -317,7 +317,7 @@
 class _CountStep:
     """Brings the number of groups of each set to what it should be."""
 
-    def __init__(self, draft: Draft, sets: dict[str, GroupSet]) -> None:
+    def __init__(self, draft: RosterDraft, sets: dict[str, GroupSet]) -> None:
         self._draft = draft
         self._sets = sets
 
--- a/waywell/version/box_report.py
+++ b/waywell/version/box_report.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from waywell.ids import Incarnation
-from waywell.version.fleet import UNTOLD, Standing
+from waywell.version.fleet import UNKNOWN_INCARNATION, Standing
 
 USUAL_PACE = 1.0
 """Pace of a box that is as fast as it should be."""
@@ -27,7 +27,7 @@
     standing: Standing | None = None
     """Its place in a group in that state."""
 
-    incarnation: Incarnation = UNTOLD
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     """Which of its lives told it."""
 
     def is_slow(self) -> bool:
--- a/waywell/version/closable.py
+++ b/waywell/version/closable.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from waywell.version.fleet import parse_group
+from waywell.version.fleet import parse_group_model
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -31,8 +31,8 @@
     closing
         Groups that were ordered to close.
     """
-    served = Counter(parse_group(one.group) for one in serving)
-    closed = Counter(parse_group(one.group) for one in closing)
+    served = Counter(parse_group_model(one.group) for one in serving)
+    closed = Counter(parse_group_model(one.group) for one in closing)
     return Counter(
         {
             model: max(1, int(count * CLOSABLE_PART)) - closed[model]
--- a/waywell/version/configuration.py
+++ b/waywell/version/configuration.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from waywell.version.faults import (
-    FaultsError,
+from waywell.version.input_validation import (
+    InvalidInputError,
     structure_input,
     unstructure_value,
 )
@@ -27,7 +27,7 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault found.
     """
     configuration = structure_input(raw, Configuration, place)
@@ -37,7 +37,7 @@
         *_find_bad_hashes(configuration),
     ]
     if faults:
-        raise FaultsError(f'{place}.{fault}' for fault in faults)
+        raise InvalidInputError(f'{place}.{fault}' for fault in faults)
     return configuration
 
 
@@ -93,7 +93,9 @@
     )
 
 
-def split_configuration(configuration: Configuration) -> dict[str, Entry]:
+def make_configuration_entries(
+    configuration: Configuration,
+) -> dict[str, Entry]:
     """Return the configuration as the entries of a document."""
     plain = unstructure_value(configuration)
     entries: dict[str, Entry] = {'goal/goal': plain['goal']}
@@ -103,12 +105,12 @@
     return entries
 
 
-def join_configuration(document: Document) -> Configuration:
+def parse_configuration(document: Document) -> Configuration:
     """Return the configuration that a document's entries make up.
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         When the entries are not a whole configuration.
     """
     raw: dict[str, Any] = {}
--- a/waywell/version/document.py
+++ b/waywell/version/document.py
@@ -55,7 +55,7 @@
         """Return the document as JSON bytes, keys in order."""
         return msgspec.json.encode(self, order='deterministic')
 
-    def follow(
+    def make_next_version(
         self,
         entries: dict[str, Entry],
         operation: str,
@@ -107,7 +107,7 @@
     return Document(change.number, entries, change.operations)
 
 
-class Ledger:
+class DocumentHistory:
     """The version in force of one document and a few earlier ones.
 
     The number in force never goes down, whatever is offered.
@@ -132,7 +132,7 @@
         """Return what a change leads to from the version in force."""
         return apply_change(self.current, change)
 
-    def offer(self, number: int) -> Change | Document:
+    def make_update(self, number: int) -> Change | Document:
         """Return what brings a holder of ``number`` up to date."""
         for earlier in self._history:
             if earlier.number == number and number:
--- a/waywell/version/domain_changes.py
+++ b/waywell/version/domain_changes.py
@@ -16,7 +16,7 @@
 import attrs
 
 from waywell.ids import ModelName
-from waywell.version.fleet import FleetBox, FleetGroup, parse_group
+from waywell.version.fleet import FleetBox, FleetGroup, parse_group_model
 from waywell.version.routes import EngineModel
 
 if TYPE_CHECKING:
@@ -130,7 +130,7 @@
         for closed in self._list_closings(domain.serving):
             closed_boxes = [box for one in closed for box in one.members]
             pool = [*domain.idle, *closed_boxes]
-            less = self._count(parse_group(one.group) for one in closed)
+            less = self._count(parse_group_model(one.group) for one in closed)
             for counts in self._list_counts(len(pool)):
                 formed = self._pick_groups(pool, counts)
                 if formed and counts != less:
@@ -223,7 +223,7 @@
             )
             for box in group.members
         )
-        return parse_group(group.group), tuple(boxes)
+        return parse_group_model(group.group), tuple(boxes)
 
     def _list_counts(self, boxes: int) -> Iterator[Counts]:
         """Return how many groups of each model so many boxes could be."""
--- a/waywell/version/draft.py
+++ b/waywell/version/draft.py
@@ -16,7 +16,7 @@
     from waywell.version.roster import Roster
 
 
-class Plan(msgspec.Struct, frozen=True):
+class RosterPlan(msgspec.Struct, frozen=True):
     """Groups to write; empty when nothing is to be done."""
 
     changed: tuple[Group, ...] = ()
@@ -30,7 +30,7 @@
         return bool(self.changed or self.removed)
 
 
-class Draft:
+class RosterDraft:
     """Changes to a roster before they are written.
 
     Parameters
@@ -54,14 +54,14 @@
         self._removed: list[GroupId] = []
         self._epoch = roster.number + 1
 
-    def make_plan(self) -> Plan:
+    def make_plan(self) -> RosterPlan:
         """Return what differs from the roster."""
         changed = tuple(
             group
             for name, group in self.groups.items()
             if self._roster.groups.get(name) != group
         )
-        return Plan(changed, tuple(self._removed))
+        return RosterPlan(changed, tuple(self._removed))
 
     def list_in(self, *states: GroupState) -> list[Group]:
         """Return the groups in some states."""
--- a/waywell/version/fleet.py
+++ b/waywell/version/fleet.py
@@ -28,7 +28,7 @@
     from collections.abc import Iterable
 
 
-UNTOLD = Incarnation(0)
+UNKNOWN_INCARNATION = Incarnation(0)
 """Incarnation of a box that tells none; each of its lives has its own id."""
 
 
@@ -110,7 +110,7 @@
     standing: Standing | None = None
     """Its place in a group."""
 
-    incarnation: Incarnation = UNTOLD
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     """Which of its lives this is."""
 
     entry_number: int = 0
@@ -131,7 +131,7 @@
     epoch: Epoch = Epoch(0)
     """Epoch of its group; 0 for a plain service."""
 
-    incarnation: Incarnation = UNTOLD
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     """Incarnation of the box."""
 
     @property
@@ -156,7 +156,7 @@
     """Name of its group; empty for a plain service."""
 
 
-Pools = dict[DomainName, list[FleetBox]]
+BoxesByDomain = dict[DomainName, list[FleetBox]]
 """Boxes by fabric domain."""
 
 
@@ -246,7 +246,7 @@
     def list_plain(self, service: ServiceName) -> list[Replica]:
         """Return the boxes of a plain service that may get requests."""
         return [
-            Replica(make_key(box), box)
+            Replica(make_replica_key(box), box)
             for box in self.boxes.values()
             if box.service == service and not box.leaving
         ]
@@ -262,22 +262,22 @@
             _make_replica(group, model)
             for group in self.groups.values()
             if group.service == service
-            and parse_group(group.group) == model
+            and parse_group_model(group.group) == model
             and _serves(group, size)
         ]
 
 
-def name_group(model: ModelName, epoch: Epoch) -> GroupId:
+def make_group_name(model: ModelName, epoch: Epoch) -> GroupId:
     """Return the name of a group; it tells the group's model."""
     return GroupId(f'{model}.{epoch}')
 
 
-def parse_group(group: GroupId) -> ModelName:
+def parse_group_model(group: GroupId) -> ModelName:
     """Return the model of a group from its name."""
     return ModelName(group.rpartition('.')[0])
 
 
-def divide_by_domain(
+def group_by_domain(
     groups: Iterable[FleetGroup],
 ) -> dict[DomainName, list[FleetGroup]]:
     """Return the groups of each fabric domain, in their order."""
@@ -287,18 +287,18 @@
     return divided
 
 
-def make_key(box: FleetBox) -> ReplicaKey:
+def make_replica_key(box: FleetBox) -> ReplicaKey:
     """Return the identity of the replica whose requests a box takes."""
     epoch = box.standing.epoch if box.standing else Epoch(0)
     return ReplicaKey(box.box, epoch, box.incarnation)
 
 
-def is_same_life(listed: Incarnation, told: Incarnation) -> bool:
+def may_be_same_life(listed: Incarnation, told: Incarnation) -> bool:
     """Answer whether an entry and a box's own answer are of one life.
 
     They are where one of them tells none.
     """
-    return UNTOLD in {listed, told} or listed == told
+    return UNKNOWN_INCARNATION in {listed, told} or listed == told
 
 
 class FleetChange(NamedTuple):
@@ -329,7 +329,7 @@
     )
 
 
-def note_models(
+def update_last_models(
     last: dict[BoxLife, ModelName],
     before: Fleet,
     change: FleetChange,
@@ -349,7 +349,7 @@
             last.pop(known.life, None)
         standing = box.standing
         if standing and standing.state is not MemberState.JOINING:
-            last[box.life] = parse_group(standing.group)
+            last[box.life] = parse_group_model(standing.group)
 
 
 def _serves(group: FleetGroup, size: int) -> bool:
@@ -366,7 +366,7 @@
 
 def _make_replica(group: FleetGroup, model: ModelName) -> Replica:
     head = group.members[0]
-    return Replica(make_key(head), head, model, group.group)
+    return Replica(make_replica_key(head), head, model, group.group)
 
 
 def _get_rank(box: FleetBox) -> int:
--- a/waywell/version/forming.py
+++ b/waywell/version/forming.py
@@ -23,12 +23,12 @@
 
 from waywell.ids import BoxId, DomainName, GroupId, ModelName, ServiceName
 from waywell.version.fleet import (
-    UNTOLD,
+    UNKNOWN_INCARNATION,
+    BoxesByDomain,
     Fleet,
     FleetBox,
     FleetGroup,
-    Pools,
-    parse_group,
+    parse_group_model,
 )
 from waywell.version.group_changes import GroupChanges
 from waywell.version.group_verdicts import GroupJudge, Verdict
@@ -148,7 +148,9 @@
             staging.load_within_pace(free)
         return self._assignments
 
-    def _close_slow(self, free: Pools, serving: list[FleetGroup]) -> None:
+    def _close_slow(
+        self, free: BoxesByDomain, serving: list[FleetGroup]
+    ) -> None:
         """Close groups with slow boxes whose fast ones make up whole ones."""
         for slow in choose_slow_groups(
             self._need, self._memory, free, self._groups, serving
@@ -221,14 +223,14 @@
         for judged, verdict in verdicts.items():
             is_kept = judged not in self._memory.abandoned
             if is_kept and verdict is Verdict.SERVING:
-                self._need.serving[parse_group(judged)] += 1
+                self._need.serving[parse_group_model(judged)] += 1
             if is_kept and verdict in coming:
-                self._need.groups[parse_group(judged)] += 1
+                self._need.groups[parse_group_model(judged)] += 1
         self._need.groups.update(self._need.serving)
         present = {group.group for group in self._groups}
         for name in self._memory.forming:
             if name not in present:
-                self._need.groups[parse_group(name)] += 1
+                self._need.groups[parse_group_model(name)] += 1
 
     def _assign(
         self,
@@ -242,10 +244,10 @@
         self._assignments.append(Assignment(box, order, reason))
         return True
 
-    def _list_free(self, verdicts: Mapping[GroupId, Verdict]) -> Pools:
+    def _list_free(self, verdicts: Mapping[GroupId, Verdict]) -> BoxesByDomain:
         """Return the boxes that may join a group, by fabric domain."""
         held = self._memory.list_held(self._now)
-        free: Pools = defaultdict(list)
+        free: BoxesByDomain = defaultdict(list)
         for box in self._boxes:
             if box.standing is None:
                 is_free = box.life not in held
@@ -285,8 +287,9 @@
 
         A node that has known the list for a short time only can't tell.
         """
-        if box.incarnation == UNTOLD or not self._memory.lives.is_new(
-            self._now
+        if (
+            box.incarnation == UNKNOWN_INCARNATION
+            or not self._memory.lives.is_new(self._now)
         ):
             return False
         return any(
@@ -295,7 +298,7 @@
             for group in self._groups
         )
 
-    def _form(self, free: Pools) -> None:
+    def _form(self, free: BoxesByDomain) -> None:
         """Form groups before callers come, that of the greatest need first."""
         picker = GroupPicker(self._need, self._memory)
         best = picker.find_best(free)
@@ -309,11 +312,11 @@
 
 def _summarise(
     verdicts: Mapping[GroupId, Verdict],
-    free: Pools,
+    free: BoxesByDomain,
 ) -> FormingSummary:
     return FormingSummary(
         Counter(
-            f'{parse_group(group)}.{verdict.value}'
+            f'{parse_group_model(group)}.{verdict.value}'
             for group, verdict in verdicts.items()
         ),
         {domain: len(boxes) for domain, boxes in free.items() if boxes},
--- a/waywell/version/group_changes.py
+++ b/waywell/version/group_changes.py
@@ -8,7 +8,7 @@
 import attrs
 
 from waywell.ids import Epoch
-from waywell.version.fleet import FleetBox, FleetGroup, name_group
+from waywell.version.fleet import FleetBox, FleetGroup, make_group_name
 from waywell.version.forming_memory import FormingGroup, FormingMemory
 from waywell.version.model_need import ModelNeed
 from waywell.version.orders import BoxOrder, Close, Join, OrderReason
@@ -37,7 +37,7 @@
         """Let free boxes form a group; the first one is its head."""
         epoch = Epoch(self.memory.next_epoch)
         self.memory.next_epoch += 1
-        group = name_group(model.name, epoch)
+        group = make_group_name(model.name, epoch)
         members = tuple(box.box for box in boxes)
         lives = tuple(box.life for box in boxes)
         self.memory.forming[group] = FormingGroup(lives, self.now)
--- a/waywell/version/group_verdicts.py
+++ b/waywell/version/group_verdicts.py
@@ -7,7 +7,12 @@
 
 import attrs
 
-from waywell.version.fleet import Fleet, FleetGroup, MemberState, parse_group
+from waywell.version.fleet import (
+    Fleet,
+    FleetGroup,
+    MemberState,
+    parse_group_model,
+)
 from waywell.version.forming_memory import (
     GATHER_SECONDS,
     LOAD_PATIENCE,
@@ -62,7 +67,7 @@
 
     def judge(self, group: FleetGroup) -> Verdict:
         """Return what is to be done about a group."""
-        model = self.engine.find_model(parse_group(group.group))
+        model = self.engine.find_model(parse_group_model(group.group))
         if model is None:
             return self._judge_unwanted(group)
         leaving = any(member.leaving for member in group.members)
--- a/waywell/version/faults.py
+++ b/waywell/version/input_validation.py
@@ -21,7 +21,7 @@
 """The class that the input should have the shape of."""
 
 
-class FaultsError(Exception):
+class InvalidInputError(Exception):
     """Input has faults.
 
     Parameters
@@ -115,13 +115,13 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With every fault, each at its place below ``place``.
     """
     try:
         return _CONVERTER.structure(raw, shape)
     except Exception as error:
-        raise FaultsError(list_faults(error, place)) from error
+        raise InvalidInputError(list_faults(error, place)) from error
 
 
 def unstructure_value(shaped: Any) -> Any:
--- a/waywell/version/joining.py
+++ b/waywell/version/joining.py
@@ -18,7 +18,7 @@
 import attrs
 import msgspec
 
-from waywell.version.fleet import BoxLife, MemberState, is_same_life
+from waywell.version.fleet import BoxLife, MemberState, may_be_same_life
 from waywell.version.orders import Assignment
 
 if TYPE_CHECKING:
@@ -76,7 +76,7 @@
     """
     if report is None:
         return False
-    if not is_same_life(box.incarnation, report.incarnation):
+    if not may_be_same_life(box.incarnation, report.incarnation):
         return False
     told, listed = report.standing, box.standing
     if told is None:
--- a/waywell/version/load_failures.py
+++ b/waywell/version/load_failures.py
@@ -15,7 +15,7 @@
 import attrs
 
 from waywell.ids import DomainName, ModelName, ServiceName
-from waywell.version.fleet import BoxLife, MemberState, parse_group
+from waywell.version.fleet import BoxLife, MemberState, parse_group_model
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -231,7 +231,7 @@
     if attempt.kind is LoadKind.STAGE:
         return attempt.model in box.staged
     standing = box.standing
-    if standing is None or parse_group(standing.group) != attempt.model:
+    if standing is None or parse_group_model(standing.group) != attempt.model:
         return False
     return standing.state not in {MemberState.JOINING, MemberState.BROKEN}
 
--- a/waywell/version/new_groups.py
+++ b/waywell/version/new_groups.py
@@ -13,7 +13,7 @@
 from waywell.version.model_need import ModelNeed
 
 if TYPE_CHECKING:
-    from waywell.version.fleet import FleetBox, Pools
+    from waywell.version.fleet import BoxesByDomain, FleetBox
     from waywell.version.routes import EngineModel
 
 
@@ -29,7 +29,7 @@
 
     def find_best(
         self,
-        free: Pools,
+        free: BoxesByDomain,
     ) -> tuple[EngineModel, list[FleetBox]] | None:
         """Return the model of the greatest need whose group can be made.
 
@@ -55,7 +55,7 @@
     def _pick_domain(
         self,
         ready: list[list[FleetBox]],
-        free: Pools,
+        free: BoxesByDomain,
         model: EngineModel,
     ) -> list[FleetBox]:
         """Return the boxes that are ready soonest, where most are free."""
--- a/waywell/version/regroup_planner.py
+++ b/waywell/version/regroup_planner.py
@@ -12,7 +12,12 @@
 import attrs
 import msgspec
 
-from waywell.version.fleet import Fleet, FleetGroup, Pools, parse_group
+from waywell.version.fleet import (
+    BoxesByDomain,
+    Fleet,
+    FleetGroup,
+    parse_group_model,
+)
 from waywell.version.forming_memory import (
     FormingMemory,
     IntendedGroup,
@@ -63,7 +68,7 @@
 
     def plan(
         self,
-        free: Pools,
+        free: BoxesByDomain,
         serving: list[FleetGroup],
         closing: list[FleetGroup],
     ) -> None:
@@ -102,7 +107,7 @@
 
     def _is_search_due(
         self,
-        free: Pools,
+        free: BoxesByDomain,
         serving: list[FleetGroup],
     ) -> bool:
         """Answer whether boxes have changed, or work may have, since."""
@@ -129,8 +134,12 @@
         return RegroupSearch(
             need,
             self.memory,
-            tuple(one for one in rest if parse_group(one.group) in names),
-            tuple(one for one in closing if parse_group(one.group) in names),
+            tuple(
+                one for one in rest if parse_group_model(one.group) in names
+            ),
+            tuple(
+                one for one in closing if parse_group_model(one.group) in names
+            ),
             may_close=self._knows_demand(),
         )
 
@@ -156,7 +165,7 @@
         engine = msgspec.structs.replace(self.need.engine, models=models)
         return attrs.evolve(self.need, engine=engine)
 
-    def _form_intended(self, free: Pools) -> None:
+    def _form_intended(self, free: BoxesByDomain) -> None:
         """Form the groups for which others were closed, as far as they can."""
         known = {box.life: box for boxes in free.values() for box in boxes}
         waiting: list[IntendedGroup] = []
@@ -182,16 +191,16 @@
         boxes = [self.fleet.find_life(life) for life in intended.members]
         return all(box is not None and not box.leaving for box in boxes)
 
-    def _begin(self, change: Regrouping, free: Pools) -> None:
+    def _begin(self, change: Regrouping, free: BoxesByDomain) -> None:
         """Close the groups of a change, and form those that can be."""
         for closed in change.closed:
             self.changes.close(closed, OrderReason.OTHER_IS_SHORT)
-            self.need.groups[parse_group(closed.group)] -= 1
-            self.need.serving[parse_group(closed.group)] -= 1
+            self.need.groups[parse_group_model(closed.group)] -= 1
+            self.need.serving[parse_group_model(closed.group)] -= 1
         for formed in change.formed:
             self._begin_group(formed, free)
 
-    def _begin_group(self, formed: NewGroup, free: Pools) -> None:
+    def _begin_group(self, formed: NewGroup, free: BoxesByDomain) -> None:
         """Form a group at once, or keep its idle boxes for it."""
         idle = [box for box in formed.boxes if box in free[box.domain]]
         for kept in idle:
--- a/waywell/version/regrouping.py
+++ b/waywell/version/regrouping.py
@@ -25,9 +25,9 @@
     PossibleChange,
 )
 from waywell.version.fleet import (
+    BoxesByDomain,
     FleetGroup,
-    Pools,
-    divide_by_domain,
+    group_by_domain,
 )
 from waywell.version.forming_memory import FormingMemory, KnownChanges
 from waywell.version.model_need import ModelNeed
@@ -140,7 +140,7 @@
     missed: dict[Counts, float] = attrs.field(init=False, factory=dict)
     """Losses meanwhile that are worked out already, by groups closed."""
 
-    def list_best(self, idle: Pools) -> list[Regrouping]:
+    def list_best(self, idle: BoxesByDomain) -> list[Regrouping]:
         """Return the best change of each domain, that gains most first.
 
         Domains where no change gains anything are left out.
@@ -150,7 +150,7 @@
         idle
             Boxes that may join a group, by fabric domain.
         """
-        near = divide_by_domain(self.serving)
+        near = group_by_domain(self.serving)
         names = sorted(set(idle) | set(near))
         best = [
             self._find_best(name, _make_domain(name, idle, near))
@@ -161,9 +161,11 @@
         found = [change for change in best if change is not None]
         return sorted(found, key=lambda change: -change.gain)
 
-    def find_in(self, domain: DomainName, idle: Pools) -> Regrouping | None:
+    def find_in(
+        self, domain: DomainName, idle: BoxesByDomain
+    ) -> Regrouping | None:
         """Return the best change of one domain, if any gains something."""
-        near = divide_by_domain(self.serving)
+        near = group_by_domain(self.serving)
         return self._find_best(domain, _make_domain(domain, idle, near))
 
     def _find_best(
@@ -271,7 +273,7 @@
 
 def _make_domain(
     name: DomainName,
-    idle: Pools,
+    idle: BoxesByDomain,
     near: dict[DomainName, list[FleetGroup]],
 ) -> Domain:
     return Domain(tuple(idle.get(name, ())), tuple(near.get(name, ())))
--- a/waywell/version/repair.py
+++ b/waywell/version/repair.py
@@ -11,11 +11,11 @@
     from waywell.version.objects import Goal
 
 
-PAUSES_WAITED = 2.0
+MAX_TYPICAL_PAUSES = 2.0
 """Typical pauses that a group waits for its own box."""
 
 
-class Repair(msgspec.Struct, frozen=True):
+class BrokenGroup(msgspec.Struct, frozen=True):
     """What a policy knows about one broken group."""
 
     since: float
@@ -48,14 +48,14 @@
     """Decides how long a broken group waits for its own boxes."""
 
     @abc.abstractmethod
-    def choose(self, repair: Repair, now: float) -> RepairChoice:
+    def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
         """Return what to do at ``now``, in seconds."""
 
 
 class WaitOnly(RepairPolicy):
     """Waits for the lost box however long it takes; a baseline."""
 
-    def choose(self, repair: Repair, now: float) -> RepairChoice:
+    def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
         """Return the choice to wait."""
         return RepairChoice()
 
@@ -63,7 +63,7 @@
 class SparesOnly(RepairPolicy):
     """Takes a spare at once and never breaks up a group; a baseline."""
 
-    def choose(self, repair: Repair, now: float) -> RepairChoice:
+    def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
         """Return the choice to take spares."""
         return RepairChoice(take_spares=True)
 
@@ -85,12 +85,12 @@
     def __init__(self, goal: Goal) -> None:
         """Work out how long a pause is likelier than a loss."""
         self._patience = min(
-            PAUSES_WAITED * goal.pause_seconds,
+            MAX_TYPICAL_PAUSES * goal.pause_seconds,
             goal.load_seconds,
         )
 
-    def choose(self, repair: Repair, now: float) -> RepairChoice:
+    def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
         """Return the cheapest choice at ``now``, in seconds."""
-        if now - repair.since < self._patience:
+        if now - broken.since < self._patience:
             return RepairChoice()
         return RepairChoice(take_spares=True, take_donors=True)
--- a/waywell/version/roster.py
+++ b/waywell/version/roster.py
@@ -203,7 +203,7 @@
         groups.update((group.group, group) for group in changed)
         return Roster(number, groups.values())
 
-    def split(self) -> dict[str, Entry]:
+    def to_entries(self) -> dict[str, Entry]:
         """Return the groups as entries of a document."""
         return {
             f'{GROUP_PREFIX}{group.group}': msgspec.to_builtins(group)
@@ -221,7 +221,7 @@
     return group.group
 
 
-def join_roster(document: Document) -> Roster:
+def parse_roster(document: Document) -> Roster:
     """Return the roster that a document's entries make up.
 
     Raises
--- a/waywell/version/slow_groups.py
+++ b/waywell/version/slow_groups.py
@@ -14,11 +14,11 @@
 
 from waywell.version.closable import count_closable
 from waywell.version.fleet import (
+    BoxesByDomain,
     FleetBox,
     FleetGroup,
-    Pools,
-    divide_by_domain,
-    parse_group,
+    group_by_domain,
+    parse_group_model,
 )
 from waywell.version.forming_memory import FormingMemory
 from waywell.version.model_need import ModelNeed
@@ -31,7 +31,7 @@
 def choose_slow_groups(
     need: ModelNeed,
     memory: FormingMemory,
-    idle: Pools,
+    idle: BoxesByDomain,
     groups: list[FleetGroup],
     serving: list[FleetGroup],
 ) -> list[FleetGroup]:
@@ -55,7 +55,7 @@
     chosen: list[FleetGroup] = []
     for domain, near in _divide_settled(serving, closing).items():
         found = _Regrouping(need, memory, idle.get(domain, []), near).find()
-        wanted = Counter(parse_group(one.group) for one in found)
+        wanted = Counter(parse_group_model(one.group) for one in found)
         if all(rest[model] >= count for model, count in wanted.items()):
             rest.subtract(wanted)
             chosen.extend(found)
@@ -68,7 +68,7 @@
 ) -> dict[DomainName, list[FleetGroup]]:
     """Return the groups of each fabric domain in which none is closing."""
     busy = {one.domain for one in closing}
-    return divide_by_domain(
+    return group_by_domain(
         group for group in serving if group.domain not in busy
     )
 
@@ -89,7 +89,7 @@
             own = [
                 group
                 for group in slow
-                if parse_group(group.group) == model.name
+                if parse_group_model(group.group) == model.name
             ]
             others = [group for group in slow if group not in own]
             found = self._gather(model, own, others)
--- a/waywell/version/staging.py
+++ b/waywell/version/staging.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from waywell.version.fleet import FleetBox, MemberState, Pools
+from waywell.version.fleet import BoxesByDomain, FleetBox, MemberState
 from waywell.version.forming_memory import FormingMemory, Staging
 from waywell.version.orders import BoxOrder, OrderReason, Stage
 
@@ -74,7 +74,7 @@
             if others and box.life not in self._memory.staging:
                 self._order(box, others[0])
 
-    def load_within_pace(self, idle: Pools) -> None:
+    def load_within_pace(self, idle: BoxesByDomain) -> None:
         """Load models that boxes lack, those that callers gain most by first.
 
         Idle boxes come before those that serve: what makes up a whole group,
@@ -97,7 +97,7 @@
 
     def _find_wanted(
         self,
-        idle: Pools,
+        idle: BoxesByDomain,
     ) -> tuple[EngineModel, list[FleetBox]] | None:
         """Return the group that gains most a load, with the boxes to load."""
         found = [
@@ -161,7 +161,7 @@
         ]
         return lacking[:1] if failures.is_limited(model.name) else lacking
 
-    def _load_spares(self, pools: Pools) -> bool:
+    def _load_spares(self, pools: BoxesByDomain) -> bool:
         """Load what idle boxes lack, the model in need first.
 
         Returns
--- a/waywell/version/toml_text.py
+++ b/waywell/version/toml_text.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 
 
 def read_text(path: str) -> str:
@@ -14,13 +14,13 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With the reason why the file can't be read.
     """
     try:
         return Path(path).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        raise FaultsError([f'{path}: {error}']) from error
+        raise InvalidInputError([f'{path}: {error}']) from error
 
 
 def read_toml(text: str, place: str) -> dict[str, Any]:
@@ -28,10 +28,10 @@
 
     Raises
     ------
-    FaultsError
+    InvalidInputError
         With the line and column of the fault.
     """
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise FaultsError([f'{place}: {error}']) from error
+        raise InvalidInputError([f'{place}: {error}']) from error
