--- a/tests/limits.py
+++ b/tests/limits.py
@@ -1,4 +1,4 @@
-"""What a limit named by a replica allows, for tests."""
+"""Checks of request rates against a replica's limit."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
     from collections.abc import Sequence
 
 WINDOW_SECONDS = 4.0
-"""For which arrivals are added up."""
+"""Length of the window in which arrivals are counted, in seconds."""
 
 KNOWN_SECONDS = 3.0
-"""After the first word of a limit, from which on it binds."""
+"""Seconds after the first report of a limit until nodes must keep it."""
 
 
 def count_allowed(limit: float) -> float:
-    """Return how many requests may come within the window."""
+    """Return the number of requests that may arrive within one window."""
     return 1.5 * limit * WINDOW_SECONDS + 5
 
 
 def count_most(arrivals: Sequence[float]) -> int:
-    """Return the most arrivals within one window.
+    """Return the largest number of arrivals within one window.
 
     Parameters
     ----------
     arrivals
-        Times, in seconds.
+        Arrival times, in seconds.
     """
     ordered = sorted(arrivals)
     return max(
         (
-            sum(first <= one <= first + WINDOW_SECONDS for one in ordered)
+            sum(first <= at <= first + WINDOW_SECONDS for at in ordered)
             for first in ordered
         ),
         default=0,
--- a/tests/lone_rate_limiter.py
+++ b/tests/lone_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Turns at a node that knows of no other, and whose words are only noted."""
+"""Rate limiter of a node without peers that records its messages."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class LoneRateLimiter(RateLimiter):
-    """Deals all turns itself, as a node does that has run for a while."""
+    """Issues all permits itself, like a node past its startup delay."""
 
     def __init__(self, clock: HeldClock) -> None:
-        """Know of no limit."""
+        """Start without limits, with the startup delay over."""
         self.noted = NotedLinks()
-        started = clock.now
-        clock.now = started - STARTUP_SECONDS
+        now = clock.now
+        clock.now = now - STARTUP_SECONDS
         super().__init__(
             LoneGossip('own'), self.noted, clock, Random(1), lambda: True
         )
-        clock.now = started
+        clock.now = now
 
     def post(self, message: object) -> None:
-        """Handle a message at once."""
+        """Handle a message immediately."""
         assert isinstance(message, self.Changed)
         self.on_changed(message)
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -1,8 +1,8 @@
-"""Targets that name a limit, before the product's own entry daemons.
+"""Entry daemons keep the limits that targets report.
 
-They read it as little as the front daemons did: a target that named a limit of
-0.5 requests a second for all nodes together got 27 within 4 s, its even part.
-Now they ask for a turn first, as the front daemons do.
+Entry daemons that ignore a limit spread requests evenly: a target with a limit
+of 0.5 requests a second for all nodes together got 27 within 4 s.  They need
+permits like the front daemons.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
     from waywell.standins.harness import Bench
 
 LIMIT = 0.5
-"""Requests a second that a target takes."""
+"""Limit that a target reports, in requests a second."""
 
 REQUESTS = 60
-"""Of which half would go to a target that is one of two."""
+"""Requests sent; without a limit, each of two targets would get half."""
 
 PATH = '/services/app/price'
 
@@ -29,24 +29,24 @@
 TARGETS = ('app-1', 'app-2')
 
 
-def tell_limit(bench: Bench, names: tuple[str, ...]) -> float:
-    """Let every entry box hear of the limits; return when they bind."""
+def report_limit(bench: Bench, names: tuple[str, ...]) -> float:
+    """Report the limits to every entry box; return when they must hold."""
     for name in names:
         bench.set_target_faults(name, limit=str(LIMIT))
-    began_at = time.monotonic()
+    reported_at = time.monotonic()
     for entry in ENTRIES:
         for _request in range(6):
             bench.get_caller(entry).call(PATH)
-    time.sleep(max(0.0, began_at + KNOWN_SECONDS - time.monotonic()))
+    time.sleep(max(0.0, reported_at + KNOWN_SECONDS - time.monotonic()))
     return time.monotonic()
 
 
-def ask_in_turn(bench: Bench) -> list[int]:
-    """Send many requests, one entry box after the other."""
-    turns = itertools.cycle([bench.get_caller(name) for name in ENTRIES])
+def send_round_robin(bench: Bench) -> list[int]:
+    """Send requests to the entry boxes in turn; return the statuses."""
+    cycle = itertools.cycle([bench.get_caller(name) for name in ENTRIES])
     return [
         caller.call(PATH).status
-        for _request, caller in zip(range(REQUESTS), turns, strict=False)
+        for _request, caller in zip(range(REQUESTS), cycle, strict=False)
     ]
 
 
@@ -55,20 +55,22 @@
     return count_most([at for at in arrivals if at >= moment])
 
 
-def test_all_entry_boxes_together_keep_a_targets_limit(bench: Bench) -> None:
+def test_all_entry_boxes_together_keep_the_limit_of_a_target(
+    bench: Bench,
+) -> None:
     start_plain(bench, ENTRIES, TARGETS)
-    bound_at = tell_limit(bench, ('app-1',))
-    assert set(ask_in_turn(bench)) == {200}
-    assert count_after(bench, 'app-1', bound_at) <= count_allowed(LIMIT)
+    effective_at = report_limit(bench, ('app-1',))
+    assert set(send_round_robin(bench)) == {200}
+    assert count_after(bench, 'app-1', effective_at) <= count_allowed(LIMIT)
 
 
-def test_where_all_have_a_limit_the_rest_is_refused_at_once(
+def test_requests_above_the_limits_of_all_targets_are_refused(
     bench: Bench,
 ) -> None:
     start_plain(bench, ENTRIES, TARGETS)
-    bound_at = tell_limit(bench, TARGETS)
-    answers = ask_in_turn(bench)
+    effective_at = report_limit(bench, TARGETS)
+    statuses = send_round_robin(bench)
     for name in TARGETS:
-        assert count_after(bench, name, bound_at) <= count_allowed(LIMIT)
-    assert 503 in answers
-    assert set(answers) <= {200, 503}
+        assert count_after(bench, name, effective_at) <= count_allowed(LIMIT)
+    assert 503 in statuses
+    assert set(statuses) <= {200, 503}
--- a/tests/test_permit_issuer.py
+++ b/tests/test_permit_issuer.py
@@ -1,7 +1,7 @@
-"""Nodes that deal the turns of one replica, in any order of what may happen.
+"""Permits of one replica under any order of events between nodes.
 
-Whatever nodes know of each other, all together send no more to the replica
-within 4 s than one and a half times its limit and five requests.
+Whatever the nodes know of each other, all together send no more requests to
+the replica within 4 s than one and a half times its limit plus five.
 """
 
 from __future__ import annotations
@@ -35,25 +35,25 @@
 HALLS = ('hall-0', 'hall-1')
 
 VIEW_SECONDS = 1.5
-"""After a change, by when every node of a part has seen it."""
+"""Seconds after which every node of a partition has seen a change."""
 
 SETTLED_SECONDS = 3.0
-"""After a limit was named, from which on it binds."""
+"""Seconds after the first report of a limit until nodes must keep it."""
 
 USED_WITHIN = 0.5
-"""Seconds within which a turn that was dealt is used."""
+"""Longest time between the grant of a permit and its use, in seconds."""
 
 PARTS = st.integers(min_value=0, max_value=1)
 
 
-class TurnMachine(RuleBasedStateMachine):
-    """Nodes come, go, part and meet while requests come and limits change."""
+class PermitMachine(RuleBasedStateMachine):
+    """Changes nodes, partitions and limits while requests arrive."""
 
     @initialize(
         count=st.sampled_from((1, 2, 3, 9)),
         limit=st.sampled_from((0.0, 0.2, 1.0, 5.0, 50.0)),
     )
-    def begin(self, count: int, limit: float) -> None:
+    def start(self, count: int, limit: float) -> None:
         self.now = 100.0
         self.random = Random(count)
         self.fleet = TurnFleet(self.random)
@@ -65,17 +65,17 @@
         self.fleet.see_all()
         self.changed_at.clear()
         self.limit = limit
-        self.named_at = self.now
+        self.reported_at = self.now
         self.fleet.name_limit(limit, self.now)
 
     def add_node(self) -> TurnNode:
         self.serial += 1
         hall = HallName(HALLS[self.serial % len(HALLS)])
         node = self.fleet.add(f'n{self.serial}', hall)
-        self.note_change()
+        self.record_change()
         return node
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         for name in self.fleet.nodes:
             self.changed_at.setdefault(name, self.now)
 
@@ -86,78 +86,82 @@
             self.now += 0.05
             for name, changed_at in tuple(self.changed_at.items()):
                 if self.now - changed_at >= VIEW_SECONDS:
-                    self.let_see(name)
+                    self.update_view(name)
             self.fleet.tend(self.now)
 
-    def let_see(self, name: NodeId) -> None:
+    def update_view(self, name: NodeId) -> None:
         self.changed_at.pop(name, None)
         if name in self.fleet.nodes:
             self.fleet.see(self.fleet.nodes[name])
 
     @rule(which=st.integers(min_value=0))
-    def see_early(self, which: int) -> None:
+    def update_view_early(self, which: int) -> None:
         if self.changed_at:
             names = sorted(self.changed_at)
-            self.let_see(names[which % len(names)])
+            self.update_view(names[which % len(names)])
 
     @rule(
         count=st.integers(min_value=1, max_value=60),
-        late=st.floats(min_value=0.0, max_value=USED_WITHIN),
+        delay=st.floats(min_value=0.0, max_value=USED_WITHIN),
     )
-    def ask(self, count: int, late: float) -> None:
+    def send_requests(self, count: int, delay: float) -> None:
         names = sorted(self.fleet.nodes)
         for _request in range(count):
             name = self.random.choice(names)
             if self.fleet.ask(name, self.now, self.random.randrange(3)):
-                self.arrivals.append(self.now + late)
+                self.arrivals.append(self.now + delay)
 
     @rule(parts=st.lists(PARTS, min_size=9, max_size=9))
-    def part(self, parts: list[int]) -> None:
+    def partition(self, parts: list[int]) -> None:
         for node, part in zip(self.fleet.nodes.values(), parts, strict=False):
             node.part = part
-        self.note_change()
+        self.record_change()
 
     @rule()
-    def meet(self) -> None:
-        self.part([0] * len(self.fleet.nodes))
+    def heal(self) -> None:
+        self.partition([0] * len(self.fleet.nodes))
 
     @rule(which=st.integers(min_value=0))
-    def lose(self, which: int) -> None:
+    def lose_node(self, which: int) -> None:
         names = sorted(self.fleet.nodes)
         if len(names) > 1:
             self.fleet.nodes.pop(names[which % len(names)])
-            self.note_change()
+            self.record_change()
 
     @rule()
-    def join(self) -> None:
+    def add_late_node(self) -> None:
         if len(self.fleet.nodes) < 9:
             node = self.add_node()
-            word = LimitReport(
-                self.limit, self.named_at, self.named_at, self.named_at, HALL
+            report = LimitReport(
+                self.limit,
+                self.reported_at,
+                self.reported_at,
+                self.reported_at,
+                HALL,
             )
-            node.limits.record(LIFE, word, 'test')
+            node.limits.record(LIFE, report, 'test')
 
     @rule(limit=st.sampled_from((0.0, 0.2, 1.0, 5.0, 50.0)))
-    def name(self, limit: float) -> None:
+    def change_limit(self, limit: float) -> None:
         self.now += 0.1
         if limit != self.limit:
             self.limit = limit
-            self.named_at = self.now
+            self.reported_at = self.now
         self.fleet.name_limit(limit, self.now)
 
     @invariant()
-    def all_together_keep_the_limit(self) -> None:
+    def nodes_together_keep_the_limit(self) -> None:
         if not hasattr(self, 'arrivals'):
             return
-        binds_at = self.named_at + SETTLED_SECONDS
+        effective_at = self.reported_at + SETTLED_SECONDS
         self.arrivals = [
             at for at in self.arrivals if at > self.now - 3 * WINDOW_SECONDS
         ]
-        settled = [at for at in self.arrivals if at >= binds_at]
+        settled = [at for at in self.arrivals if at >= effective_at]
         assert count_most(settled) <= count_allowed(self.limit)
 
 
-TestTurns = TurnMachine.TestCase
+TestPermits = PermitMachine.TestCase
 
 
 def make_fleet(count: int) -> TurnFleet:
@@ -168,8 +172,8 @@
     return fleet
 
 
-def ask_all(fleet: TurnFleet, now: float) -> int:
-    """Let every node ask until all are refused."""
+def request_all(fleet: TurnFleet, now: float) -> int:
+    """Request permits at every node until all are refused."""
     return sum(
         fleet.ask(name, now) for _round in range(20) for name in fleet.nodes
     )
@@ -182,12 +186,12 @@
     fleet.name_limit(limit, 0.0)
     for step in range(1, 101):
         fleet.tend(step * 0.1)
-        ask_all(fleet, step * 0.1)
+        request_all(fleet, step * 0.1)
     assert fleet.sent
     assert count_most(fleet.sent) <= count_allowed(limit)
 
 
-def test_parts_of_a_cut_deal_no_more_than_the_limit_together() -> None:
+def test_partitions_together_keep_the_limit() -> None:
     fleet = make_fleet(9)
     fleet.name_limit(1.0, 0.0)
     for number, node in enumerate(fleet.nodes.values()):
@@ -195,17 +199,17 @@
     fleet.see_all()
     for step in range(1, 401):
         fleet.tend(step * 0.05)
-        ask_all(fleet, step * 0.05)
+        request_all(fleet, step * 0.05)
     late = [at for at in fleet.sent if at > 8]
     assert count_most(late) <= count_allowed(1.0)
 
 
-def test_a_new_dealer_begins_with_nothing() -> None:
+def test_a_new_issuer_starts_with_an_empty_bucket() -> None:
     fleet = make_fleet(3)
     fleet.name_limit(1.0, 0.0)
     fleet.tend(10.0)
-    (gone, *_others) = fleet.nodes['n0'].choice.choose(LIFE.box, HALL)
-    fleet.nodes.pop(gone)
+    (lost, *_others) = fleet.nodes['n0'].choice.choose(LIFE.box, HALL)
+    fleet.nodes.pop(lost)
     fleet.see_all()
     fleet.tend(10.0)
     (new,) = (
@@ -217,65 +221,69 @@
     assert new.grant(LIFE, 0, 14.0 + HANDOVER_SECONDS).permits
 
 
-def test_new_dealers_wait_while_others_do_not_know_of_them() -> None:
+def test_new_issuers_wait_until_other_nodes_know_them() -> None:
     limit = 20.0
     fleet = make_fleet(4)
     before = list(fleet.nodes.values())
     fleet.name_limit(limit, 0.0)
     for number in range(40):
-        # Those that join at one moment know those of before, not each other.
+        # Nodes that join together know the earlier nodes, not each other.
         node = fleet.add(f'joined{number}')
         node.limits.record(LIFE, LimitReport(limit, 0, 0, 0, HALL), 'test')
-        node.see({one.name: one.hall for one in (*before, node)}, 5)
+        node.see({seen.name: seen.hall for seen in (*before, node)}, 5)
     for step in range(1, 201):
         now = 6.0 + step * 0.05
         if step * 0.05 >= VIEW_SECONDS:
             fleet.see_all()
         fleet.tend(now)
-        ask_all(fleet, now)
+        request_all(fleet, now)
     assert count_most(fleet.sent) <= count_allowed(limit)
 
 
-def test_a_replica_that_takes_nothing_is_tried_now_and_then() -> None:
+def test_a_replica_with_limit_zero_is_probed_at_a_low_rate() -> None:
     fleet = make_fleet(3)
     fleet.name_limit(0.0, 0.0)
     for second in range(1, 61):
         fleet.tend(second)
-        ask_all(fleet, second)
+        request_all(fleet, second)
     assert 5 <= len(fleet.sent) <= 20
 
 
-def test_less_urgent_requests_come_behind_and_are_not_starved() -> None:
+def test_less_urgent_requests_wait_but_are_not_starved() -> None:
     bucket = PermitBucket(1.0, 1.0, 0.0)
-    dealt = []
+    granted_ranks = []
     for step in range(1, 401):
         for rank in (5, 0):
             if bucket.grant(rank, 1, step * 0.1).permits:
-                dealt.append(rank)
-    assert dealt.count(5) >= len(dealt) / (MAX_URGENT_PERMITS + 2)
-    assert dealt.count(0) >= len(dealt) / 2
+                granted_ranks.append(rank)
+    assert granted_ranks.count(5) >= len(granted_ranks) / (
+        MAX_URGENT_PERMITS + 2
+    )
+    assert granted_ranks.count(0) >= len(granted_ranks) / 2
 
 
-def test_nodes_of_the_replicas_hall_deal_where_there_are_some() -> None:
+def test_issuers_are_in_the_hall_of_the_replica_if_it_has_nodes() -> None:
     halls = {NodeId(f'n{number}'): HallName('far') for number in range(6)}
-    near = {NodeId('near'): HALL}
-    choice = IssuerAssignment(MembershipView(NodeId('near'), halls | near, 7))
-    assert choice.choose(LIFE.box, HALL) == ('near',)
-    choice = IssuerAssignment(MembershipView(NodeId('n0'), halls, 7))
-    assert len(choice.choose(LIFE.box, HALL)) == ISSUERS_PER_REPLICA
+    local = {NodeId('near'): HALL}
+    assignment = IssuerAssignment(
+        MembershipView(NodeId('near'), halls | local, 7)
+    )
+    assert assignment.choose(LIFE.box, HALL) == ('near',)
+    assignment = IssuerAssignment(MembershipView(NodeId('n0'), halls, 7))
+    assert len(assignment.choose(LIFE.box, HALL)) == ISSUERS_PER_REPLICA
 
 
 def test_a_limit_ends_with_the_life_of_its_box() -> None:
     limits = ReportedLimits()
     limits.record(LIFE, LimitReport(1.0, 0.0, 0.0, 0.0, HALL), 'own')
-    dealer = PermitIssuer(limits)
-    choice = IssuerAssignment(
+    issuer = PermitIssuer(limits)
+    assignment = IssuerAssignment(
         MembershipView(NodeId('a'), {NodeId('a'): HALL}, 1)
     )
-    dealer.update(choice, 0.0)
-    assert dealer.dump()
+    issuer.update(assignment, 0.0)
+    assert issuer.dump()
     limits.forget_ended([EndedLife(LIFE, None)])
-    dealer.update(choice, 0.1)
-    assert not dealer.dump()
+    issuer.update(assignment, 0.1)
+    assert not issuer.dump()
     later = BoxLife(LIFE.box, Incarnation(2))
     assert limits.get(later) == NO_LIMIT
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The task that keeps limits together with other nodes."""
+"""Rate limiter: reports, permits and messages between nodes."""
 
 from __future__ import annotations
 
@@ -33,188 +33,192 @@
 OTHER = NodeId('other')
 
 LIMITED = AnswerMark('a1', limit=1.0)
-"""What a replica with a limit says of its answer."""
+"""Mark of an answer that reports a limit."""
 
 REJECTED = AnswerMark('a1', is_rejected=True, limit=1.0)
-"""The same where it did not run the request."""
+"""Mark of an answer that reports a limit and rejects the request."""
 
 
 @pytest.fixture
-def turns() -> LoneRateLimiter:
+def limiter() -> LoneRateLimiter:
     return LoneRateLimiter(HeldClock())
 
 
-def tell(turns: LoneRateLimiter, message: Any) -> None:
-    turns.on_received(PeerLinks.Received(OTHER, message))
+def receive(limiter: LoneRateLimiter, message: Any) -> None:
+    limiter.on_received(PeerLinks.Received(OTHER, message))
 
 
-def make_told(limit: float | None, sent: float, heard: float) -> LimitTold:
-    """Return another node's word, by ages."""
-    return LimitTold(LIFE.box, LIFE.incarnation, HALL, limit, sent, heard, 9.0)
+def make_report(
+    limit: float | None, sent_age: float, heard_age: float
+) -> LimitTold:
+    """Return a report of another node, with ages in seconds."""
+    return LimitTold(
+        LIFE.box, LIFE.incarnation, HALL, limit, sent_age, heard_age, 9.0
+    )
 
 
-def take(turns: LoneRateLimiter) -> Any:
-    return asyncio.run(turns.take_turn(LIFE, HALL, 0))
+def acquire(limiter: LoneRateLimiter) -> Any:
+    return asyncio.run(limiter.take_turn(LIFE, HALL, 0))
 
 
-def meet_dealers(turns: LoneRateLimiter) -> None:
-    """Let other nodes stand in the replica's hall, until they deal."""
-    now = turns._clock.read()
-    turns._links.has_peer = lambda _node: True  # type: ignore[method-assign]
+def add_remote_issuers(limiter: LoneRateLimiter) -> None:
+    """Add nodes in the replica's hall until this node is no issuer."""
+    now = limiter._clock.read()
+    limiter._links.has_peer = lambda _node: True  # type: ignore[method-assign]
     for number in range(50):
-        turns.refresh(now)
-        if 'own' not in turns._choice.choose(LIFE.box, HALL):
+        limiter.refresh(now)
+        if 'own' not in limiter._assignment.choose(LIFE.box, HALL):
             return
-        turns._gossip.table.merge(make_record(f'n{number}'), now)
-    raise AssertionError('the node itself deals')
+        limiter._gossip.table.merge(make_record(f'n{number}'), now)
+    raise AssertionError('the node itself is still an issuer')
 
 
-def test_a_change_of_a_limit_is_told_to_all_and_passed_on(
-    turns: LoneRateLimiter,
+def test_a_changed_limit_is_broadcast_and_forwarded(
+    limiter: LoneRateLimiter,
 ) -> None:
-    now = turns._clock.read()
-    turns.note_answer(LIFE, HALL, 1.0, now - 0.1)
-    (told,) = turns.noted.spread_words
-    assert told.limit == 1.0
-    turns.note_answer(LIFE, HALL, 1.0, now - 0.1)
-    assert len(turns.noted.spread_words) == 1
-    tell(turns, make_told(0.5, 0.1, 0.0))
-    assert turns.get_limit(LIFE) == 0.5
-    assert len(turns.noted.passed) == 1
-
-
-def test_a_node_that_knows_a_later_word_says_so(
-    turns: LoneRateLimiter,
+    now = limiter._clock.read()
+    limiter.note_answer(LIFE, HALL, 1.0, now - 0.1)
+    (report,) = limiter.noted.spread_words
+    assert report.limit == 1.0
+    limiter.note_answer(LIFE, HALL, 1.0, now - 0.1)
+    assert len(limiter.noted.spread_words) == 1
+    receive(limiter, make_report(0.5, 0.1, 0.0))
+    assert limiter.get_limit(LIFE) == 0.5
+    assert len(limiter.noted.passed) == 1
+
+
+def test_a_node_replies_to_an_outdated_report_with_its_own(
+    limiter: LoneRateLimiter,
 ) -> None:
-    now = turns._clock.read()
-    turns.note_answer(LIFE, HALL, 1.0, now - 5.0)
-    turns._clock.now += 1.0
-    turns.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
-    tell(turns, make_told(1.0, 4.0, 3.0))
-    assert turns.get_limit(LIFE) == NO_LIMIT
-    ((node, told),) = turns.noted.sent
+    now = limiter._clock.read()
+    limiter.note_answer(LIFE, HALL, 1.0, now - 5.0)
+    limiter._clock.now += 1.0
+    limiter.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
+    receive(limiter, make_report(1.0, 4.0, 3.0))
+    assert limiter.get_limit(LIFE) == NO_LIMIT
+    ((node, report),) = limiter.noted.sent
     assert node == OTHER
-    assert told.limit is None
+    assert report.limit is None
 
 
 @pytest.mark.parametrize('gap', [-0.2, -0.01, 0.0, 0.01, 0.04, 0.06, 0.2])
-def test_two_nodes_that_differ_soon_agree(gap: float) -> None:
+def test_nodes_with_different_limits_converge(gap: float) -> None:
     first, second = LoneRateLimiter(HeldClock()), LoneRateLimiter(HeldClock())
     first.note_answer(LIFE, HALL, 1.0, first._clock.now - 0.1)
     second._clock.now += gap
     second.note_answer(LIFE, HALL, 2.0, second._clock.now)
     first._clock.now = second._clock.now = 101.0
-    words = [(first, second), (second, first)]
-    for teller, _listener in words:
-        teller.on_opened(PeerLinks.Opened(make_record('other')))
+    pairs = [(first, second), (second, first)]
+    for sender, _receiver in pairs:
+        sender.on_opened(PeerLinks.Opened(make_record('other')))
     for _round in range(4):
-        for teller, listener in words:
-            sent, teller.noted.sent = teller.noted.sent, []
-            for _node, told in sent:
-                tell(listener, told)
+        for sender, receiver in pairs:
+            sent, sender.noted.sent = sender.noted.sent, []
+            for _node, report in sent:
+                receive(receiver, report)
     assert not first.noted.sent
     assert not second.noted.sent
     assert first.get_limit(LIFE) == second.get_limit(LIFE)
 
 
-def test_a_peer_that_may_have_missed_words_gets_them_all(
-    turns: LoneRateLimiter,
+def test_a_new_peer_gets_all_reports(
+    limiter: LoneRateLimiter,
 ) -> None:
-    turns.note_answer(LIFE, HALL, 1.0, 0.0)
-    turns.on_opened(PeerLinks.Opened(make_record('other')))
-    ((_node, known),) = turns.noted.sent
+    limiter.note_answer(LIFE, HALL, 1.0, 0.0)
+    limiter.on_opened(PeerLinks.Opened(make_record('other')))
+    ((_node, known),) = limiter.noted.sent
     other = LoneRateLimiter(HeldClock())
-    tell(other, known)
+    receive(other, known)
     assert isinstance(known, KnownLimits)
     assert other.get_limit(LIFE) == 1.0
 
 
-def test_a_turn_lapses(turns: LoneRateLimiter) -> None:
-    turns.note_answer(LIFE, HALL, 1.0, 0.0)
-    turn = take(turns)
-    now = turns._clock.read()
-    assert turns.may_send(LIFE, turn, now)
-    assert not turns.may_send(LIFE, turn, now + PERMIT_SECONDS)
-    assert not turns.may_send(LIFE, None, now)
+def test_a_permit_expires(limiter: LoneRateLimiter) -> None:
+    limiter.note_answer(LIFE, HALL, 1.0, 0.0)
+    permit = acquire(limiter)
+    now = limiter._clock.read()
+    assert limiter.may_send(LIFE, permit, now)
+    assert not limiter.may_send(LIFE, permit, now + PERMIT_SECONDS)
+    assert not limiter.may_send(LIFE, None, now)
 
 
-def test_a_node_that_got_no_turn_does_not_ask_at_once_again(
-    turns: LoneRateLimiter,
+def test_a_refused_node_waits_before_it_asks_again(
+    limiter: LoneRateLimiter,
 ) -> None:
-    turns.note_answer(LIFE, HALL, 0.2, 0.0)
-    while take(turns) is not None:
+    limiter.note_answer(LIFE, HALL, 0.2, 0.0)
+    while acquire(limiter) is not None:
         continue
-    now = turns._clock.read()
-    assert not turns.may_ask(LIFE, 0, now)
-    wait = turns.find_wait([LIFE], now)
+    now = limiter._clock.read()
+    assert not limiter.may_ask(LIFE, 0, now)
+    wait = limiter.find_wait([LIFE], now)
     assert wait is not None
-    assert turns.may_ask(LIFE, 0, now + wait)
-    free = BoxLife(BoxId('b'), Incarnation(1))
-    assert turns.find_wait([LIFE, free], now) is None
+    assert limiter.may_ask(LIFE, 0, now + wait)
+    unlimited = BoxLife(BoxId('b'), Incarnation(1))
+    assert limiter.find_wait([LIFE, unlimited], now) is None
 
 
-def test_a_node_that_just_started_deals_nothing() -> None:
-    turns = LoneRateLimiter(HeldClock())
-    turns._deals_from = turns._clock.read() + STARTUP_SECONDS
-    turns.note_answer(LIFE, HALL, 100.0, 0.0)
-    assert take(turns) is None
-    turns._clock.now += STARTUP_SECONDS + 3.0
-    turns.refresh(turns._clock.now)
-    turns._clock.now += 5.0
-    assert take(turns) is not None
+def test_a_node_issues_no_permits_right_after_its_start() -> None:
+    limiter = LoneRateLimiter(HeldClock())
+    limiter._issues_from = limiter._clock.read() + STARTUP_SECONDS
+    limiter.note_answer(LIFE, HALL, 100.0, 0.0)
+    assert acquire(limiter) is None
+    limiter._clock.now += STARTUP_SECONDS + 3.0
+    limiter.refresh(limiter._clock.now)
+    limiter._clock.now += 5.0
+    assert acquire(limiter) is not None
 
 
-def test_a_dealer_answers_others_and_learns_the_limit_from_them(
-    turns: LoneRateLimiter,
+def test_an_issuer_learns_the_limit_from_a_request_and_answers(
+    limiter: LoneRateLimiter,
 ) -> None:
-    tell(turns, TurnAsk(7, make_told(1.0, 0.1, 0.0), 0))
-    assert turns.get_limit(LIFE) == 1.0
+    receive(limiter, TurnAsk(7, make_report(1.0, 0.1, 0.0), 0))
+    assert limiter.get_limit(LIFE) == 1.0
     answers = [
-        word
-        for _node, word in turns.noted.sent
-        if isinstance(word, TurnAnswer)
+        message
+        for _node, message in limiter.noted.sent
+        if isinstance(message, TurnAnswer)
     ]
     assert [answer.ask for answer in answers] == [7]
 
 
-def test_a_silent_dealer_is_given_up_and_its_late_turn_is_used(
-    turns: LoneRateLimiter,
+def test_a_silent_issuer_times_out_and_its_late_permit_is_used(
+    limiter: LoneRateLimiter,
 ) -> None:
-    turns.note_answer(LIFE, HALL, 1.0, 0.0)
-    meet_dealers(turns)
-    assert take(turns) is None
-    asked = [word for _node, word in turns.noted.sent]
+    limiter.note_answer(LIFE, HALL, 1.0, 0.0)
+    add_remote_issuers(limiter)
+    assert acquire(limiter) is None
+    asked = [message for _node, message in limiter.noted.sent]
     assert len(asked) == 2
-    assert not turns.may_ask(LIFE, 0, turns._clock.read())
-    tell(turns, TurnAnswer(asked[0].ask, 1, 0.0))
-    assert turns.may_ask(LIFE, 0, turns._clock.read())
-    assert take(turns) is not None
+    assert not limiter.may_ask(LIFE, 0, limiter._clock.read())
+    receive(limiter, TurnAnswer(asked[0].ask, 1, 0.0))
+    assert limiter.may_ask(LIFE, 0, limiter._clock.read())
+    assert acquire(limiter) is not None
 
 
-def test_a_limit_lasts_no_longer_than_the_replica_says_so(
-    turns: LoneRateLimiter,
+def test_a_limit_ends_when_an_answer_reports_none(
+    limiter: LoneRateLimiter,
 ) -> None:
-    now = turns._clock.read()
-    turns.note_answer(LIFE, HALL, 0.0, now)
-    while take(turns) is not None:
+    now = limiter._clock.read()
+    limiter.note_answer(LIFE, HALL, 0.0, now)
+    while acquire(limiter) is not None:
         continue
-    turns._clock.now += 1.0
-    turns.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
-    assert turns.may_ask(LIFE, 0, turns._clock.now)
-    assert take(turns) is not None
-    assert turns.count()['limited'] == 0
+    limiter._clock.now += 1.0
+    limiter.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
+    assert limiter.may_ask(LIFE, 0, limiter._clock.now)
+    assert acquire(limiter) is not None
+    assert limiter.count()['limited'] == 0
 
 
-def test_retries_take_turns_too(stage: Stage) -> None:
+def test_retries_need_permits_too(stage: Stage) -> None:
 
-    async def play() -> None:
+    async def send_requests() -> None:
         for _request in range(8):
             await stage.begin()
             for attempt in tuple(stage.attempts):
                 if attempt.head is None and not attempt._is_over:
                     await stage.head(attempt, status=503, mark=REJECTED)
 
-    asyncio.run(play())
+    asyncio.run(send_requests())
     assert stage.refusal is not None
     assert stage.refusal.code is Code.REPLICAS_LIMITED
     assert stage.refusal.ran is Ran.NOT_RUN
@@ -222,29 +226,29 @@
     assert stage.refusal.retry_after > 0
 
 
-def test_a_request_that_connects_when_the_limit_comes_is_not_written(
+def test_a_connecting_request_is_not_sent_when_a_limit_is_reported(
     stage: Stage,
 ) -> None:
-    async def play() -> None:
+    async def report_limit_while_connecting() -> None:
         stage.connects_at_once = False
         await stage.begin()
         (attempt,) = stage.attempts
-        # Another request was answered with the limit meanwhile.
+        # Meanwhile the answer to another request reports the limit.
         attempt.destination.on_mark(LIMITED, attempt.sent_at, stage.clock.now)
         assert not stage.may_send()
         attempt.tell(Attempt.Fault(attempt, SendFault.TOO_LATE))
         await stage.settle()
         assert stage.attempts[-1].replica != attempt.replica
 
-    asyncio.run(play())
+    asyncio.run(report_limit_while_connecting())
 
 
-def test_a_request_asks_few_replicas_for_a_turn(
-    turns: LoneRateLimiter,
+def test_a_request_asks_few_replicas_for_a_permit(
+    limiter: LoneRateLimiter,
 ) -> None:
-    now = turns._clock.read()
-    free = BoxLife(BoxId('b'), Incarnation(1))
-    turns.note_answer(LIFE, HALL, 1.0, now)
-    assert turns.may_ask(LIFE, MOST_MISSED - 1, now)
-    assert not turns.may_ask(LIFE, MOST_MISSED, now)
-    assert turns.may_ask(free, MOST_MISSED, now)
+    now = limiter._clock.read()
+    unlimited = BoxLife(BoxId('b'), Incarnation(1))
+    limiter.note_answer(LIFE, HALL, 1.0, now)
+    assert limiter.may_ask(LIFE, MOST_MISSED - 1, now)
+    assert not limiter.may_ask(LIFE, MOST_MISSED, now)
+    assert limiter.may_ask(unlimited, MOST_MISSED, now)
--- a/tests/test_reported_limits.py
+++ b/tests/test_reported_limits.py
@@ -1,4 +1,4 @@
-"""The limits that replicas have named, as one node knows them."""
+"""Limits that replicas have reported, as known to one node."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 LIFE = BoxLife(BoxId('a'), Incarnation(1))
 
 
-def note(
+def record(
     limits: ReportedLimits, limit: float, sent_at: float, received_at: float
 ) -> bool:
-    word = LimitReport(limit, sent_at, received_at, received_at)
-    return limits.record(LIFE, word, 'own')
+    report = LimitReport(limit, sent_at, received_at, received_at)
+    return limits.record(LIFE, report, 'own')
 
 
 @pytest.mark.parametrize(
@@ -43,76 +43,76 @@
         ('soon', None),
     ],
 )
-def test_a_text_that_is_no_limit_neither_names_nor_ends_one(
+def test_an_invalid_limit_header_is_ignored(
     text: str | None, limit: float | None
 ) -> None:
     assert read_limit(text) == limit
 
 
-def test_a_limit_lasts_until_a_later_request_is_answered_without() -> None:
+def test_a_limit_ends_with_the_answer_to_a_later_request() -> None:
     limits = ReportedLimits()
-    assert note(limits, 1.0, 5.0, 5.2)
-    # Sent before the word was heard: it may have been answered before it.
-    assert not note(limits, NO_LIMIT, 5.1, 5.4)
+    assert record(limits, 1.0, 5.0, 5.2)
+    # Sent before the limit was known, so it may have been answered earlier.
+    assert not record(limits, NO_LIMIT, 5.1, 5.4)
     assert limits.get(LIFE) == 1.0
-    assert note(limits, NO_LIMIT, 5.3, 5.4)
+    assert record(limits, NO_LIMIT, 5.3, 5.4)
     assert limits.get(LIFE) == NO_LIMIT
 
 
-def test_an_answer_that_overtook_another_lifts_no_later_limit() -> None:
+def test_a_delayed_answer_does_not_lift_a_later_limit() -> None:
     limits = ReportedLimits()
-    note(limits, 2.0, 1.0, 1.1)
-    note(limits, 1.0, 2.0, 2.1)
-    assert not note(limits, 2.0, 1.5, 2.4)
+    record(limits, 2.0, 1.0, 1.1)
+    record(limits, 1.0, 2.0, 2.1)
+    assert not record(limits, 2.0, 1.5, 2.4)
     assert limits.get(LIFE) == 1.0
 
 
-def test_a_lower_limit_holds_unless_it_is_surely_older() -> None:
+def test_a_lower_limit_holds_unless_it_is_certainly_older() -> None:
     limits = ReportedLimits()
-    note(limits, 2.0, 2.0, 2.2)
-    assert not note(limits, 1.0, 1.0, 1.9)
-    assert note(limits, 1.0, 1.0, 2.1)
+    record(limits, 2.0, 2.0, 2.2)
+    assert not record(limits, 1.0, 1.0, 1.9)
+    assert record(limits, 1.0, 1.0, 2.1)
 
 
-def test_limits_that_differ_by_little_are_no_news() -> None:
+def test_small_changes_of_a_limit_are_ignored() -> None:
     limits = ReportedLimits()
-    note(limits, 10.0, 1.0, 1.1)
-    assert not note(limits, 10.5, 2.0, 2.1)
-    assert not note(limits, 9.2, 3.0, 3.1)
+    record(limits, 10.0, 1.0, 1.1)
+    assert not record(limits, 10.5, 2.0, 2.1)
+    assert not record(limits, 9.2, 3.0, 3.1)
     assert limits.get(LIFE) == 10.0
-    assert note(limits, 8.9, 4.0, 4.1)
-    assert note(limits, 0.0, 5.0, 5.1)
-    assert not note(limits, 0.0, 6.0, 6.1)
+    assert record(limits, 8.9, 4.0, 4.1)
+    assert record(limits, 0.0, 5.0, 5.1)
+    assert not record(limits, 0.0, 6.0, 6.1)
 
 
-def test_an_ended_limit_is_not_named_again_by_an_older_word() -> None:
+def test_an_older_report_does_not_restore_a_lifted_limit() -> None:
     limits = ReportedLimits()
-    note(limits, 1.0, 1.0, 1.1)
-    note(limits, NO_LIMIT, 2.0, 2.1)
-    assert not note(limits, 1.0, 1.0, 1.9)
+    record(limits, 1.0, 1.0, 1.1)
+    record(limits, NO_LIMIT, 2.0, 2.1)
+    assert not record(limits, 1.0, 1.0, 1.9)
     assert limits.get(LIFE) == NO_LIMIT
 
 
-def test_it_is_known_since_when_a_box_has_a_limit() -> None:
+def test_the_start_of_a_limit_is_kept_when_it_changes() -> None:
     limits = ReportedLimits()
-    note(limits, 1.0, 1.0, 1.1)
-    note(limits, 0.5, 2.0, 2.1)
-    note(limits, 3.0, 3.0, 3.1)
-    word = limits.find(LIFE)
-    assert word is not None
-    assert word.limited_since == 1.1
+    record(limits, 1.0, 1.0, 1.1)
+    record(limits, 0.5, 2.0, 2.1)
+    record(limits, 3.0, 3.0, 3.1)
+    report = limits.find(LIFE)
+    assert report is not None
+    assert report.limited_since == 1.1
 
 
-def test_a_node_that_learns_of_an_old_limit_does_not_take_it_for_new() -> None:
+def test_the_earlier_start_of_a_limit_is_learned_from_another_node() -> None:
     limits = ReportedLimits()
-    note(limits, 1.0, 50.0, 50.1)
+    record(limits, 1.0, 50.0, 50.1)
     assert not limits.record(LIFE, LimitReport(1.0, 40.0, 40.1, 3.0), 'other')
-    word = limits.find(LIFE)
-    assert word is not None
-    assert (word.received_at, word.limited_since) == (50.1, 3.0)
+    report = limits.find(LIFE)
+    assert report is not None
+    assert (report.received_at, report.limited_since) == (50.1, 3.0)
 
 
-def test_what_is_kept_is_bounded_and_ends() -> None:
+def test_the_number_and_age_of_reports_are_bounded() -> None:
     limits = ReportedLimits()
     for number in range(MAX_REPORTS + 5):
         life = BoxLife(BoxId(f'b{number}'), Incarnation(1))
--- a/waywell/bench/turn_fleet.py
+++ b/waywell/bench/turn_fleet.py
@@ -42,17 +42,17 @@
     def __attrs_post_init__(self) -> None:
         """See nobody else yet."""
         self.dealer = PermitIssuer(self.limits)
-        self.see({self.name: self.hall}, 1, is_placed=False)
+        self.see({self.name: self.hall}, 1, has_joined=False)
 
     def see(
         self,
         halls: Mapping[NodeId, HallName],
         known: int,
         *,
-        is_placed: bool = True,
+        has_joined: bool = True,
     ) -> None:
         """See other nodes from now on."""
-        view = MembershipView(self.name, dict(halls), known, is_placed)
+        view = MembershipView(self.name, dict(halls), known, has_joined)
         self.choice = IssuerAssignment(view)
 
 
--- a/waywell/limits/permit_bucket.py
+++ b/waywell/limits/permit_bucket.py
@@ -1,29 +1,30 @@
-"""The turns of one replica at one of its dealers."""
+"""Token bucket from which an issuer grants the permits of one replica."""
 
 from __future__ import annotations
 
 import attrs
 
 MAX_RETRY_SECONDS = 1.0
-"""Seconds after which a node may ask again, however many were refused."""
+"""Longest time until a refused node may ask again, in seconds, however many
+requests were refused before it."""
 
 MIN_RETRY_SECONDS = 0.05
-"""Seconds for which a node that was refused does not ask again."""
+"""Shortest time until a refused node asks again, in seconds."""
 
 URGENT_HOLD_SECONDS = 1.0
-"""For which a refused request keeps less urgent ones behind it."""
+"""Seconds for which a refused request keeps permits from less urgent ones."""
 
 MAX_URGENT_PERMITS = 3
-"""Turns of urgent requests after which a less urgent one gets one, so that
-none is starved."""
+"""Grants to urgent requests after which a less urgent one gets a grant, so
+that none is starved."""
 
 
 @attrs.frozen
 class PermitGrant:
-    """What a dealer answers."""
+    """An issuer's answer to a permit request."""
 
     permits: int = 0
-    """Requests that may be sent; 0 for a refusal."""
+    """Number of requests that may be sent; 0 if the issuer refuses."""
 
     retry_after: float = 0.0
     """Seconds after which it is worth asking again."""
@@ -31,67 +32,68 @@
 
 @attrs.define
 class PermitBucket:
-    """Fills with turns at a steady rate, up to a bound."""
+    """Token bucket that refills at a constant rate."""
 
     rate: float
-    """Turns a second."""
+    """Refill rate, in permits a second."""
 
     capacity: float
-    """Turns that it holds at most."""
+    """Largest number of permits that the bucket holds."""
 
     filled_at: float
-    """Until when it was filled, in seconds; later than now while it waits."""
+    """Time of the last refill, in seconds.  A time in the future delays the
+    first refill until then."""
 
     level: float = 0.0
-    """Turns in it."""
+    """Number of permits available."""
 
     refused: int = 0
-    """Asks refused since a turn was last dealt."""
+    """Requests refused since the last grant."""
 
     _urgent_rank: int = 0
     _urgent_until: float = 0.0
-    _urgent_turns: int = 0
+    _urgent_grants: int = 0
 
     def change_rate(self, rate: float, capacity: float, now: float) -> None:
-        """Fill at another rate from now on."""
-        self._fill(now)
+        """Refill at another rate, up to another capacity, from now on."""
+        self._refill(now)
         self.rate = rate
         self.capacity = capacity
         self.level = min(self.level, capacity)
 
     def grant(self, rank: int, wanted: int, now: float) -> PermitGrant:
-        """Deal turns to a request, or refuse it.
+        """Grant permits to a request, or refuse it.
 
         Parameters
         ----------
         rank
-            Urgency of the request, 0 first.
+            Priority of the request; 0 is the most urgent.
         wanted
-            Turns to deal at most.
+            Largest number of permits to grant.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
-        self._fill(now)
-        turns = min(wanted, int(self.level))
-        if not turns or self._keeps_behind(rank, now):
+        self._refill(now)
+        permits = min(wanted, int(self.level))
+        if not permits or self._must_yield(rank, now):
             return self._refuse(rank, now)
-        self.level -= turns
+        self.level -= permits
         self.refused = 0
-        is_lesser = rank > self._urgent_rank
-        self._urgent_turns = 0 if is_lesser else self._urgent_turns + 1
-        return PermitGrant(turns)
+        is_less_urgent = rank > self._urgent_rank
+        self._urgent_grants = 0 if is_less_urgent else self._urgent_grants + 1
+        return PermitGrant(permits)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if now > self.filled_at:
             gained = (now - self.filled_at) * self.rate
             self.level = min(self.capacity, self.level + gained)
             self.filled_at = now
 
-    def _keeps_behind(self, rank: int, now: float) -> bool:
-        """Answer whether a more urgent request waits for its turn."""
+    def _must_yield(self, rank: int, now: float) -> bool:
+        """Return whether a more urgent request is waiting for a permit."""
         if now >= self._urgent_until or rank <= self._urgent_rank:
             return False
-        return self._urgent_turns < MAX_URGENT_PERMITS
+        return self._urgent_grants < MAX_URGENT_PERMITS
 
     def _refuse(self, rank: int, now: float) -> PermitGrant:
         if now >= self._urgent_until or rank <= self._urgent_rank:
--- a/waywell/limits/permit_issuer.py
+++ b/waywell/limits/permit_issuer.py
@@ -1,8 +1,8 @@
-"""One node's part in dealing the turns of replicas that have a limit.
+"""Permits that one node issues for rate-limited replicas.
 
-A turn is the right to send one request.  What a node may send without hearing
-from others is nothing: all that may be sent is in the buckets of the few
-dealers of a replica, so bursts do not add up over the nodes.
+A permit is the right to send one request.  A node may send nothing without a
+permit, and all permits come from the buckets of the replica's few issuers, so
+bursts do not add up over the nodes.
 """
 
 from __future__ import annotations
@@ -22,70 +22,75 @@
     from waywell.version.fleet import BoxLife
 
 MIN_RATE = 0.2
-"""Requests a second that a replica gets at least, from all nodes: one that
-names 0 is only heard to have taken it back in an answer."""
+"""Lowest rate at which a replica gets requests from all nodes, in requests a
+second.  A replica with a limit of 0 can only lift it in an answer to a
+request."""
 
 BURST_PERMITS = 2.0
-"""Turns that a bucket holds at most beside those of a moment."""
+"""Fixed part of a bucket's capacity, in permits."""
 
 BURST_SECONDS = 0.1
-"""Moment of the rate that a bucket holds as well, so that high limits are
-dealt in few messages."""
+"""Part of a bucket's capacity that grows with its rate, in seconds of refill.
+It allows permits of high limits to be granted in few messages."""
 
 NEW_LIMIT_SECONDS = 1.5
-"""After a replica's first word of a limit, in which its dealers begin with a
-full bucket: no other node has dealt before."""
+"""Age of a limit below which its issuers start with a full bucket, in seconds:
+no other node has issued permits for it before."""
 
 HANDOVER_SECONDS = 2.0
-"""For which a new dealer deals nothing: the former one may not yet know that
-it is none any more."""
+"""Seconds for which a new issuer grants nothing: the former one may not know
+yet that it has been replaced."""
 
 
 class PermitIssuer:
-    """Deals the turns of the replicas that one node is a dealer of.
+    """Issues permits for the replicas that are assigned to one node.
 
     Parameters
     ----------
     limits
-        What replicas have named.
+        Limits that replicas have reported.
     """
 
     def __init__(self, limits: ReportedLimits) -> None:
-        """Deal nothing yet."""
+        """Start without a bucket."""
         self._limits = limits
         self._buckets: dict[BoxLife, PermitBucket] = {}
         self.granted = 0
         self.refused = 0
 
-    def update(self, choice: IssuerAssignment, now: float) -> None:
-        """Begin or end to deal, and keep to the limits of now."""
-        limited = self._limits.list_limited() if choice.view.is_placed else {}
-        mine = {
-            life: word
-            for life, word in limited.items()
-            if choice.view.own in choice.choose(life.box, word.hall)
+    def update(self, assignment: IssuerAssignment, now: float) -> None:
+        """Match the buckets to the current assignment and limits."""
+        limited = (
+            self._limits.list_limited() if assignment.view.has_joined else {}
+        )
+        assigned = {
+            life: report
+            for life, report in limited.items()
+            if assignment.view.own in assignment.choose(life.box, report.hall)
         }
-        for gone in self._buckets.keys() - mine.keys():
-            self._buckets.pop(gone)
-            log_event('dealing_ended', box=gone.box)
-        for life, word in mine.items():
-            dealers = len(choice.choose(life.box, word.hall))
+        for ended in self._buckets.keys() - assigned.keys():
+            self._buckets.pop(ended)
+            log_event('dealing_ended', box=ended.box)
+        for life, report in assigned.items():
+            issuers = len(assignment.choose(life.box, report.hall))
             rate = (
-                max(word.limit, MIN_RATE) * choice.view.live_fraction / dealers
+                max(report.limit, MIN_RATE)
+                * assignment.view.live_fraction
+                / issuers
             )
-            self._set_rate(life, word, rate, now)
+            self._update_bucket(life, report, rate, now)
 
     def grant(self, life: BoxLife, rank: int, now: float) -> PermitGrant:
-        """Deal turns of a replica, or refuse.
+        """Grant permits for a replica, or refuse.
 
         Parameters
         ----------
         life
-            The box that takes its requests.
+            Life of the box that receives the replica's requests.
         rank
-            Urgency of the request, 0 first.
+            Priority of the request; 0 is the most urgent.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
         if not self._limits.is_limited(life):
             return PermitGrant(1)
@@ -93,13 +98,13 @@
         if bucket is None:
             return PermitGrant(retry_after=MIN_RETRY_SECONDS)
         wanted = max(1, int(bucket.rate * BURST_SECONDS / 2))
-        deal = bucket.grant(rank, wanted, now)
-        self.granted += deal.permits
-        self.refused += not deal.permits
-        return deal
+        grant = bucket.grant(rank, wanted, now)
+        self.granted += grant.permits
+        self.refused += not grant.permits
+        return grant
 
     def dump(self) -> dict[str, dict[str, float]]:
-        """Return what is dealt, as plain values."""
+        """Return the state of each bucket as plain values."""
         return {
             life.box: {
                 'turns_a_second': round(bucket.rate, 3),
@@ -110,43 +115,45 @@
         }
 
     def count(self) -> dict[str, float]:
-        """Return how much is dealt."""
+        """Return the number of buckets, permits granted and refusals."""
         return {
             'dealing': len(self._buckets),
             'dealt': self.granted,
             'refused': self.refused,
         }
 
-    def _set_rate(
+    def _update_bucket(
         self,
         life: BoxLife,
-        word: LimitReport,
+        report: LimitReport,
         rate: float,
         now: float,
     ) -> None:
-        most = compute_capacity(rate)
+        capacity = compute_capacity(rate)
         bucket = self._buckets.get(life)
         if bucket is None:
-            is_new = now - word.limited_since < NEW_LIMIT_SECONDS
-            begins_at = now if is_new else now + HANDOVER_SECONDS
-            level = most if is_new else 0.0
-            self._buckets[life] = PermitBucket(rate, most, begins_at, level)
+            is_new = now - report.limited_since < NEW_LIMIT_SECONDS
+            starts_at = now if is_new else now + HANDOVER_SECONDS
+            level = capacity if is_new else 0.0
+            self._buckets[life] = PermitBucket(
+                rate, capacity, starts_at, level
+            )
             log_event(
                 'dealing_begun',
                 box=life.box,
-                limit=word.limit,
+                limit=report.limit,
                 rate=round(rate, 3),
-                limit_age=round(now - word.limited_since, 2),
+                limit_age=round(now - report.limited_since, 2),
             )
         elif bucket.rate != rate:
-            bucket.change_rate(rate, most, now)
+            bucket.change_rate(rate, capacity, now)
 
 
 def compute_capacity(rate: float) -> float:
-    """Return the turns that a bucket of a rate holds at most.
+    """Return the capacity of a bucket with a refill rate, in permits.
 
-    With the two dealers of a replica, and turns that are used within half a
-    second, the most that is sent within 4 s stays below one and a half times
-    what the limit allows and five requests: at a limit of 1 it is 7.6 of 11.
+    With two issuers for each replica and permits that are used within half a
+    second, the requests sent within 4 s stay below one and a half times the
+    limit plus five requests: with a limit of 1 they are at most 7.6 of 11.
     """
     return min(BURST_PERMITS, 1 + rate) + BURST_SECONDS * rate
--- a/waywell/limits/permit_requests.py
+++ b/waywell/limits/permit_requests.py
@@ -1,4 +1,4 @@
-"""Questions to the dealers of turns that are open, and dealers gone silent."""
+"""Permit requests to other nodes, and issuers that have stopped answering."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
     from waywell.membership.links import PeerLinks
 
 ANSWER_SECONDS = 0.06
-"""For a dealer to answer: some ten times the way there and back; a request
-that waits for its turn is not tried elsewhere meanwhile."""
+"""Seconds that an issuer has to answer, some ten times the round trip.  A
+request that waits for its permit is not tried elsewhere meanwhile."""
 
 SILENCE_SECONDS = 1.0
-"""For which a dealer that did not answer is not asked."""
+"""Seconds for which an issuer that did not answer is not asked again."""
 
 MAX_PENDING = 1024
-"""Questions without an answer that are remembered."""
+"""Largest number of unanswered permit requests that are kept."""
 
 
 @attrs.frozen
 class LatePermits:
-    """Turns that came when their request no longer waited for them."""
+    """Permits that arrived after their request stopped waiting for them."""
 
     life: BoxLife
-    """The replica's box."""
+    """Life of the replica's box."""
 
-    turns: int
-    """How many."""
+    permits: int
+    """Number of permits."""
 
-    asked_at: float
-    """When they were asked for, in seconds."""
+    requested_at: float
+    """Time at which they were requested, in seconds."""
 
 
 @attrs.frozen
-class _Asked:
-    """A question that is open."""
+class _PendingRequest:
+    """A permit request that has not been answered."""
 
     life: BoxLife
-    at: float
-    answered: asyncio.Future[PermitGrant]
+    requested_at: float
+    answer: asyncio.Future[PermitGrant]
 
 
 class PermitRequests:
-    """Asks other nodes for turns.
+    """Requests permits from other nodes.
 
     Parameters
     ----------
@@ -61,70 +61,76 @@
     """
 
     def __init__(self, links: PeerLinks) -> None:
-        """Ask nobody yet."""
+        """Start without pending requests."""
         self._links = links
         self._serial = 0
-        self._open: OrderedDict[int, _Asked] = OrderedDict()
-        self._silent: dict[NodeId, float] = {}
+        self._pending: OrderedDict[int, _PendingRequest] = OrderedDict()
+        self._silent_until: dict[NodeId, float] = {}
 
-    def may_ask(self, dealer: NodeId, now: float) -> bool:
-        """Answer whether another node is likely to answer."""
-        if not self._links.has_peer(dealer):
+    def may_ask(self, issuer: NodeId, now: float) -> bool:
+        """Return whether an issuer is connected and has not timed out."""
+        if not self._links.has_peer(issuer):
             return False
-        return self._silent.get(dealer, 0) <= now
+        return self._silent_until.get(issuer, 0) <= now
 
     async def ask(
         self,
-        dealer: NodeId,
+        issuer: NodeId,
         told: LimitTold,
         rank: int,
         now: float,
     ) -> PermitGrant:
-        """Ask a dealer for a turn; one that is silent counts as a refusal.
+        """Request a permit from an issuer; a timeout counts as a refusal.
 
         Parameters
         ----------
-        dealer
-            The node to ask.
+        issuer
+            Node to ask.
         told
-            The limit, as this node knows it.
+            The replica's limit as this node knows it.
         rank
-            Urgency of the request, 0 first.
+            Priority of the request; 0 is the most urgent.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
         self._serial += 1
-        answered: asyncio.Future[PermitGrant]
-        answered = asyncio.get_running_loop().create_future()
+        answer: asyncio.Future[PermitGrant]
+        answer = asyncio.get_running_loop().create_future()
         life = BoxLife(told.box, told.incarnation)
-        self._open[self._serial] = _Asked(life, now, answered)
-        while len(self._open) > MAX_PENDING:
-            self._open.popitem(last=False)
-        self._links.send(dealer, TurnAsk(self._serial, told, rank))
+        self._pending[self._serial] = _PendingRequest(life, now, answer)
+        while len(self._pending) > MAX_PENDING:
+            self._pending.popitem(last=False)
+        self._links.send(issuer, TurnAsk(self._serial, told, rank))
         try:
             async with asyncio.timeout(ANSWER_SECONDS):
-                return await answered
+                return await answer
         except TimeoutError:
-            self._silent[dealer] = now + SILENCE_SECONDS
-            log_event('dealer_silent', node=dealer, box=told.box)
+            self._silent_until[issuer] = now + SILENCE_SECONDS
+            log_event('dealer_silent', node=issuer, box=told.box)
             return PermitGrant(retry_after=MIN_RETRY_SECONDS)
 
     def handle_answer(self, answer: TurnAnswer) -> LatePermits | None:
-        """Take in an answer; return its turns where nobody waits for them."""
-        asked = self._open.pop(answer.ask, None)
-        if asked is None:
+        """Complete the answered request.
+
+        Returns
+        -------
+        LatePermits or None
+            The permits, if their request has timed out.
+        """
+        pending = self._pending.pop(answer.ask, None)
+        if pending is None:
             return None
-        if not asked.answered.done():
-            asked.answered.set_result(PermitGrant(answer.turns, answer.wait))
+        if not pending.answer.done():
+            pending.answer.set_result(PermitGrant(answer.turns, answer.wait))
             return None
-        return LatePermits(asked.life, answer.turns, asked.at)
+        return LatePermits(pending.life, answer.turns, pending.requested_at)
 
     def forget_old(self, now: float) -> None:
-        """Ask those again that were silent for long enough."""
-        for node, until in tuple(self._silent.items()):
+        """Forget the timeouts after which an issuer may be asked again."""
+        for node, until in tuple(self._silent_until.items()):
             if until <= now:
-                self._silent.pop(node)
+                self._silent_until.pop(node)
 
     def count_pending(self) -> int:
-        """Return how many questions are open."""
-        return len(self._open)
+        """Return the number of unanswered permit requests."""
+        return len(self._pending)
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -1,8 +1,8 @@
-"""The task that keeps the limits of replicas together with other nodes.
+"""Actor that enforces the replicas' rate limits together with other nodes.
 
-A change of a limit goes to all nodes.  Before a request goes to a replica that
-has one, the node asks one of the replica's dealers for a turn; where it gets
-none the request goes elsewhere, or is refused at once.
+A change of a limit is broadcast to all nodes.  Before a node sends a request
+to a rate-limited replica, it asks one of the replica's issuers for a permit.
+Without a permit the request goes to another replica or is refused at once.
 """
 
 from __future__ import annotations
@@ -43,41 +43,42 @@
     from waywell.version.lives import EndedLife
 
 PERMIT_SECONDS = 0.5
-"""For which a turn that was dealt may be used, from when it was asked for: a
-few times the longest way between halls and a new connection."""
+"""Lifetime of a permit from the time it was requested, in seconds: a few times
+the longest delay between halls plus the time to open a connection."""
 
 STARTUP_SECONDS = 2.0
-"""After its start, for which a node deals nothing: it may not have met those
-that deal."""
+"""Seconds after its start for which a node issues no permits: it may not have
+met the present issuers yet."""
 
 
 @attrs.define
-class _Purse:
-    """Turns that were dealt to this node and not used yet."""
+class _HeldPermits:
+    """Unused permits of this node for one replica."""
 
-    turns: int
-    until: float
+    permits: int
+    expires_at: float
 
 
 class RateLimiter(Actor, TurnSource):
-    """Tells limits, deals turns and asks for them.
+    """Broadcasts limits, issues permits and requests them from other nodes.
 
     Parameters
     ----------
     gossip
-        Membership.
+        Membership of the nodes.
     links
         Streams to other nodes.
     clock
-        Where the time is read.
+        Source of the time.
     random
-        Draws the dealer that is asked first.
-    is_placed
-        Answers whether this node knows of the others, or that there are none.
+        Source of random numbers for the order of issuers and retry delays.
+    has_joined
+        Returns whether this node has met other nodes or knows that it is
+        alone.
     """
 
     class Changed(Message, frozen=True):
-        """Limits have changed."""
+        """A limit has changed."""
 
     def __init__(
         self,
@@ -85,26 +86,26 @@
         links: PeerLinks,
         clock: Clock,
         random: Random,
-        is_placed: Callable[[], bool],
+        has_joined: Callable[[], bool],
     ) -> None:
-        """Know of no limit."""
+        """Start without limits and subscribe to the messages of peers."""
         super().__init__('turns')
         self.limits = ReportedLimits()
-        self._dealer = PermitIssuer(self.limits)
+        self._issuer = PermitIssuer(self.limits)
         self._gossip = gossip
         self._links = links
         self._clock = clock
         self._random = random
-        self._is_placed = is_placed
-        self._deals_from = clock.read() + STARTUP_SECONDS
-        self._choice = IssuerAssignment(
-            make_view(gossip.table, is_placed=False)
+        self._has_joined = has_joined
+        self._issues_from = clock.read() + STARTUP_SECONDS
+        self._assignment = IssuerAssignment(
+            make_view(gossip.table, has_joined=False)
         )
-        self._is_tending = False
-        self._is_due = False
-        self._requests = PermitRequests(links)
-        self._purses: dict[BoxLife, _Purse] = {}
-        self._waits: dict[BoxLife, float] = {}
+        self._had_limits = False
+        self._is_refresh_due = False
+        self._permit_requests = PermitRequests(links)
+        self._held: dict[BoxLife, _HeldPermits] = {}
+        self._retry_at: dict[BoxLife, float] = {}
         links.subscribe(
             self,
             PeerLinks.Opened,
@@ -115,20 +116,20 @@
         )
 
     def refresh(self, now: float) -> None:
-        """Follow the nodes and the limits of now; forget what is over."""
+        """Apply the current membership and limits; drop expired state."""
         self.limits.forget_old(now)
-        self._requests.forget_old(now)
+        self._permit_requests.forget_old(now)
         limited = self.limits.list_limited()
-        if not limited and not self._is_tending:
+        if not limited and not self._had_limits:
             return
-        self._is_tending = bool(limited)
-        is_placed = now >= self._deals_from and self._is_placed()
-        view = make_view(self._gossip.table, is_placed=is_placed)
-        if view != self._choice.view:
-            self._choice = IssuerAssignment(view)
-        self._dealer.update(self._choice, now)
+        self._had_limits = bool(limited)
+        has_joined = now >= self._issues_from and self._has_joined()
+        view = make_view(self._gossip.table, has_joined=has_joined)
+        if view != self._assignment.view:
+            self._assignment = IssuerAssignment(view)
+        self._issuer.update(self._assignment, now)
         self._keep_streams(limited)
-        for kept in (self._waits, self._purses):
+        for kept in (self._retry_at, self._held):
             for life in kept.keys() - limited.keys():
                 kept.pop(life)
 
@@ -139,24 +140,24 @@
         limit: float,
         sent_at: float,
     ) -> None:
-        """Take in what an answer said; tell all nodes where that is news."""
+        """Record the limit that an answer reported; broadcast a change."""
         if limit == NO_LIMIT and self.limits.find(life) is None:
             return
         now = self._clock.read()
-        word = LimitReport(limit, sent_at, now, now, hall)
-        if self.limits.record(life, word, 'own'):
-            self._follow(life)
-            self._links.spread(_describe(life, word, now))
+        report = LimitReport(limit, sent_at, now, now, hall)
+        if self.limits.record(life, report, 'own'):
+            self._handle_change(life)
+            self._links.spread(_make_message(life, report, now))
 
     def get_limit(self, life: BoxLife) -> float:
-        """Return the requests a second that a box takes from all nodes."""
+        """Return the limit of a box, in requests a second from all nodes."""
         return self.limits.get(life)
 
     def may_ask(self, life: BoxLife, missed: int, now: float) -> bool:
-        """Answer whether a box has no limit, or may have a turn left."""
+        """Return whether a box has no limit or may have a permit left."""
         if missed >= MOST_MISSED and self.limits.is_limited(life):
             return False
-        return self._waits.get(life, 0.0) <= now
+        return self._retry_at.get(life, 0.0) <= now
 
     def list_open(
         self,
@@ -164,11 +165,13 @@
         missed: int,
         now: float,
     ) -> Sequence[Replica]:
-        """Return the replicas that may be asked."""
-        if not self._waits and not missed:
+        """Return the replicas that may be asked for a permit."""
+        if not self._retry_at and not missed:
             return replicas
         return [
-            one for one in replicas if self.may_ask(one.key.life, missed, now)
+            replica
+            for replica in replicas
+            if self.may_ask(replica.key.life, missed, now)
         ]
 
     async def take_turn(
@@ -177,30 +180,30 @@
         hall: HallName,
         rank: int,
     ) -> Turn | None:
-        """Return a turn of a replica, or ``None`` where there is none now."""
+        """Return a permit for a replica, or ``None`` if there is none now."""
         now = self._clock.read()
         if not self.limits.is_limited(life):
             return Turn()
         held = self._take_held(life, now)
         if held is not None:
             return held
-        dealers = self._list_dealers(life, hall, now)
-        # The streams to the dealers of a new limit stand in a moment.
-        wait = MAX_RETRY_SECONDS if dealers else MIN_RETRY_SECONDS
-        for dealer in dealers:
-            deal = await self._ask(dealer, life, rank)
-            if deal.permits:
-                self._keep(life, deal.permits, now + PERMIT_SECONDS)
+        issuers = self._list_issuers(life, hall, now)
+        # Streams to the issuers of a new limit are about to be opened.
+        wait = MAX_RETRY_SECONDS if issuers else MIN_RETRY_SECONDS
+        for issuer in issuers:
+            grant = await self._request_permit(issuer, life, rank)
+            if grant.permits:
+                self._hold(life, grant.permits, now + PERMIT_SECONDS)
                 return self._take_held(life, self._clock.read())
-            wait = min(wait, deal.retry_after)
+            wait = min(wait, grant.retry_after)
         wait *= 0.5 + self._random.random()
-        self._waits[life] = self._clock.read() + wait
+        self._retry_at[life] = self._clock.read() + wait
         return None
 
     def find_wait(self, lives: Iterable[BoxLife], now: float) -> float | None:
-        """Return in how many seconds the first of some boxes has a turn."""
+        """Return the seconds until one of the boxes may have a permit."""
         waits = [
-            max(MIN_RETRY_SECONDS, self._waits.get(life, now) - now)
+            max(MIN_RETRY_SECONDS, self._retry_at.get(life, now) - now)
             if self.limits.is_limited(life)
             else 0.0
             for life in lives
@@ -208,42 +211,42 @@
         return min(waits, default=0.0) or None
 
     def forget_ended(self, ended: Iterable[EndedLife]) -> None:
-        """Forget the limits of lives that are over."""
+        """Forget the limits of boxes whose life has ended."""
         self.limits.forget_ended(ended)
         self.refresh(self._clock.read())
 
     def on_changed(self, _changed: Changed) -> None:
-        """Follow limits that have changed."""
-        self._is_due = False
+        """Apply the limits that have changed."""
+        self._is_refresh_due = False
         self.refresh(self._clock.read())
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
-        """Tell a peer all that is known here; it may have missed it."""
+        """Send all reports to a new peer, which may have missed them."""
         now = self._clock.read()
-        words = tuple(
-            _describe(life, word, now)
-            for life, word in self.limits.list_reports().items()
+        messages = tuple(
+            _make_message(life, report, now)
+            for life, report in self.limits.list_reports().items()
         )
-        if words:
-            self._links.send(opened.record.node, KnownLimits(words))
+        if messages:
+            self._links.send(opened.record.node, KnownLimits(messages))
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in a word, answer a question, or take in an answer."""
+        """Handle a message of a peer: a report, a request or an answer."""
         message = received.message
         if isinstance(message, TurnAsk):
-            self._answer(received.node, message)
+            self._answer_request(received.node, message)
         elif isinstance(message, TurnAnswer):
-            self._take_answer(message)
+            self._handle_answer(message)
         elif isinstance(message, KnownLimits):
             for told in message.words:
-                self._take_told(told, received.node)
+                self._handle_report(told, received.node)
         else:
-            self._take_told(message, received.node)
+            self._handle_report(message, received.node)
 
     def count(self) -> dict[str, float]:
-        """Return how many replicas have a limit, and how much is dealt."""
+        """Return the number of limits in force and the issuer's counts."""
         limited = float(len(self.limits.list_limited()))
-        return {'limited': limited, **self._dealer.count()}
+        return {'limited': limited, **self._issuer.count()}
 
     def dump(self) -> dict[str, object]:
         """Return the state as plain values."""
@@ -251,98 +254,105 @@
         return {
             **super().dump(),
             'limits': self.limits.dump(now),
-            'dealt_here': self._dealer.dump(),
-            'asked': self._requests.count_pending(),
+            'dealt_here': self._issuer.dump(),
+            'asked': self._permit_requests.count_pending(),
         }
 
-    def _follow(self, life: BoxLife) -> None:
-        """Act on a limit that has changed, once for all that come together."""
-        self._waits.pop(life, None)
-        self._purses.pop(life, None)
-        if not self._is_due:
-            self._is_due = True
+    def _handle_change(self, life: BoxLife) -> None:
+        """Drop the permits of a changed limit and schedule one refresh.
+
+        Changes that come together share the refresh.
+        """
+        self._retry_at.pop(life, None)
+        self._held.pop(life, None)
+        if not self._is_refresh_due:
+            self._is_refresh_due = True
             self.post(self.Changed())
 
     def _take_held(self, life: BoxLife, now: float) -> Turn | None:
-        """Return one of the turns that this node holds."""
-        purse = self._purses.get(life)
-        if purse is None or now >= purse.until or not purse.turns:
+        """Return one of the permits that this node holds, if any."""
+        held = self._held.get(life)
+        if held is None or now >= held.expires_at or not held.permits:
             return None
-        purse.turns -= 1
-        return Turn(purse.until)
+        held.permits -= 1
+        return Turn(held.expires_at)
 
-    def _keep(self, life: BoxLife, turns: int, until: float) -> None:
-        """Keep turns that were dealt; those of before are used first."""
-        purse = self._purses.get(life)
-        if purse is None or purse.until < until:
-            self._purses[life] = _Purse(turns, until)
+    def _hold(self, life: BoxLife, permits: int, expires_at: float) -> None:
+        """Hold granted permits unless those already held expire later."""
+        held = self._held.get(life)
+        if held is None or held.expires_at < expires_at:
+            self._held[life] = _HeldPermits(permits, expires_at)
 
-    def _list_dealers(
+    def _list_issuers(
         self,
         life: BoxLife,
         hall: HallName,
         now: float,
     ) -> list[NodeId]:
-        """Return the dealers to ask, in any order."""
+        """Return the issuers that may be asked, in random order."""
         own = self._gossip.table.own.node
-        dealers = [
+        issuers = [
             node
-            for node in self._choice.choose(life.box, hall)
-            if node == own or self._requests.may_ask(node, now)
+            for node in self._assignment.choose(life.box, hall)
+            if node == own or self._permit_requests.may_ask(node, now)
         ]
-        self._random.shuffle(dealers)
-        return dealers
+        self._random.shuffle(issuers)
+        return issuers
 
-    async def _ask(
-        self, dealer: NodeId, life: BoxLife, rank: int
+    async def _request_permit(
+        self, issuer: NodeId, life: BoxLife, rank: int
     ) -> PermitGrant:
-        """Ask a dealer for a turn."""
+        """Request a permit from an issuer, which may be this node."""
         now = self._clock.read()
-        if dealer == self._gossip.table.own.node:
-            return self._dealer.grant(life, rank, now)
-        word = self.limits.find(life)
-        if word is None:
+        if issuer == self._gossip.table.own.node:
+            return self._issuer.grant(life, rank, now)
+        report = self.limits.find(life)
+        if report is None:
             return PermitGrant(1)
-        told = _describe(life, word, now)
-        return await self._requests.ask(dealer, told, rank, now)
+        told = _make_message(life, report, now)
+        return await self._permit_requests.ask(issuer, told, rank, now)
 
-    def _answer(self, node: NodeId, ask: TurnAsk) -> None:
-        self._take_told(ask.told, node)
+    def _answer_request(self, node: NodeId, ask: TurnAsk) -> None:
+        self._handle_report(ask.told, node)
         life = BoxLife(ask.told.box, ask.told.incarnation)
-        deal = self._dealer.grant(life, ask.rank, self._clock.read())
-        answer = TurnAnswer(ask.ask, deal.permits, round(deal.retry_after, 3))
+        grant = self._issuer.grant(life, ask.rank, self._clock.read())
+        answer = TurnAnswer(
+            ask.ask, grant.permits, round(grant.retry_after, 3)
+        )
         self._links.send(node, answer)
 
-    def _take_answer(self, answer: TurnAnswer) -> None:
-        """Take in an answer; the next request may use what came too late."""
-        late = self._requests.handle_answer(answer)
-        if late is not None and late.turns:
-            self._keep(late.life, late.turns, late.asked_at + PERMIT_SECONDS)
-            self._waits.pop(late.life, None)
+    def _handle_answer(self, answer: TurnAnswer) -> None:
+        """Complete a permit request; hold late permits for the next one."""
+        late = self._permit_requests.handle_answer(answer)
+        if late is not None and late.permits:
+            self._hold(
+                late.life, late.permits, late.requested_at + PERMIT_SECONDS
+            )
+            self._retry_at.pop(late.life, None)
 
-    def _take_told(self, told: LimitTold, sender: NodeId) -> None:
-        """Take in a node's word; tell it where this one knows better."""
+    def _handle_report(self, told: LimitTold, sender: NodeId) -> None:
+        """Record a peer's report; reply if this node has a newer one."""
         now = self._clock.read()
         life = BoxLife(told.box, told.incarnation)
-        word = _read_told(told, now)
+        report = _read_message(told, now)
         known = self.limits.find(life)
-        if self.limits.record(life, word, sender):
-            self._follow(life)
+        if self.limits.record(life, report, sender):
+            self._handle_change(life)
             self._links.pass_on(told, sender)
-        elif known is not None and not word.is_equivalent(known):
-            self._links.send(sender, _describe(life, known, now))
+        elif known is not None and not report.is_equivalent(known):
+            self._links.send(sender, _make_message(life, known, now))
 
     def _keep_streams(self, limited: Iterable[BoxLife]) -> None:
-        """Keep a stream to each node that deals."""
+        """Keep a stream open to each issuer of the limited replicas."""
         table = self._gossip.table
-        dealers = {
+        issuers = {
             node
             for life in limited
-            for node in self._choice.choose(
+            for node in self._assignment.choose(
                 life.box, self.limits.get_hall(life)
             )
         }
-        records = [table.find(node) for node in sorted(dealers)]
+        records = [table.find(node) for node in sorted(issuers)]
         self._gossip.keep_streams(
             self.name,
             tuple(
@@ -353,20 +363,20 @@
         )
 
 
-def _describe(life: BoxLife, word: LimitReport, now: float) -> LimitTold:
-    """Return a word with ages in place of this node's times."""
+def _make_message(life: BoxLife, report: LimitReport, now: float) -> LimitTold:
+    """Return a report as a message, with ages instead of local times."""
     return LimitTold(
         life.box,
         life.incarnation,
-        word.hall,
-        None if word.limit == NO_LIMIT else word.limit,
-        round(now - word.sent_at, 4),
-        round(now - word.received_at, 4),
-        round(now - word.limited_since, 3),
+        report.hall,
+        None if report.limit == NO_LIMIT else report.limit,
+        round(now - report.sent_at, 4),
+        round(now - report.received_at, 4),
+        round(now - report.limited_since, 3),
     )
 
 
-def _read_told(told: LimitTold, now: float) -> LimitReport:
+def _read_message(told: LimitTold, now: float) -> LimitReport:
     return LimitReport(
         NO_LIMIT if told.limit is None else told.limit,
         now - told.sent_age,
--- a/waywell/limits/reported_limits.py
+++ b/waywell/limits/reported_limits.py
@@ -1,9 +1,10 @@
-"""The limits that replicas have named, as one node knows them.
+"""Rate limits that replicas have reported, as known to one node.
 
-A replica in need names in its answers how many requests a second it takes from
-all nodes together, for as long as it says so.  Answers overtake each other, so
-a word is ordered by the time between the send of its request and the arrival
-of its answer: it was said at some moment between the two.
+An overloaded replica reports in its answers how many requests a second it
+accepts from all nodes together, and the limit holds until an answer reports
+none.  Answers may overtake each other, so reports are ordered by the interval
+in which they were made: between the sending of the request and the arrival of
+the answer.
 """
 
 from __future__ import annotations
@@ -23,183 +24,187 @@
     from waywell.version.lives import EndedLife
 
 REPORT_TTL_SECONDS = 600.0
-"""After which a limit that nothing was heard of is forgotten; a replica of
-which no request asks in that time takes one again as any other does."""
+"""Seconds after which a limit that no answer has confirmed is forgotten.  A
+replica that gets no request in that time is treated as unlimited again."""
 
 ORDER_MARGIN_SECONDS = 0.05
-"""By which an answer must have come before the request of another left, to
-have surely been said before: a word that went round the nodes looks later than
-it is by its way."""
+"""Seconds by which one answer must have arrived before the request of another
+was sent for its report to count as the earlier one.  A report that other nodes
+have relayed appears later than it is by its time in transit."""
 
 LIMIT_TOLERANCE = 0.1
-"""Part of a limit by which another one differs that counts as the same: a
-replica that works its limit out for each answer would send a word round all
-nodes with each."""
+"""Relative difference up to which two limits count as equal.  Without it, a
+replica that computes its limit anew for each answer would cause a broadcast to
+all nodes with each of them."""
 
 MAX_REPORTS = 4096
-"""Boxes whose limit is kept, some 300 bytes each: more than a fleet has."""
+"""Largest number of boxes whose report is kept, at some 300 bytes each.  It is
+more than a fleet has."""
 
 
 @attrs.frozen
 class LimitReport:
-    """What one answer said of its replica's limit."""
+    """Limit that one answer of a replica reported."""
 
     limit: float
-    """Requests a second from all nodes; ``NO_LIMIT`` where it named none."""
+    """Requests a second from all nodes; ``NO_LIMIT`` if none was reported."""
 
     sent_at: float
-    """When the request left, in seconds by this node's clock."""
+    """Time at which the request was sent, in seconds of this node's clock."""
 
     received_at: float
-    """When the answer came."""
+    """Time at which the answer arrived, in seconds."""
 
     limited_since: float = 0.0
-    """When the replica was first heard to have a limit."""
+    """Time at which the replica first reported a limit, in seconds."""
 
     hall: HallName = HallName('')
     """Data hall of the replica."""
 
     def precedes(self, other: LimitReport) -> bool:
-        """Answer whether it was surely said before another word."""
+        """Return whether this report is certainly earlier than another."""
         return self.received_at + ORDER_MARGIN_SECONDS <= other.sent_at
 
     def is_equivalent(self, other: LimitReport) -> bool:
-        """Answer whether another word names about the same limit."""
+        """Return whether another report has about the same limit."""
         if NO_LIMIT in {self.limit, other.limit}:
             return self.limit == other.limit
         return abs(self.limit - other.limit) <= LIMIT_TOLERANCE * other.limit
 
 
 class ReportedLimits:
-    """Keeps the newest word of each replica, by the life of its box."""
+    """Holds the newest report of each replica, by the life of its box."""
 
     def __init__(self) -> None:
-        """Know of no limit."""
-        self._words: dict[BoxLife, LimitReport] = {}
+        """Start without a report."""
+        self._reports: dict[BoxLife, LimitReport] = {}
 
     def get(self, life: BoxLife) -> float:
-        """Return the requests a second that a box takes from all nodes."""
-        if not self._words:
+        """Return the limit of a box, in requests a second from all nodes."""
+        if not self._reports:
             return NO_LIMIT
-        word = self._words.get(life)
-        return NO_LIMIT if word is None else word.limit
+        report = self._reports.get(life)
+        return NO_LIMIT if report is None else report.limit
 
     def is_limited(self, life: BoxLife) -> bool:
-        """Answer whether a box has named a limit that is in force."""
+        """Return whether a box has a limit in force."""
         return self.get(life) < NO_LIMIT
 
     def get_hall(self, life: BoxLife) -> HallName:
-        """Return the data hall of a box that has named a limit."""
-        word = self._words.get(life)
-        return HallName('') if word is None else word.hall
+        """Return the data hall of a box that has reported a limit."""
+        report = self._reports.get(life)
+        return HallName('') if report is None else report.hall
 
     def find(self, life: BoxLife) -> LimitReport | None:
-        """Return the newest word of a box that has ever named a limit."""
-        return self._words.get(life)
+        """Return the newest report of a box, or ``None`` without any."""
+        return self._reports.get(life)
 
     def list_limited(self) -> dict[BoxLife, LimitReport]:
-        """Return the limits in force."""
+        """Return the reports whose limits are in force."""
         return {
-            life: word
-            for life, word in self._words.items()
-            if word.limit < NO_LIMIT
+            life: report
+            for life, report in self._reports.items()
+            if report.limit < NO_LIMIT
         }
 
     def list_reports(self) -> dict[BoxLife, LimitReport]:
-        """Return all words, also those that ended a limit."""
-        return dict(self._words)
+        """Return all reports, including those that lifted a limit."""
+        return dict(self._reports)
 
-    def record(self, life: BoxLife, word: LimitReport, by: str) -> bool:
-        """Take in a word; answer whether it changes the limit.
+    def record(self, life: BoxLife, report: LimitReport, by: str) -> bool:
+        """Record a report; return whether it changes the limit.
 
         Parameters
         ----------
         life
-            The box that said it.
-        word
-            What it said.
+            Life of the box that reported.
+        report
+            Report of its limit.
         by
-            The node that heard it, for the log.
+            Name of the node that received the report, for the log.
         """
-        known = self._words.get(life)
+        known = self._reports.get(life)
         if known is None:
-            if word.limit < NO_LIMIT:
-                self._put(life, word, NO_LIMIT, by)
-            return word.limit < NO_LIMIT
-        if word.is_equivalent(known):
-            self._refresh(life, known, word)
+            if report.limit < NO_LIMIT:
+                self._store(life, report, NO_LIMIT, by)
+            return report.limit < NO_LIMIT
+        if report.is_equivalent(known):
+            self._confirm(life, known, report)
             return False
-        if not _replaces(word, known):
+        if not _replaces(report, known):
             return False
         if known.limit < NO_LIMIT:
-            limited_since = min(known.limited_since, word.limited_since)
-            word = attrs.evolve(word, limited_since=limited_since)
-        self._put(life, word, known.limit, by)
+            limited_since = min(known.limited_since, report.limited_since)
+            report = attrs.evolve(report, limited_since=limited_since)
+        self._store(life, report, known.limit, by)
         return True
 
     def forget_ended(self, ended: Iterable[EndedLife]) -> None:
-        """Forget what boxes named in lives that are over."""
-        for one in ended:
-            self._words.pop(one.life, None)
+        """Forget the reports of boxes whose life has ended."""
+        for ended_life in ended:
+            self._reports.pop(ended_life.life, None)
 
     def forget_old(self, now: float) -> None:
-        """Forget the words that nothing has confirmed for long."""
-        for life, word in tuple(self._words.items()):
-            if now - word.received_at > REPORT_TTL_SECONDS:
-                self._words.pop(life)
+        """Forget the reports that have not been confirmed for too long."""
+        for life, report in tuple(self._reports.items()):
+            if now - report.received_at > REPORT_TTL_SECONDS:
+                self._reports.pop(life)
 
     def dump(self, now: float) -> dict[str, dict[str, float]]:
         """Return the limits in force as plain values."""
         return {
             life.box: {
-                'limit': word.limit,
-                'age_seconds': round(now - word.received_at, 2),
-                'in_force_seconds': round(now - word.limited_since, 2),
+                'limit': report.limit,
+                'age_seconds': round(now - report.received_at, 2),
+                'in_force_seconds': round(now - report.limited_since, 2),
             }
-            for life, word in self.list_limited().items()
+            for life, report in self.list_limited().items()
         }
 
-    def _refresh(
+    def _confirm(
         self,
         life: BoxLife,
         known: LimitReport,
-        word: LimitReport,
+        report: LimitReport,
     ) -> None:
-        newest = max(known, word, key=lambda one: one.received_at)
-        limited_since = min(known.limited_since, word.limited_since)
-        self._words[life] = attrs.evolve(
+        newest = max(
+            known, report, key=lambda candidate: candidate.received_at
+        )
+        limited_since = min(known.limited_since, report.limited_since)
+        self._reports[life] = attrs.evolve(
             newest, limit=known.limit, limited_since=limited_since
         )
 
-    def _put(
+    def _store(
         self,
         life: BoxLife,
-        word: LimitReport,
+        report: LimitReport,
         before: float,
         by: str,
     ) -> None:
-        self._words[life] = word
-        if len(self._words) > MAX_REPORTS:
+        self._reports[life] = report
+        if len(self._reports) > MAX_REPORTS:
             oldest = min(
-                self._words, key=lambda one: self._words[one].received_at
+                self._reports,
+                key=lambda other: self._reports[other].received_at,
             )
-            self._words.pop(oldest)
+            self._reports.pop(oldest)
         log_event(
             'limit_named',
             box=life.box,
-            limit=word.limit,
+            limit=report.limit,
             before=before,
             by=by,
-            open_seconds=round(word.received_at - word.sent_at, 3),
+            open_seconds=round(report.received_at - report.sent_at, 3),
         )
 
 
-def _replaces(word: LimitReport, known: LimitReport) -> bool:
-    """Answer whether a word is to be followed in place of another.
+def _replaces(report: LimitReport, known: LimitReport) -> bool:
+    """Return whether a report supersedes the known one.
 
-    Which of two answers that were open at one time was said last is not
-    known: the lower limit holds until an answer to a later request.
+    The order of two answers whose requests overlapped is unknown.  The lower
+    limit then holds until an answer to a later request.
     """
-    if word.limit < known.limit:
-        return not word.precedes(known)
-    return known.precedes(word)
+    if report.limit < known.limit:
+        return not report.precedes(known)
+    return known.precedes(report)
