--- a/waywell/version/__init__.py
+++ b/waywell/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a version: configuration, roster, their documents."""
+"""Versioned state: the configuration, the roster and their documents."""
--- a/waywell/version/assembly.py
+++ b/waywell/version/assembly.py
@@ -1,8 +1,9 @@
-"""Group assembly: which boxes form which groups, decided without I/O.
+"""Group assembly: decides which boxes form which groups, without I/O.
 
-The planner looks at the box list, the roster and the configuration and
-returns the groups to change.  What to do about a lost box is a policy:
-wait for it, take a spare, or take boxes from a group that is needed less.
+The planner compares the roster with the box list and the configuration and
+returns the groups to change.  A repair policy decides what happens after the
+loss of a box: the group waits for it, takes a spare box, or takes boxes of a
+group that is needed less.
 """
 
 from __future__ import annotations
@@ -25,29 +26,29 @@
 
 
 MIN_AFFECTED_GROUPS = 2
-"""Groups that a list must strike before it is doubted."""
+"""Fewest groups with missing boxes that make a box list implausible."""
 
 
 class AssemblyView(msgspec.Struct, frozen=True):
-    """What a planner looks at."""
+    """Input of the planner besides the roster."""
 
     boxes: Mapping[BoxId, Box]
-    """Box list."""
+    """Box list, by name."""
 
     configuration: Configuration
-    """Configuration in force."""
+    """Configuration in force, which holds the group sets."""
 
     broken_since: Mapping[GroupId, float]
-    """When each broken group was first seen broken, in seconds."""
+    """Time at which each broken group was first seen broken, in seconds."""
 
     released: frozenset[GroupId] = frozenset()
-    """Leaving groups that no node may route to any more."""
+    """Leaving groups to which no node may route requests any more."""
 
     ready: frozenset[GroupId] = frozenset()
-    """Forming groups whose boxes have all taken their order."""
+    """Forming groups whose boxes have all accepted their order."""
 
     with_stale_orders: frozenset[GroupId] = frozenset()
-    """Groups of which a box has lost its order or has a later one."""
+    """Groups with a box that has lost its order or has a later one."""
 
 
 def plan_assembly(
@@ -56,7 +57,7 @@
     policy: RepairPolicy,
     now: float,
 ) -> RosterPlan:
-    """Return the groups to change, given what is known at ``now``."""
+    """Return the groups to change at ``now``, in seconds."""
     draft = RosterDraft(roster, view.boxes)
     sets = {
         group_set.name: group_set for group_set in view.configuration.group_set
@@ -71,7 +72,7 @@
     group: Group,
     boxes: Mapping[BoxId, Box],
 ) -> tuple[BoxId, ...]:
-    """Return the members that are lost or were restarted since."""
+    """Return the members that are lost or have restarted."""
     return tuple(
         member.box
         for member in group.members
@@ -84,27 +85,31 @@
     boxes: Mapping[BoxId, Box],
     down: Collection[GroupId],
 ) -> bool:
-    """Answer whether a box list is too bad to be believed.
+    """Return whether a box list is too implausible to act on.
 
-    A list that lacks most boxes of the serving groups, while the probers
-    speak against few of those groups, is likelier wrong than true: to
-    act on it would stop what serves.
+    A list that lacks boxes of most serving groups, while the probers report
+    few of those groups as down, is more likely wrong than right.  Acting on
+    it would stop groups that serve.
 
     Parameters
     ----------
     roster
         Roster in force.
     boxes
-        Box list.
+        Box list, by name.
     down
-        Groups that the probers speak against.
+        Groups that the probers report as down.
     """
     serving = [group for group in roster if group.state is GroupState.SERVING]
-    struck = [group for group in serving if find_missing_members(group, boxes)]
-    if len(struck) < MIN_AFFECTED_GROUPS or len(struck) * 2 <= len(serving):
+    affected = [
+        group for group in serving if find_missing_members(group, boxes)
+    ]
+    if len(affected) < MIN_AFFECTED_GROUPS or len(affected) * 2 <= len(
+        serving
+    ):
         return False
-    agreed = sum(group.group in down for group in struck)
-    return agreed * 2 < len(struck)
+    confirmed = sum(group.group in down for group in affected)
+    return confirmed * 2 < len(affected)
 
 
 def _is_missing(member: Member, box: Box | None) -> bool:
@@ -114,7 +119,7 @@
 
 
 class _StateStep:
-    """Moves each group to the state that its boxes and its set ask for."""
+    """Sets the state of each group from its boxes and its group set."""
 
     def __init__(
         self,
@@ -132,19 +137,19 @@
                 self._draft.remove(leaving)
         for group in tuple(self._draft.groups.values()):
             if group.state is not GroupState.LEAVING:
-                self._move(group)
+                self._update(group)
 
-    def _move(self, group: Group) -> None:
+    def _update(self, group: Group) -> None:
         group_set = self._sets.get(group.group_set)
-        if group_set is None or not self._belongs(group, group_set):
+        if group_set is None or not self._matches_set(group, group_set):
             self._draft.set_state(group, GroupState.LEAVING)
             return
         if group.labels != group_set.labels:
             self._draft.set_labels(group, group_set.labels)
             group = self._draft.groups[group.group]
-        self._move_by_health(group)
+        self._update_state(group)
 
-    def _belongs(self, group: Group, group_set: GroupSet) -> bool:
+    def _matches_set(self, group: Group, group_set: GroupSet) -> bool:
         if group_set.service != group.service:
             return False
         if len(group.members) != group_set.boxes_per_group:
@@ -161,13 +166,13 @@
             return False
         return group_set.boxes.admits(box.selectable)
 
-    def _move_by_health(self, group: Group) -> None:
+    def _update_state(self, group: Group) -> None:
         missing = find_missing_members(group, self._view.boxes)
         if missing and not self._are_live(missing):
             if missing != group.missing:
                 self._draft.set_state(group, GroupState.BROKEN, missing)
         elif missing or self._must_form_again(group):
-            # All boxes are there, but one was restarted or has no order.
+            # All boxes are live, but one has restarted or has no valid order.
             self._draft.form_again(group, self._list_boxes(group))
         elif self._may_serve(group):
             self._draft.set_state(group, GroupState.SERVING)
@@ -177,10 +182,10 @@
         return half_formed or group.group in self._view.with_stale_orders
 
     def _may_serve(self, group: Group) -> bool:
-        """Answer whether a whole group that doesn't serve may begin to.
+        """Return whether a complete group may start to serve.
 
-        A box that only paused has its order still; if it has lost it, the
-        probers will say so.
+        A box that was only paused still has its order.  If it has lost the
+        order, the probers report that.
         """
         if group.state is GroupState.BROKEN:
             return True
@@ -198,7 +203,7 @@
 
 
 class _RepairStep:
-    """Does for broken groups what the policy says."""
+    """Repairs broken groups as the policy decides."""
 
     def __init__(
         self,
@@ -220,7 +225,7 @@
         broken = self._draft.list_in(GroupState.BROKEN)
         broken.sort(key=self._rank_repair)
         for group in broken:
-            # It may have given its boxes to one before it.
+            # An earlier repair may have taken the boxes of this group.
             if self._draft.groups.get(group.group) == group:
                 self._repair(group, now)
 
@@ -243,11 +248,11 @@
         )
         choice = self._policy.choose(broken, now)
         if choice.take_spares and not self._fenced.get(group.service, False):
-            # A target that checks no fence could still get requests of
-            # this group, so no box of it goes on before every node let go.
+            # Targets that check no fence could still get requests for this
+            # group, so its boxes stay unused until no node routes to it.
             self._draft.set_state(group, GroupState.LEAVING)
         elif choice.take_spares and len(spares) >= broken.lost:
-            self._fill_places(group, spares)
+            self._replace_missing(group, spares)
         elif choice.take_donors:
             self._merge(group, spares, donors)
 
@@ -260,15 +265,15 @@
         return [box for box in free if box.domain == domain]
 
     def _list_donors(self, group: Group) -> list[Group]:
-        """Return broken groups of no higher need, the poorest first."""
+        """Return broken groups of equal or lower need, least needed first."""
         donors = [
             donor
             for donor in self._draft.list_in(GroupState.BROKEN)
-            if donor.group != group.group and self._can_give(donor, group)
+            if donor.group != group.group and self._can_donate(donor, group)
         ]
         return sorted(donors, key=self._rank_donor)
 
-    def _can_give(self, donor: Group, group: Group) -> bool:
+    def _can_donate(self, donor: Group, group: Group) -> bool:
         wanted = self._sets[group.group_set]
         if self._sets[donor.group_set].need > wanted.need:
             return False
@@ -288,25 +293,25 @@
         spares: list[Box],
         donors: list[Group],
     ) -> None:
-        """Complete a group with boxes of other broken ones, or leave it."""
-        places = len(group.missing) - len(spares)
-        taken: list[Group] = []
-        for donor in donors:
-            if places > 0:
-                taken.append(donor)
-                places -= len(self._draft.list_intact(donor))
-        if places > 0:
+        """Complete a group with boxes of donors, if they have enough."""
+        lacking = len(group.missing) - len(spares)
+        chosen: list[Group] = []
+        for candidate in donors:
+            if lacking > 0:
+                chosen.append(candidate)
+                lacking -= len(self._draft.list_intact(candidate))
+        if lacking > 0:
             return
         boxes = list(spares)
-        for giving in taken:
-            boxes.extend(self._draft.list_intact(giving))
-            self._draft.remove(giving)
-        self._fill_places(group, boxes)
+        for donor in chosen:
+            boxes.extend(self._draft.list_intact(donor))
+            self._draft.remove(donor)
+        self._replace_missing(group, boxes)
 
-    def _fill_places(self, group: Group, boxes: list[Box]) -> None:
-        supply = iter(boxes)
+    def _replace_missing(self, group: Group, boxes: list[Box]) -> None:
+        replacements = iter(boxes)
         members = [
-            next(supply)
+            next(replacements)
             if member.box in group.missing
             else self._view.boxes[member.box]
             for member in group.members
@@ -315,43 +320,43 @@
 
 
 class _CountStep:
-    """Brings the number of groups of each set to what it should be."""
+    """Adds or removes groups until each set has its configured number."""
 
     def __init__(self, draft: RosterDraft, sets: dict[str, GroupSet]) -> None:
         self._draft = draft
         self._sets = sets
 
     def run(self) -> None:
-        standing = self._list_standing()
+        remaining = self._list_remaining()
         for group_set in sorted(self._sets.values(), key=_rank_set):
-            groups = standing[group_set.name]
-            self._trim(groups, len(groups) - group_set.groups)
-            self._fill(group_set, group_set.groups - len(groups))
+            groups = remaining[group_set.name]
+            self._remove_surplus(groups, len(groups) - group_set.groups)
+            self._add_groups(group_set, group_set.groups - len(groups))
 
-    def _list_standing(self) -> dict[str, list[Group]]:
-        standing: dict[str, list[Group]] = defaultdict(list)
+    def _list_remaining(self) -> dict[str, list[Group]]:
+        remaining: dict[str, list[Group]] = defaultdict(list)
         for group in self._draft.groups.values():
             if group.state is not GroupState.LEAVING:
-                standing[group.group_set].append(group)
-        return standing
+                remaining[group.group_set].append(group)
+        return remaining
 
-    def _trim(self, groups: list[Group], surplus: int) -> None:
+    def _remove_surplus(self, groups: list[Group], surplus: int) -> None:
         groups.sort(key=_rank_surplus)
         for group in groups[: max(0, surplus)]:
             self._draft.set_state(group, GroupState.LEAVING)
 
-    def _fill(self, group_set: GroupSet, lacking: int) -> None:
+    def _add_groups(self, group_set: GroupSet, count: int) -> None:
         size = group_set.boxes_per_group
-        left = lacking
+        left = count
         for pool in self._list_pools(group_set):
-            teams = min(max(0, left), len(pool) // size)
-            left -= teams
-            for team in range(teams):
-                start = team * size
+            possible = min(max(0, left), len(pool) // size)
+            left -= possible
+            for index in range(possible):
+                start = index * size
                 self._draft.form_new(group_set, pool[start : start + size])
 
     def _list_pools(self, group_set: GroupSet) -> list[list[Box]]:
-        """Return free boxes by domain, the fullest domain first."""
+        """Return the free boxes of each domain, the largest domain first."""
         pools: dict[str, list[Box]] = defaultdict(list)
         for box in self._draft.list_free(group_set):
             key = box.domain if group_set.one_domain else ''
@@ -370,5 +375,5 @@
 
 
 def _rank_surplus(group: Group) -> tuple[bool, GroupId]:
-    """Give up groups that don't serve before those that do."""
+    """Return the sort key that puts groups that don't serve first."""
     return (group.state is GroupState.SERVING, group.group)
--- a/waywell/version/repair.py
+++ b/waywell/version/repair.py
@@ -1,4 +1,4 @@
-"""What to do for a group that has lost a box, as a policy."""
+"""Policies for the repair of a group that has lost a box."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 
 MAX_TYPICAL_PAUSES = 2.0
-"""Typical pauses that a group waits for its own box."""
+"""Longest wait for a group's own box, in multiples of a typical pause."""
 
 
 class BrokenGroup(msgspec.Struct, frozen=True):
-    """What a policy knows about one broken group."""
+    """Facts about one broken group that a policy decides by."""
 
     since: float
-    """When it was first seen broken, in seconds."""
+    """Time at which it was first seen broken, in seconds."""
 
     lost: int
-    """Boxes that it misses."""
+    """Number of its boxes that are missing."""
 
     spares: int
-    """Free boxes that it could take."""
+    """Number of free boxes that it could take."""
 
     donors: int
-    """Boxes that broken groups of no higher need could give."""
+    """Number of boxes that broken groups of no higher need could give."""
 
     idle_accelerators: int
-    """Accelerators that stand idle while it is broken."""
+    """Number of accelerators that are idle while it is broken."""
 
 
 class RepairChoice(msgspec.Struct, frozen=True):
-    """What to do for a broken group now."""
+    """Measures to take for a broken group now; none means to wait."""
 
     take_spares: bool = False
-    """Fill the missing places with free boxes."""
+    """Whether to replace the missing boxes by free boxes."""
 
     take_donors: bool = False
-    """Fill them with boxes of other broken groups."""
+    """Whether to replace them by boxes of other broken groups."""
 
 
 class RepairPolicy(abc.ABC):
@@ -49,11 +49,11 @@
 
     @abc.abstractmethod
     def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
-        """Return what to do at ``now``, in seconds."""
+        """Return the measures to take at ``now``, in seconds."""
 
 
 class WaitOnly(RepairPolicy):
-    """Waits for the lost box however long it takes; a baseline."""
+    """Waits for the lost box without a time limit; a baseline."""
 
     def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
         """Return the choice to wait."""
@@ -61,7 +61,7 @@
 
 
 class SparesOnly(RepairPolicy):
-    """Takes a spare at once and never breaks up a group; a baseline."""
+    """Takes spares immediately and never splits a group; a baseline."""
 
     def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
         """Return the choice to take spares."""
@@ -69,28 +69,28 @@
 
 
 class CostPolicy(RepairPolicy):
-    """Waits as long as the box may only have paused, then takes boxes.
+    """Waits as long as the box may only be paused, then takes other boxes.
 
-    A box that pauses and returns costs its absence; a spare, like a box
-    that was restarted, costs a load of the model.  Both weights of the
-    goal run for as long as the group is out, so they don't change which
-    of the two is cheaper, only how much it matters.
+    A box that pauses and returns costs the time of its absence.  A spare, like
+    a restarted box, costs the time to load the model.  Both weights of the
+    goal apply for as long as the group is out of service, so they don't change
+    which choice is cheaper, only by how much.
 
     Parameters
     ----------
     goal
-        Typical times.
+        Typical durations of a pause and of a model load.
     """
 
     def __init__(self, goal: Goal) -> None:
-        """Work out how long a pause is likelier than a loss."""
-        self._patience = min(
+        """Compute how long a pause is more likely than a loss."""
+        self._max_wait = min(
             MAX_TYPICAL_PAUSES * goal.pause_seconds,
             goal.load_seconds,
         )
 
     def choose(self, broken: BrokenGroup, now: float) -> RepairChoice:
         """Return the cheapest choice at ``now``, in seconds."""
-        if now - broken.since < self._patience:
+        if now - broken.since < self._max_wait:
             return RepairChoice()
         return RepairChoice(take_spares=True, take_donors=True)
