--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Operators' input: every fault named, none lost."""
+"""Validation of configurations, which reports every fault."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     return caught.value.faults
 
 
-def test_split_and_join_are_inverse() -> None:
+def test_a_configuration_survives_the_conversion_to_entries() -> None:
     configuration = check_configuration(make_configuration(), 'f')
     entries = make_configuration_entries(configuration)
-    joined = parse_configuration(Document(1, entries))
-    assert make_configuration_entries(joined) == entries
-    assert joined.goal == configuration.goal
+    parsed = parse_configuration(Document(1, entries))
+    assert make_configuration_entries(parsed) == entries
+    assert parsed.goal == configuration.goal
     assert set(entries) == {
         'service/llm',
         'service/app',
@@ -41,7 +41,7 @@
     }
 
 
-def test_all_faults_are_listed_with_their_places() -> None:
+def test_all_faults_are_reported_with_their_places() -> None:
     faults = list_faults(
         {
             'service': [{'name': 'a', 'typ': 'x'}, {'name': 3}],
@@ -50,8 +50,8 @@
         },
     )
     assert 'f.service[0].typ: unknown key; nearest known key: type' in faults
-    assert 'f.service[1].name: 3 is no str' in faults
-    assert 'f.group_set[0].groups: True is no int' in faults
+    assert 'f.service[1].name: 3 is not of type str' in faults
+    assert 'f.group_set[0].groups: True is not of type int' in faults
     assert 'f.acount: unknown key; nearest known key: account' in faults
 
 
@@ -61,15 +61,15 @@
         ({'service': [{}]}, 'f.service[0].name: missing'),
         (
             {'service': [{'name': 'a'}, {'name': 'a'}]},
-            "f.service: the name 'a' stands twice",
+            "f.service: duplicate name 'a'",
         ),
         (
             {'group_set': [{'name': 'g', 'service': 'no'}]},
-            'f.group_set.g.service: none of []',
+            'f.group_set.g.service: must be one of the services []',
         ),
         (
             {'account': [{'name': 'x', 'key_hashes': ['abc']}]},
-            'f.account.x.key_hashes: 64 hexadecimal digits',
+            'f.account.x.key_hashes: must be 64 hex digits',
         ),
         (
             {
@@ -78,18 +78,20 @@
                     {'name': 'g', 'service': 'a', 'boxes_per_group': 0},
                 ],
             },
-            'f.group_set.g.boxes_per_group: at least 1',
+            'f.group_set.g.boxes_per_group: must be at least 1',
         ),
         (
             {'service': [{'name': 'a', 'type': 'modl'}]},
-            "f.service[0].type: 'modl' is none of ['model', 'plain']",
+            "f.service[0].type: 'modl' is not one of ['model', 'plain']",
         ),
     ],
 )
-def test_fault(raw: dict, fault: str) -> None:
+def test_an_invalid_configuration_reports_the_fault(
+    raw: dict, fault: str
+) -> None:
     assert fault in list_faults(raw)
 
 
-def test_toml_fault_names_the_line() -> None:
+def test_an_invalid_toml_text_reports_the_line() -> None:
     with pytest.raises(InvalidInputError, match='line 2'):
         read_toml('a = 1\nb = ]\nc = 2', 'f.toml')
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -208,7 +208,7 @@
             'fleet.boxes_per_domain: (3.0, 2.0) is an empty',
         ),
         ('fleet', 'boxes_per_domain', [1.5, 2], 'whole numbers'),
-        ('fleet', 'halls', 'two', "fleet.halls: 'two' is no int"),
+        ('fleet', 'halls', 'two', "fleet.halls: 'two' is not of type int"),
         (
             'platform',
             'list_seconds',
--- a/waywell/version/configuration.py
+++ b/waywell/version/configuration.py
@@ -1,4 +1,4 @@
-"""Reading and checking a configuration; its form as a document."""
+"""Validation of configurations and their conversion to documents."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from waywell.version.document import Document, Entry
 
 LISTED_KINDS = ('service', 'group_set', 'serving', 'account', 'operator')
-"""Kinds of which a configuration has many, each with a name."""
+"""Kinds of objects that a configuration lists by name."""
 
 HASH_DIGITS = 64
-"""Hexadecimal digits of a SHA-256 hash."""
+"""Number of hexadecimal digits of a SHA-256 hash."""
 
 
 def check_configuration(raw: Any, place: str) -> Configuration:
-    """Turn plain values into a configuration that holds together.
+    """Return a valid configuration made from plain values.
 
     Raises
     ------
@@ -49,8 +49,7 @@
         )
         repeated = {name for name, count in counts.items() if count > 1}
         faults.extend(
-            f'{kind}: the name {name!r} stands twice'
-            for name in sorted(repeated)
+            f'{kind}: duplicate name {name!r}' for name in sorted(repeated)
         )
     return faults
 
@@ -61,7 +60,9 @@
     for group_set in configuration.group_set:
         place = f'group_set.{group_set.name}'
         if group_set.service not in known:
-            faults.append(f'{place}.service: none of {known}')
+            faults.append(
+                f'{place}.service: must be one of the services {known}'
+            )
         faults.extend(_find_bad_counts(group_set, place))
     return faults
 
@@ -69,9 +70,9 @@
 def _find_bad_counts(group_set: GroupSet, place: str) -> list[str]:
     faults = []
     if group_set.boxes_per_group < 1:
-        faults.append(f'{place}.boxes_per_group: at least 1')
+        faults.append(f'{place}.boxes_per_group: must be at least 1')
     if group_set.groups < 0:
-        faults.append(f'{place}.groups: at least 0')
+        faults.append(f'{place}.groups: must be at least 0')
     return faults
 
 
@@ -80,7 +81,7 @@
     for kind in ('account', 'operator'):
         for holder in getattr(configuration, kind):
             faults.extend(
-                f'{kind}.{holder.name}.key_hashes: 64 hexadecimal digits'
+                f'{kind}.{holder.name}.key_hashes: must be 64 hex digits'
                 for digits in holder.key_hashes
                 if not _is_hash(digits)
             )
@@ -106,12 +107,12 @@
 
 
 def parse_configuration(document: Document) -> Configuration:
-    """Return the configuration that a document's entries make up.
+    """Return the configuration that a document contains.
 
     Raises
     ------
     InvalidInputError
-        When the entries are not a whole configuration.
+        If the entries are not a valid configuration.
     """
     raw: dict[str, Any] = {}
     for key in sorted(document.entries):
--- a/waywell/version/document.py
+++ b/waywell/version/document.py
@@ -1,8 +1,8 @@
 """Numbered documents and the changes between their versions.
 
-The configuration and the roster are both kept as one document: a number
-that only rises and a map of entries.  Nodes pass on changes where the
-receiver has the base, and whole documents elsewhere.
+The configuration and the roster are each kept as one document, which has a
+number that only rises and a map of entries.  Nodes send a change to peers that
+have its base version, and the whole document to others.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 import msgspec
 
 Entry = dict[str, Any]
-"""Plain JSON values of one entry."""
+"""Plain JSON values of one document entry."""
 
 PLATFORM_VALUE_BYTES = 1_000_000
-"""The platform's limit for the value of one object, in bytes."""
+"""Largest value of an object that the platform accepts, in bytes."""
 
 HISTORY_LENGTH = 8
-"""Earlier versions kept to answer peers with changes."""
+"""Number of earlier versions kept to send changes to peers."""
 
 
 OPERATIONS_KEPT = 32
-"""Operation ids that a document carries."""
+"""Largest number of operation ids that a document carries."""
 
 
 class DocumentKind(enum.Enum):
-    """The documents that every node holds."""
+    """Kinds of documents that every node holds."""
 
     CONFIGURATION = 'configuration'
     ROSTER = 'roster'
@@ -43,8 +43,8 @@
     entries
         Map of ``kind/name`` to plain JSON values.
     operations
-        Ids of the operations that wrote this version and those before it,
-        newest last, to recognise a write whose answer was lost.
+        Ids of the operations that wrote this version and earlier ones, newest
+        last.  They reveal whether a write succeeded whose answer was lost.
     """
 
     number: int = 0
@@ -52,7 +52,7 @@
     operations: tuple[str, ...] = ()
 
     def encode(self) -> bytes:
-        """Return the document as JSON bytes, keys in order."""
+        """Return the document as JSON with sorted keys."""
         return msgspec.json.encode(self, order='deterministic')
 
     def make_next_version(
@@ -61,33 +61,33 @@
         operation: str,
         floor: int = 0,
     ) -> Document:
-        """Return the next version, above ``floor`` as well."""
+        """Return the next version, numbered above ``floor`` as well."""
         number = max(self.number, floor) + 1
         operations = (*self.operations, operation)
         return Document(number, entries, operations[-OPERATIONS_KEPT:])
 
 
 class Change(msgspec.Struct, frozen=True):
-    """What differs between two versions of a document."""
+    """Differences between two versions of a document."""
 
     base: int
     """Number of the version that the change applies to."""
 
     number: int
-    """Number of the version that it leads to."""
+    """Number of the version that results from the change."""
 
     replaced: dict[str, Entry]
-    """Entries that are new or different."""
+    """Entries that are new or changed, by key."""
 
     removed: tuple[str, ...]
-    """Keys of entries that are gone."""
+    """Keys of the entries that are removed."""
 
     operations: tuple[str, ...]
     """Operation ids of the new version."""
 
 
 def compare_documents(old: Document, new: Document) -> Change:
-    """Return the change that leads from ``old`` to ``new``."""
+    """Return the change from ``old`` to ``new``."""
     replaced = {
         key: entry
         for key, entry in new.entries.items()
@@ -98,7 +98,7 @@
 
 
 def apply_change(document: Document, change: Change) -> Document | None:
-    """Return the changed document, or ``None`` on another base."""
+    """Return the changed document, or ``None`` if it is not the base."""
     if document.number != change.base:
         return None
     entries = {**document.entries, **change.replaced}
@@ -108,19 +108,25 @@
 
 
 class DocumentHistory:
-    """The version in force of one document and a few earlier ones.
+    """Holds the version in force of one document and a few earlier ones.
 
-    The number in force never goes down, whatever is offered.
+    The number of the version in force never decreases.
     """
 
     def __init__(self, kind: DocumentKind) -> None:
-        """Start without a version in force (number 0)."""
+        """Start with an empty document, which has number 0."""
         self.kind = kind
         self.current = Document()
         self._history: list[Document] = []
 
     def adopt(self, document: Document) -> bool:
-        """Put a higher version in force; answer whether it was higher."""
+        """Put a document in force if its number is higher.
+
+        Returns
+        -------
+        bool
+            Whether the document is in force now.
+        """
         if document.number <= self.current.number:
             return False
         earlier = [*self._history, self.current]
@@ -129,11 +135,14 @@
         return True
 
     def preview(self, change: Change) -> Document | None:
-        """Return what a change leads to from the version in force."""
+        """Return the result of a change without putting it in force."""
         return apply_change(self.current, change)
 
     def make_update(self, number: int) -> Change | Document:
-        """Return what brings a holder of ``number`` up to date."""
+        """Return an update for a peer that has version ``number``.
+
+        It is the whole document if that version is not kept any more.
+        """
         for earlier in self._history:
             if earlier.number == number and number:
                 return compare_documents(earlier, self.current)
--- a/waywell/version/draft.py
+++ b/waywell/version/draft.py
@@ -1,4 +1,4 @@
-"""A roster in the making: groups, free boxes and the next epoch."""
+"""Draft of a roster: its groups, the free boxes and the next epoch."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 
 
 class RosterPlan(msgspec.Struct, frozen=True):
-    """Groups to write; empty when nothing is to be done."""
+    """Changes to write to the roster; false if there are none."""
 
     changed: tuple[Group, ...] = ()
     """Groups that are new or different."""
 
     removed: tuple[GroupId, ...] = ()
-    """Groups that are gone."""
+    """Names of groups that are removed."""
 
     def __bool__(self) -> bool:
-        """Answer whether there is anything to write."""
+        """Return whether there is anything to write."""
         return bool(self.changed or self.removed)
 
 
 class RosterDraft:
-    """Changes to a roster before they are written.
+    """Collects changes to a roster before they are written.
 
     Parameters
     ----------
     roster
-        Roster that they apply to.
+        Roster that the changes apply to.
     boxes
-        Box list.
+        Box list, by name.
     """
 
     def __init__(self, roster: Roster, boxes: Mapping[BoxId, Box]) -> None:
-        """Start from the roster as it is."""
+        """Start with the groups of the roster and the unused live boxes."""
         self.boxes = boxes
         self.groups: dict[GroupId, Group] = dict(roster.groups)
         self.free = {
@@ -55,7 +55,7 @@
         self._epoch = roster.number + 1
 
     def make_plan(self) -> RosterPlan:
-        """Return what differs from the roster."""
+        """Return the differences from the roster."""
         changed = tuple(
             group
             for name, group in self.groups.items()
@@ -70,7 +70,7 @@
         ]
 
     def list_intact(self, group: Group) -> list[Box]:
-        """Return the boxes of a group that it does not miss."""
+        """Return the boxes of a group that are not missing."""
         return [
             self.boxes[member.box]
             for member in group.members
@@ -78,12 +78,12 @@
         ]
 
     def find_domain(self, group: Group) -> DomainName | None:
-        """Return the domain of a group's intact boxes."""
+        """Return the fabric domain of a group's first intact box, if any."""
         intact = self.list_intact(group)
         return intact[0].domain if intact else None
 
     def list_free(self, group_set: GroupSet) -> list[Box]:
-        """Return the free boxes that a group set may take, by name."""
+        """Return the free boxes that a group set may take, sorted by name."""
         return [
             self.free[name]
             for name in sorted(self.free)
@@ -96,7 +96,7 @@
         state: GroupState,
         missing: tuple[BoxId, ...] = (),
     ) -> None:
-        """Change the state of a group."""
+        """Set the state and the missing boxes of a group."""
         self.groups[group.group] = msgspec.structs.replace(
             group,
             state=state,
@@ -106,14 +106,14 @@
         )
 
     def set_labels(self, group: Group, labels: dict[str, str]) -> None:
-        """Change the labels of a group."""
+        """Set the labels of a group."""
         self.groups[group.group] = msgspec.structs.replace(
             group,
             labels=labels,
         )
 
     def form_again(self, group: Group, boxes: Iterable[Box]) -> None:
-        """Form a group anew, with a higher fence."""
+        """Form a group again from these boxes, with a higher epoch."""
         members = tuple(make_member(box) for box in boxes)
         for member in members:
             self.free.pop(member.box, None)
@@ -128,7 +128,7 @@
         )
 
     def form_new(self, group_set: GroupSet, boxes: list[Box]) -> None:
-        """Form a new group of a set."""
+        """Form a new group of a set from free boxes."""
         members = tuple(make_member(box) for box in boxes)
         for member in members:
             self.free.pop(member.box)
@@ -146,7 +146,7 @@
         )
 
     def remove(self, group: Group) -> None:
-        """Give up a group; its live boxes are free."""
+        """Remove a group and free its live boxes."""
         self.groups.pop(group.group)
         self._removed.append(group.group)
         for member in group.members:
@@ -155,16 +155,16 @@
                 self.free[member.box] = box
 
     def _find_new_name(self, group_set: GroupSet) -> GroupId:
-        """Return a name that no group has or had: epochs only rise."""
-        taken = len(self.groups)
-        places = range(taken + 1)
+        """Return a name that no group ever had, as epochs only rise."""
+        count = len(self.groups)
+        suffixes = range(count + 1)
         names = (
-            GroupId(f'{group_set.name}.{self._epoch}.{place}')
-            for place in places
+            GroupId(f'{group_set.name}.{self._epoch}.{suffix}')
+            for suffix in suffixes
         )
         return next(name for name in names if name not in self.groups)
 
 
 def make_member(box: Box) -> Member:
-    """Return a box as a member of a group, in its present start."""
+    """Return a box as a group member, with its current boot number."""
     return Member(box.box, box.host, box.port, box.boot)
--- a/waywell/version/input_validation.py
+++ b/waywell/version/input_validation.py
@@ -1,4 +1,4 @@
-"""Structured input checked whole, with every fault listed at once."""
+"""Validation of structured input that reports all faults at once."""
 
 from __future__ import annotations
 
@@ -18,25 +18,27 @@
     from collections.abc import Iterable
 
 Shape = TypeVar('Shape')
-"""The class that the input should have the shape of."""
+"""Class that the input is converted to."""
 
 
 class InvalidInputError(Exception):
-    """Input has faults.
+    """Input is invalid.
 
     Parameters
     ----------
     faults
-        One line for each: the place, then what is allowed.
+        One line for each fault, with its place in the input.
     """
 
     def __init__(self, faults: Iterable[str]) -> None:
-        """Keep the faults in order."""
+        """Store the faults in their order."""
         self.faults = tuple(faults)
         super().__init__('\n'.join(self.faults))
 
 
-def _describe_extra(error: ForbiddenExtraKeysError, place: str) -> list[str]:
+def _describe_unknown_keys(
+    error: ForbiddenExtraKeysError, place: str
+) -> list[str]:
     known = [field.name for field in attrs.fields(error.cl)]
     lines = []
     for extra in sorted(error.extra_fields):
@@ -46,9 +48,9 @@
     return lines
 
 
-def _describe_leaf(error: Exception, place: str) -> list[str]:
+def _describe_fault(error: Exception, place: str) -> list[str]:
     if isinstance(error, ForbiddenExtraKeysError):
-        return _describe_extra(error, place)
+        return _describe_unknown_keys(error, place)
     if isinstance(error, KeyError):
         return [f'{place}: missing']
     return [f'{place}: {error}']
@@ -62,9 +64,9 @@
 
 
 def list_faults(error: Exception, place: str) -> list[str]:
-    """Return one line for each fault below a place in the input."""
+    """Return one line for each fault below ``place`` in the input."""
     if not isinstance(error, BaseValidationError):
-        return _describe_leaf(error, place)
+        return _describe_fault(error, place)
     faults: list[str] = []
     for inner in error.exceptions:
         inner_place = place
@@ -77,29 +79,29 @@
 def _check_number(raw: Any, kind: Any) -> Any:
     accepted = (int, float) if kind is float else (int,)
     if isinstance(raw, bool) or not isinstance(raw, accepted):
-        raise TypeError(f'{raw!r} is no {kind.__name__}')
+        raise TypeError(f'{raw!r} is not of type {kind.__name__}')
     return kind(raw)
 
 
-def _check_plain(raw: Any, kind: Any) -> Any:
+def _check_type(raw: Any, kind: Any) -> Any:
     if not isinstance(raw, kind):
-        raise TypeError(f'{raw!r} is no {kind.__name__}')
+        raise TypeError(f'{raw!r} is not of type {kind.__name__}')
     return raw
 
 
 def _check_enum(raw: Any, kind: type[enum.Enum]) -> enum.Enum:
     allowed = [member.value for member in kind]
     if raw not in allowed:
-        raise ValueError(f'{raw!r} is none of {allowed}')
+        raise ValueError(f'{raw!r} is not one of {allowed}')
     return kind(raw)
 
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True)
-    for number in (int, float):
-        converter.register_structure_hook(number, _check_number)
-    for plain in (str, bool):
-        converter.register_structure_hook(plain, _check_plain)
+    for number_type in (int, float):
+        converter.register_structure_hook(number_type, _check_number)
+    for plain_type in (str, bool):
+        converter.register_structure_hook(plain_type, _check_type)
     converter.register_structure_hook_func(
         lambda kind: isinstance(kind, type) and issubclass(kind, enum.Enum),
         _check_enum,
@@ -111,12 +113,21 @@
 
 
 def structure_input(raw: Any, shape: type[Shape], place: str) -> Shape:
-    """Turn plain values into a value of ``shape``.
+    """Convert plain values to an instance of ``shape``.
+
+    Parameters
+    ----------
+    raw
+        Plain values, as read from TOML or JSON.
+    shape
+        Class to convert to.
+    place
+        Name of the input, which begins the place of each fault.
 
     Raises
     ------
     InvalidInputError
-        With every fault, each at its place below ``place``.
+        With every fault and its place.
     """
     try:
         return _CONVERTER.structure(raw, shape)
@@ -125,5 +136,5 @@
 
 
 def unstructure_value(shaped: Any) -> Any:
-    """Return the plain values of an attrs value."""
+    """Convert an attrs instance to plain values."""
     return _CONVERTER.unstructure(shaped)
--- a/waywell/version/roster.py
+++ b/waywell/version/roster.py
@@ -1,7 +1,7 @@
-"""The roster: which boxes form which replica group, in which state.
+"""The roster: replica groups with their boxes and states.
 
-One object in the platform holds the whole roster, so one conditional
-update decides every race over a box, also between fabric domains.
+One object in the platform holds the whole roster, so that a single conditional
+update resolves every race for a box, even between fabric domains.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     from waywell.version.document import Document, Entry
 
 GROUP_PREFIX = 'group/'
-"""Keys of groups in the roster document start with this."""
+"""Prefix of the keys of groups in the roster document."""
 
 
 class BoxState(enum.Enum):
@@ -37,32 +37,32 @@
     """Name of the box."""
 
     hall: HallName
-    """Data hall it stands in."""
+    """Data hall of the box."""
 
     domain: DomainName
-    """Fabric domain it belongs to."""
+    """Fabric domain of the box."""
 
     host: str
-    """IP number of its engine or service."""
+    """IP address of its engine or service."""
 
     port: int
-    """Port of its engine or service."""
+    """TCP port of its engine or service."""
 
     state: BoxState = BoxState.LIVE
-    """Live, leaving or lost."""
+    """State that the platform reports."""
 
     accelerators: int = 1
-    """Accelerators in the box."""
+    """Number of accelerators in the box."""
 
     labels: dict[str, str] = {}
     """Labels that operators set."""
 
     boot: int = 0
-    """Number of its start: a box that came back has a higher one."""
+    """Boot number, which rises with each restart of the box."""
 
     @property
     def selectable(self) -> dict[str, str]:
-        """Return the labels that selectors see."""
+        """Return the labels that selectors match against."""
         return {
             **self.labels,
             'hall': self.hall,
@@ -71,81 +71,81 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A box in a group."""
+    """A box as the member of a group."""
 
     box: BoxId
     """Name of the box."""
 
     host: str
-    """IP number."""
+    """IP address of its engine or service."""
 
     port: int
-    """Port."""
+    """TCP port of its engine or service."""
 
     boot: int
-    """Start of the box that the group was formed with."""
+    """Boot number of the box when the group was formed."""
 
 
 class GroupState(enum.Enum):
     """State of a replica group."""
 
     FORMING = 'forming'
-    """Its boxes are taken; orders to them are under way."""
+    """Its boxes are reserved and are being sent their orders."""
 
     SERVING = 'serving'
-    """Every box has taken the order: it may get requests."""
+    """All boxes have accepted the order, so it may get requests."""
 
     BROKEN = 'broken'
-    """A box is missing: it gets no requests."""
+    """A box is missing, so it gets no requests."""
 
     LEAVING = 'leaving'
-    """It gets no new requests and gives its boxes up when drained."""
+    """It gets no new requests and releases its boxes when drained."""
 
 
 class Group(msgspec.Struct, frozen=True):
-    """A replica group; its first member takes the requests."""
+    """A replica group, whose first member receives the requests."""
 
     group: GroupId
     """Name of the group."""
 
     group_set: str
-    """Group set that it belongs to."""
+    """Name of the group set that it belongs to."""
 
     service: str
-    """Service that it answers for."""
+    """Name of the service that it provides."""
 
     epoch: Epoch
-    """Fence; each forming has a higher one."""
+    """Fencing epoch, which rises each time the group is formed."""
 
     state: GroupState
-    """What it may do now."""
+    """Current state of the group."""
 
     hall: HallName
     """Data hall of its first member."""
 
     members: tuple[Member, ...]
-    """Its boxes; the first takes the requests."""
+    """Its boxes; the first one receives the requests."""
 
     labels: dict[str, str] = {}
-    """Labels from its group set."""
+    """Labels that its group set gives it."""
 
     missing: tuple[BoxId, ...] = ()
-    """Members that are lost, when it is broken."""
+    """Names of the missing members of a broken group."""
 
     changed: int = 0
-    """Roster number at which its state last changed."""
+    """Number of the roster version in which its state last changed."""
 
     ordered: bool = False
-    """Whether all its boxes have taken the order of this epoch."""
+    """Whether all its boxes have accepted the order of this epoch."""
 
     @property
     def head(self) -> Member:
-        """Return the member that takes the requests."""
+        """Return the member that receives the requests."""
         return self.members[0]
 
     @property
     def selectable(self) -> dict[str, str]:
-        """Return the labels that serving rules see."""
+        """Return the labels that serving rules match against."""
         return {
             **self.labels,
             'group_set': self.group_set,
@@ -155,40 +155,40 @@
 
 
 class SharedBoxError(Exception):
-    """A roster would hold one box in two groups."""
+    """Two groups of a roster contain the same box."""
 
 
 class Roster:
-    """All groups of one version; no box is in two of them.
+    """All groups of one roster version, which share no box.
 
     Parameters
     ----------
     number
-        Version of the roster document.
+        Version number of the roster document.
     groups
         Its groups.
 
     Raises
     ------
     SharedBoxError
-        When two groups hold one box.
+        If two groups contain the same box.
     """
 
     def __init__(self, number: int, groups: Iterable[Group] = ()) -> None:
         """Index the groups by name and by box."""
         self.number = number
         self.groups = {group.group: group for group in groups}
-        self._holder: dict[BoxId, GroupId] = {}
+        self._group_by_box: dict[BoxId, GroupId] = {}
         for group in self.groups.values():
-            self._hold(group)
+            self._add_members(group)
 
     def __iter__(self) -> Iterator[Group]:
-        """Go through the groups in order of their names."""
+        """Iterate over the groups, sorted by name."""
         return iter(sorted(self.groups.values(), key=_get_name))
 
     def find_holder(self, box: BoxId) -> GroupId | None:
-        """Return the group that holds a box."""
-        return self._holder.get(box)
+        """Return the name of the group that contains a box, if any."""
+        return self._group_by_box.get(box)
 
     def replace(
         self,
@@ -196,23 +196,23 @@
         changed: Iterable[Group],
         removed: Iterable[GroupId] = (),
     ) -> Roster:
-        """Return a later roster with some groups changed or removed."""
+        """Return a roster of another number with groups changed or removed."""
         groups = dict(self.groups)
-        for gone in removed:
-            groups.pop(gone, None)
+        for name in removed:
+            groups.pop(name, None)
         groups.update((group.group, group) for group in changed)
         return Roster(number, groups.values())
 
     def to_entries(self) -> dict[str, Entry]:
-        """Return the groups as entries of a document."""
+        """Return the groups as the entries of a document."""
         return {
             f'{GROUP_PREFIX}{group.group}': msgspec.to_builtins(group)
             for group in self.groups.values()
         }
 
-    def _hold(self, group: Group) -> None:
+    def _add_members(self, group: Group) -> None:
         for member in group.members:
-            holder = self._holder.setdefault(member.box, group.group)
+            holder = self._group_by_box.setdefault(member.box, group.group)
             if holder != group.group:
                 raise SharedBoxError(member.box, holder, group.group)
 
@@ -222,14 +222,14 @@
 
 
 def parse_roster(document: Document) -> Roster:
-    """Return the roster that a document's entries make up.
+    """Return the roster that a document contains.
 
     Raises
     ------
     SharedBoxError
-        When two groups hold one box.
+        If two groups contain the same box.
     msgspec.MsgspecError
-        When an entry is no group.
+        If an entry is not a valid group.
     """
     groups = [
         msgspec.convert(entry, Group)
--- a/waywell/version/toml_text.py
+++ b/waywell/version/toml_text.py
@@ -1,4 +1,4 @@
-"""TOML read from files."""
+"""Reading of text files and parsing of TOML."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def read_text(path: str) -> str:
-    """Read a text file.
+    """Return the contents of a UTF-8 text file.
 
     Raises
     ------
     InvalidInputError
-        With the reason why the file can't be read.
+        If the file can't be read, with the reason.
     """
     try:
         return Path(path).read_text(encoding='utf-8')
@@ -24,12 +24,12 @@
 
 
 def read_toml(text: str, place: str) -> dict[str, Any]:
-    """Read TOML text.
+    """Return the plain values of a TOML text.
 
     Raises
     ------
     InvalidInputError
-        With the line and column of the fault.
+        If the text is no valid TOML, with the line and column.
     """
     try:
         return tomllib.loads(text)
