--- a/tests/boxes.py
+++ b/tests/boxes.py
@@ -1,4 +1,4 @@
-"""Boxes for tests."""
+"""Builders of boxes, groups and box lists."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_life(name: str, incarnation: int = 0) -> BoxLife:
-    """Return a life of a box, that of one which tells none by default."""
+    """Return a life of a box, by default one without an incarnation."""
     return BoxLife(BoxId(name), Incarnation(incarnation))
 
 
@@ -54,7 +54,23 @@
     leaving: str = '',
     domain: str = 'd0',
 ) -> list[FleetBox]:
-    """Return the boxes of a group, the head first."""
+    """Return the boxes of a group, the head first.
+
+    Parameters
+    ----------
+    group
+        Name of the group, which contains its model and epoch.
+    *names
+        Names of the boxes.
+    head_state
+        State that the head reports.
+    member_state
+        State that the other boxes report.
+    leaving
+        Name of the box that is leaving, if any.
+    domain
+        Fabric domain of the boxes.
+    """
     epoch = Epoch(int(group.rpartition('.')[2]))
     model = group.rpartition('.')[0]
     boxes = []
@@ -71,5 +87,5 @@
 
 
 def make_fleet(*boxes: FleetBox) -> Fleet:
-    """Return a box list."""
+    """Return a snapshot of the box list."""
     return Fleet({box.box: box for box in boxes})
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,7 +1,7 @@
-"""Judges histories: what was asked, sent, run and answered.
+"""Checks of the histories that processes and tests record.
 
-The histories are those of the entry boxes (``history-*.jsonl``), of the
-targets (``runs-*.jsonl``) and of the callers (kept by the tests).
+Entry boxes write ``history-*.jsonl``, targets write ``runs-*.jsonl``, and the
+tests keep the answers that callers get.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def list_runs(bench: Bench) -> Lines:
-    """Return every run at every target."""
+    """Return the runs at all targets."""
     return [
         line
         for line in bench.read_history('runs-*.jsonl')
@@ -25,18 +25,18 @@
 
 
 def count_runs(bench: Bench) -> Counter[str]:
-    """Return how often each request id ran."""
+    """Return the number of runs of each request id."""
     return Counter(line['request'] for line in list_runs(bench))
 
 
 def find_repeated(bench: Bench, once: set[str]) -> list[str]:
-    """Return the ids that had to run at most once and ran more often."""
+    """Return the ids in ``once`` that ran more than once."""
     runs = count_runs(bench)
     return [name for name in sorted(once) if runs[name] > 1]
 
 
 def find_false_refusals(bench: Bench, refusals: Lines) -> list[str]:
-    """Return the ids that were refused as not run but have run."""
+    """Return the ids that were refused as not run but did run."""
     runs = count_runs(bench)
     return [
         refusal['request']
@@ -46,7 +46,7 @@
 
 
 def find_shared_boxes(bench: Bench) -> list[tuple[str, str, str]]:
-    """Return boxes that ran for two groups under one or falling epochs."""
+    """Return boxes that ran for two groups in one epoch or a lower one."""
     found = []
     for name in bench.targets:
         last = ('', 0)
@@ -61,16 +61,16 @@
     return found
 
 
-def find_lowered(lines: Lines) -> list[dict[str, Any]]:
-    """Return events at which a node served by a lower configuration."""
+def find_rollbacks(lines: Lines) -> list[dict[str, Any]]:
+    """Return the lines where a node used a lower configuration than before."""
     highest: dict[str, int] = {}
-    lowered = []
+    rollbacks = []
     for line in lines:
         number = line.get('configuration')
         if number is None:
             continue
         node = line['node']
         if number < highest.get(node, 0):
-            lowered.append(line)
+            rollbacks.append(line)
         highest[node] = max(number, highest.get(node, 0))
-    return lowered
+    return rollbacks
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -1,4 +1,4 @@
-"""Group assembly under any order of box events and racing assemblers."""
+"""Group assembly under any order of box events and concurrent writers."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     now: float = 0,
     since: float = 0,
 ) -> Roster:
-    """Plan until nothing changes, every order taken at once."""
+    """Apply plans until nothing changes; boxes accept orders immediately."""
     current = roster or Roster(0)
     for _ in range(20):
         view = AssemblyView(
@@ -95,14 +95,14 @@
             plan.changed,
             plan.removed,
         )
-    raise AssertionError('the plan does not come to rest')
+    raise AssertionError('the plans do not converge')
 
 
 def list_states(roster: Roster) -> list[str]:
     return [group.state.value for group in roster]
 
 
-def test_groups_form_within_a_domain() -> None:
+def test_groups_are_formed_within_a_domain() -> None:
     boxes = [make_box(n, f'd{n % 2}') for n in range(6)]
     roster = settle(boxes, make_objects(groups=2, size=3))
     assert list_states(roster) == ['serving', 'serving']
@@ -116,12 +116,12 @@
         assert len(domains) == 1
 
 
-def test_too_few_boxes_in_each_domain_form_nothing() -> None:
+def test_too_few_boxes_in_each_domain_form_no_group() -> None:
     boxes = [make_box(n, f'd{n % 2}') for n in range(4)]
     assert list_states(settle(boxes, make_objects(1, size=3))) == []
 
 
-def test_group_over_domains_where_allowed() -> None:
+def test_a_group_may_span_domains_if_its_set_allows_it() -> None:
     boxes = [make_box(n, f'd{n % 2}') for n in range(4)]
     configuration = make_objects(1, size=3)
     group_set = configuration.group_set[0]
@@ -149,7 +149,9 @@
         (CostPolicy(GOAL), 6, 'serving'),
     ],
 )
-def test_policy_for_a_lost_box(policy: object, now: float, state: str) -> None:
+def test_the_policy_decides_when_a_lost_box_is_replaced(
+    policy: object, now: float, state: str
+) -> None:
     boxes = [make_box(n) for n in range(3)]
     configuration = make_objects(1)
     roster = settle(boxes, configuration)
@@ -164,7 +166,7 @@
     assert list_states(repaired) == [state]
 
 
-def test_two_broken_groups_make_one_whole() -> None:
+def test_two_broken_groups_become_one_complete_group() -> None:
     boxes = [make_box(n) for n in range(4)]
     configuration = make_objects(2)
     roster = settle(boxes, configuration)
@@ -179,7 +181,7 @@
     assert list_states(repaired) == ['serving']
 
 
-def test_restarted_box_gets_a_higher_epoch() -> None:
+def test_a_group_with_a_restarted_box_gets_a_higher_epoch() -> None:
     boxes = [make_box(n) for n in range(2)]
     configuration = make_objects(1)
     roster = settle(boxes, configuration)
@@ -190,7 +192,7 @@
     assert after.epoch > before
 
 
-def test_paused_box_returns_to_its_group_as_it_was() -> None:
+def test_a_paused_box_returns_to_its_unchanged_group() -> None:
     boxes = [make_box(n) for n in range(3)]
     configuration = make_objects(1)
     roster = settle(boxes, configuration)
@@ -209,7 +211,7 @@
 
 
 @pytest.mark.parametrize(
-    ('gone', 'down', 'doubted'),
+    ('gone', 'down', 'is_implausible'),
     [
         (set(), set(), False),
         ({0}, set(), False),
@@ -219,21 +221,23 @@
         ({0, 1}, set(), False),
     ],
 )
-def test_list_that_lacks_most_boxes_is_doubted(
+def test_a_list_that_lacks_most_boxes_is_implausible(
     gone: set,
     down: set,
-    doubted: bool,
+    is_implausible: bool,
 ) -> None:
     boxes = [make_box(n) for n in range(4)]
     roster = settle(boxes, make_objects(4, size=1))
     groups = list(roster)
     lost = {groups[number].head.box for number in gone}
-    seen = {box.box: box for box in boxes if box.box not in lost}
-    words = {groups[number].group for number in down}
-    assert is_box_list_implausible(roster, seen, words) is doubted
+    listed = {box.box: box for box in boxes if box.box not in lost}
+    down_groups = {groups[number].group for number in down}
+    assert (
+        is_box_list_implausible(roster, listed, down_groups) is is_implausible
+    )
 
 
-def test_half_formed_group_is_formed_again() -> None:
+def test_a_half_formed_group_is_formed_again() -> None:
     boxes = {f'b{n}': make_box(n) for n in range(2)}
     configuration = make_objects(1)
     roster = Roster(0)
@@ -249,7 +253,7 @@
     assert epochs == [1, 1, 3]
 
 
-def test_roster_refuses_a_shared_box() -> None:
+def test_a_roster_rejects_a_box_in_two_groups() -> None:
     member = Member(BoxId('b'), 'h', 1, 0)
     groups = [
         Group(
@@ -268,7 +272,7 @@
 
 
 class _Assembler:
-    """An assembler with its own, perhaps old, view."""
+    """An assembler with its own, possibly outdated, view."""
 
     def __init__(self) -> None:
         self.base = Roster(0)
@@ -277,7 +281,7 @@
 
 
 class AssemblyMachine(RuleBasedStateMachine):
-    """Two assemblers race; boxes come and go; answers are lost."""
+    """Runs concurrent assemblers while boxes change and answers get lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -325,9 +329,9 @@
         if with_boxes:
             assembler.boxes = dict(self.boxes)
 
-    @rule(which=st.integers(0, 1), late=st.booleans())
-    def plan_and_write(self, which: int, late: bool) -> None:
-        """Write on the version that was read, maybe long ago."""
+    @rule(which=st.integers(0, 1), is_answer_lost=st.booleans())
+    def plan_and_write(self, which: int, is_answer_lost: bool) -> None:
+        """Write to the version that was read, which may be outdated."""
         assembler = self.assemblers[which]
         view = AssemblyView(
             boxes=assembler.boxes,
@@ -345,43 +349,43 @@
         self.now += 3
         if not plan or assembler.version != self.version:
             return
-        later = assembler.base.replace(
+        planned = assembler.base.replace(
             assembler.base.number + 1,
             plan.changed,
             plan.removed,
         )
-        self.stored = later
+        self.stored = planned
         self.version += 1
-        if not late:
-            assembler.base = later
+        if not is_answer_lost:
+            assembler.base = planned
             assembler.version = self.version
 
     @rule()
-    def give_orders(self) -> None:
-        """Send orders of any roster that an assembler holds, old ones too."""
+    def send_orders(self) -> None:
+        """Send the orders of each assembler's roster, even an outdated one."""
         for assembler in self.assemblers:
             for group in assembler.base:
                 if group.state is GroupState.FORMING:
                     for member in group.members:
-                        self.take_order(member.box, group)
+                        self.accept_order(member.box, group)
 
     @rule()
     def route(self) -> None:
-        """Nodes begin to route to unfenced groups that serve."""
+        """Let nodes start to route to unfenced groups that serve."""
         for group in self.stored:
             if group.service == 'app' and group.state is GroupState.SERVING:
                 boxes = self.routable.setdefault(group.group, set())
                 boxes.update(member.box for member in group.members)
 
     @rule()
-    def let_go(self) -> None:
-        """Every node applies the stored roster."""
+    def stop_routing(self) -> None:
+        """Let every node apply the stored roster."""
         for name in tuple(self.routable):
             group = self.stored.groups.get(GroupId(name))
             if group is None or group.state is not GroupState.SERVING:
                 self.routable.pop(name)
 
-    def take_order(self, box: str, group: Group) -> None:
+    def accept_order(self, box: str, group: Group) -> None:
         epoch, _ = self.targets.get(box, (0, ''))
         if group.epoch >= epoch:
             self.targets[box] = (group.epoch, group.group)
@@ -413,7 +417,7 @@
                     assert served[member.box] == group.group
 
     @invariant()
-    def unfenced_boxes_are_not_given_away_early(self) -> None:
+    def unfenced_boxes_are_not_reassigned_while_routable(self) -> None:
         for name, boxes in self.routable.items():
             for box in boxes:
                 holder = self.stored.find_holder(BoxId(box))
@@ -421,15 +425,15 @@
                 assert holder == name
 
     @invariant()
-    def fresh_plan_serves_only_whole_groups(self) -> None:
+    def a_plan_with_a_current_view_serves_only_complete_groups(self) -> None:
         view = AssemblyView(self.boxes, self.configuration, {})
         plan = plan_assembly(self.stored, view, WaitOnly(), self.now)
-        later = self.stored.replace(
+        planned = self.stored.replace(
             self.stored.number + 1,
             plan.changed,
             plan.removed,
         )
-        for group in later:
+        for group in planned:
             if group.state is GroupState.SERVING:
                 assert find_missing_members(group, self.boxes) == ()
 
--- a/tests/test_parted.py
+++ b/tests/test_parted.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.checker import find_lowered
+from tests.checker import find_rollbacks
 from tests.conftest import QUICK
 from tests.relay import Relay, reserve_port
 from waywell.standins.harness import (
@@ -89,7 +89,7 @@
             lambda name=name: read_number(bench, name) == number,
             f'{name} to have {number}',
         )
-    assert find_lowered(bench.read_history('history-*.jsonl')) == []
+    assert find_rollbacks(bench.read_history('history-*.jsonl')) == []
 
 
 def test_cut_from_everything_stops_what_checks_no_fence(
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: which one a request takes, and which service it goes to."""
+"""Choice of the route and the service of a request."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return RouteIndex(RouteTable(1, routes=routes))
 
 
-def test_longest_prefix_wins_whatever_the_order() -> None:
+def test_the_longest_prefix_wins_in_any_order_of_routes() -> None:
     short, long = make_route('short', '/a/'), make_route('long', '/a/b/')
     for routes in ((short, long), (long, short)):
         index = make_index(*routes)
@@ -39,13 +39,13 @@
         assert index.find_route('shop.example', '/a/bc') is short
 
 
-def test_host_is_matched_without_port_and_case() -> None:
+def test_the_host_is_matched_without_port_and_case() -> None:
     index = make_index(make_route('one', '/'))
     assert index.find_route('Shop.Example:8080', '/x') is not None
     assert index.find_route('other.example', '/x') is None
 
 
-def test_a_prefix_matches_whole_parts_only() -> None:
+def test_a_prefix_matches_whole_path_segments_only() -> None:
     index = make_index(make_route('one', '/price/'))
     assert index.find_route('shop.example', '/prices') is None
     assert index.find_route('shop.example', '/price') is None
@@ -55,13 +55,13 @@
     weights=st.lists(st.floats(0, 100), min_size=1, max_size=5),
     draw=st.floats(0, 1, exclude_max=True),
 )
-def test_a_draw_never_goes_to_a_service_without_weight(
+def test_a_service_without_weight_is_never_picked(
     weights: list[float],
     draw: float,
 ) -> None:
     shares = tuple(
-        ServiceShare(ServiceName(str(place)), weight)
-        for place, weight in enumerate(weights)
+        ServiceShare(ServiceName(str(index)), weight)
+        for index, weight in enumerate(weights)
     )
     route = Route('r', 'h', '/', RouteKind.SAFE, 1.0, 0.2, shares)
     picked = route.pick_service(draw)
@@ -71,7 +71,7 @@
         assert weights[int(picked)] > 0 or draw * sum(weights) >= sum(weights)
 
 
-def test_shares_are_kept_over_many_draws() -> None:
+def test_picked_services_follow_the_weights() -> None:
     shares = (
         ServiceShare(ServiceName('a'), 90.0),
         ServiceShare(ServiceName('b'), 10.0),
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -1,4 +1,4 @@
-"""Selectors over labels."""
+"""Label selectors."""
 
 from __future__ import annotations
 
@@ -23,5 +23,7 @@
         ),
     ],
 )
-def test_selector(selector: Selector, labels: dict, admitted: bool) -> None:
+def test_a_selector_admits_labels_that_satisfy_its_requirements(
+    selector: Selector, labels: dict, admitted: bool
+) -> None:
     assert selector.admits(labels) is admitted
