--- a/waywell/limits/permit_issuer.py
+++ b/waywell/limits/permit_issuer.py
@@ -27,11 +27,12 @@
 request."""
 
 BURST_PERMITS = 2.0
-"""Fixed part of a bucket's capacity, in permits."""
+"""Largest number of permits that a bucket holds besides those of
+``BURST_SECONDS``."""
 
 BURST_SECONDS = 0.1
-"""Part of a bucket's capacity that grows with its rate, in seconds of refill.
-It allows permits of high limits to be granted in few messages."""
+"""Seconds of refill that a bucket holds in addition, so that the permits of
+high limits are granted in few messages."""
 
 NEW_LIMIT_SECONDS = 1.5
 """Age of a limit below which its issuers start with a full bucket, in seconds:
--- a/waywell/version/assembly.py
+++ b/waywell/version/assembly.py
@@ -25,7 +25,7 @@
     from waywell.version.roster import Roster
 
 
-MIN_AFFECTED_GROUPS = 2
+MIN_AFFECTED = 2
 """Fewest groups with missing boxes that make a box list implausible."""
 
 
@@ -104,9 +104,7 @@
     affected = [
         group for group in serving if find_missing_members(group, boxes)
     ]
-    if len(affected) < MIN_AFFECTED_GROUPS or len(affected) * 2 <= len(
-        serving
-    ):
+    if len(affected) < MIN_AFFECTED or len(affected) * 2 <= len(serving):
         return False
     confirmed = sum(group.group in down for group in affected)
     return confirmed * 2 < len(affected)
@@ -132,7 +130,7 @@
         self._sets = sets
 
     def run(self) -> None:
-        for leaving in self._draft.list_in(GroupState.LEAVING):
+        for leaving in self._draft.list_by_state(GroupState.LEAVING):
             if leaving.group in self._view.released:
                 self._draft.remove(leaving)
         for group in tuple(self._draft.groups.values()):
@@ -222,7 +220,7 @@
         }
 
     def run(self, now: float) -> None:
-        broken = self._draft.list_in(GroupState.BROKEN)
+        broken = self._draft.list_by_state(GroupState.BROKEN)
         broken.sort(key=self._rank_repair)
         for group in broken:
             # An earlier repair may have taken the boxes of this group.
@@ -268,7 +266,7 @@
         """Return broken groups of equal or lower need, least needed first."""
         donors = [
             donor
-            for donor in self._draft.list_in(GroupState.BROKEN)
+            for donor in self._draft.list_by_state(GroupState.BROKEN)
             if donor.group != group.group and self._can_donate(donor, group)
         ]
         return sorted(donors, key=self._rank_donor)
--- a/waywell/version/draft.py
+++ b/waywell/version/draft.py
@@ -63,8 +63,8 @@
         )
         return RosterPlan(changed, tuple(self._removed))
 
-    def list_in(self, *states: GroupState) -> list[Group]:
-        """Return the groups in some states."""
+    def list_by_state(self, *states: GroupState) -> list[Group]:
+        """Return the groups that are in one of the states."""
         return [
             group for group in self.groups.values() if group.state in states
         ]
--- a/waywell/version/serving.py
+++ b/waywell/version/serving.py
@@ -81,7 +81,7 @@
         return self._accounts.get(hash_key(key))
 
     def list_groups(self, shape: RequestShape) -> tuple[Group, ...]:
-        """Return the groups that may serve requests of a shape, cached.
+        """Return the groups that may serve requests with a shape, cached.
 
         Groups in all states are returned, because callers that no rule admits
         get another error than those whose groups are out of service.
@@ -95,7 +95,7 @@
         return found
 
     def list_rules(self, shape: RequestShape) -> list[Serving]:
-        """Return the serving rules that admit requests of a shape."""
+        """Return the serving rules that admit requests with a shape."""
         account = self._by_name.get(shape.account)
         if account is None:
             return []
