--- a/waywell/version/fleet.py
+++ b/waywell/version/fleet.py
@@ -29,7 +29,7 @@
 
 
 UNKNOWN_INCARNATION = Incarnation(0)
-"""Incarnation of a box that reports none; each of its lives has its own id."""
+"""Incarnation of a box that reports none; each of its lives has another id."""
 
 
 class BoxLife(NamedTuple):
--- a/waywell/version/routes.py
+++ b/waywell/version/routes.py
@@ -119,7 +119,7 @@
     """Expected share of the work, relative to other models."""
 
     pace: float = 1.0
-    """Factor by which all durations of its groups are multiplied."""
+    """Factor on all durations of its groups; below 1 is faster."""
 
     load_seconds: float = 0.0
     """Time to load its weights from the weight store, in seconds."""
