--- a/waywell/version/box_report.py
+++ b/waywell/version/box_report.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from waywell.ids import Incarnation
-from waywell.version.fleet import UNTOLD, Standing
+from waywell.version.fleet import UNKNOWN_INCARNATION, Standing
 
 NORMAL_PACE = 1.0
 """Pace of a box that is as fast as it should be."""
@@ -28,7 +28,7 @@
     standing: Standing | None = None
     """Place of the box in a group in that state."""
 
-    incarnation: Incarnation = UNTOLD
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     """Incarnation of the box that sent the report."""
 
     def is_slow(self) -> bool:
--- a/waywell/version/closing_limit.py
+++ b/waywell/version/closing_limit.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from waywell.version.fleet import parse_group
+from waywell.version.fleet import parse_group_model
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -31,8 +31,12 @@
     closing
         Groups that were ordered to close.
     """
-    serving_counts = Counter(parse_group(group.group) for group in serving)
-    closing_counts = Counter(parse_group(group.group) for group in closing)
+    serving_counts = Counter(
+        parse_group_model(group.group) for group in serving
+    )
+    closing_counts = Counter(
+        parse_group_model(group.group) for group in closing
+    )
     return Counter(
         {
             model: max(1, int(count * MAX_CLOSING_SHARE))
--- a/waywell/version/domain_changes.py
+++ b/waywell/version/domain_changes.py
@@ -16,7 +16,7 @@
 import attrs
 
 from waywell.ids import ModelName
-from waywell.version.fleet import FleetBox, FleetGroup, parse_group
+from waywell.version.fleet import FleetBox, FleetGroup, parse_group_model
 from waywell.version.routes import EngineModel
 
 if TYPE_CHECKING:
@@ -132,7 +132,7 @@
             closed_boxes = [box for group in closed for box in group.members]
             pool = [*domain.idle, *closed_boxes]
             closed_counts = self._count(
-                parse_group(group.group) for group in closed
+                parse_group_model(group.group) for group in closed
             )
             for counts in self._list_counts(len(pool)):
                 formed = self._pick_groups(pool, counts)
@@ -237,7 +237,7 @@
             )
             for box in group.members
         )
-        return parse_group(group.group), tuple(boxes)
+        return parse_group_model(group.group), tuple(boxes)
 
     def _list_counts(self, boxes: int) -> Iterator[Counts]:
         """Return the numbers of groups of each model that fit some boxes."""
--- a/waywell/version/forming.py
+++ b/waywell/version/forming.py
@@ -23,12 +23,12 @@
 
 from waywell.ids import BoxId, DomainName, GroupId, ModelName, ServiceName
 from waywell.version.fleet import (
-    UNTOLD,
+    UNKNOWN_INCARNATION,
+    BoxesByDomain,
     Fleet,
     FleetBox,
     FleetGroup,
-    Pools,
-    parse_group,
+    parse_group_model,
 )
 from waywell.version.group_changes import GroupChanges
 from waywell.version.group_picker import GroupPicker
@@ -156,7 +156,9 @@
             staging.load_within_pace(free)
         return self._assignments
 
-    def _close_slow(self, free: Pools, serving: list[FleetGroup]) -> None:
+    def _close_slow(
+        self, free: BoxesByDomain, serving: list[FleetGroup]
+    ) -> None:
         """Close slow groups whose fast boxes can form a whole group."""
         for slow in choose_slow_groups(
             self._need, self._memory, free, self._groups, serving
@@ -239,14 +241,14 @@
         for group_id, status in statuses.items():
             is_kept = group_id not in self._memory.abandoned
             if is_kept and status is GroupStatus.SERVING:
-                self._need.serving[parse_group(group_id)] += 1
+                self._need.serving[parse_group_model(group_id)] += 1
             if is_kept and status in upcoming:
-                self._need.groups[parse_group(group_id)] += 1
+                self._need.groups[parse_group_model(group_id)] += 1
         self._need.groups.update(self._need.serving)
         present = {group.group for group in self._groups}
         for name in self._memory.forming:
             if name not in present:
-                self._need.groups[parse_group(name)] += 1
+                self._need.groups[parse_group_model(name)] += 1
 
     def _assign(
         self,
@@ -266,10 +268,12 @@
         self._assignments.append(Assignment(box, order, reason))
         return True
 
-    def _list_free(self, statuses: Mapping[GroupId, GroupStatus]) -> Pools:
+    def _list_free(
+        self, statuses: Mapping[GroupId, GroupStatus]
+    ) -> BoxesByDomain:
         """Return the boxes that may join a group, by fabric domain."""
         joining = self._memory.list_joining(self._now)
-        free: Pools = defaultdict(list)
+        free: BoxesByDomain = defaultdict(list)
         for box in self._boxes:
             if box.standing is None:
                 is_free = box.life not in joining
@@ -313,7 +317,7 @@
         restart.
         """
         if (
-            box.incarnation == UNTOLD
+            box.incarnation == UNKNOWN_INCARNATION
             or not self._memory.lives.may_have_missed_restart(self._now)
         ):
             return False
@@ -324,7 +328,7 @@
             for group in self._groups
         )
 
-    def _form(self, free: Pools) -> None:
+    def _form(self, free: BoxesByDomain) -> None:
         """Form groups before any demand is measured, greatest need first."""
         picker = GroupPicker(self._need, self._memory)
         best = picker.find_best(free)
@@ -338,11 +342,11 @@
 
 def _summarise(
     statuses: Mapping[GroupId, GroupStatus],
-    free: Pools,
+    free: BoxesByDomain,
 ) -> FormingSummary:
     return FormingSummary(
         Counter(
-            f'{parse_group(group)}.{status.value}'
+            f'{parse_group_model(group)}.{status.value}'
             for group, status in statuses.items()
         ),
         {domain: len(boxes) for domain, boxes in free.items() if boxes},
--- a/waywell/version/group_status.py
+++ b/waywell/version/group_status.py
@@ -7,7 +7,12 @@
 
 import attrs
 
-from waywell.version.fleet import Fleet, FleetGroup, MemberState, parse_group
+from waywell.version.fleet import (
+    Fleet,
+    FleetGroup,
+    MemberState,
+    parse_group_model,
+)
 from waywell.version.forming_memory import (
     JOIN_TIMEOUT_SECONDS,
     LOAD_TIMEOUT_FACTOR,
@@ -65,7 +70,7 @@
 
     def assess(self, group: FleetGroup) -> GroupStatus:
         """Return the status of a group."""
-        model = self.engine.find_model(parse_group(group.group))
+        model = self.engine.find_model(parse_group_model(group.group))
         if model is None:
             return self._assess_unwanted(group)
         leaving = any(member.leaving for member in group.members)
--- a/waywell/version/regrouping.py
+++ b/waywell/version/regrouping.py
@@ -24,9 +24,9 @@
     NewGroup,
 )
 from waywell.version.fleet import (
+    BoxesByDomain,
     FleetGroup,
-    Pools,
-    divide_by_domain,
+    group_by_domain,
 )
 from waywell.version.forming_memory import CachedChanges, FormingMemory
 from waywell.version.model_need import ModelNeed
@@ -143,7 +143,7 @@
     """Computed losses per second until a change is complete, by closed group
     counts."""
 
-    def list_best(self, idle: Pools) -> list[Regrouping]:
+    def list_best(self, idle: BoxesByDomain) -> list[Regrouping]:
         """Return the best change of each domain, greatest gain first.
 
         Domains where no change has a gain are left out.
@@ -153,7 +153,7 @@
         idle
             Boxes that may join a group, by fabric domain.
         """
-        serving_by_domain = divide_by_domain(self.serving)
+        serving_by_domain = group_by_domain(self.serving)
         names = sorted(set(idle) | set(serving_by_domain))
         best = [
             self._find_best(name, _make_domain(name, idle, serving_by_domain))
@@ -164,9 +164,11 @@
         found = [change for change in best if change is not None]
         return sorted(found, key=lambda change: -change.gain)
 
-    def find_in(self, domain: DomainName, idle: Pools) -> Regrouping | None:
+    def find_in(
+        self, domain: DomainName, idle: BoxesByDomain
+    ) -> Regrouping | None:
         """Return the best change of one domain, if any has a gain."""
-        serving_by_domain = divide_by_domain(self.serving)
+        serving_by_domain = group_by_domain(self.serving)
         return self._find_best(
             domain, _make_domain(domain, idle, serving_by_domain)
         )
@@ -284,7 +286,7 @@
 
 def _make_domain(
     name: DomainName,
-    idle: Pools,
+    idle: BoxesByDomain,
     serving_by_domain: dict[DomainName, list[FleetGroup]],
 ) -> Domain:
     return Domain(
--- a/waywell/version/slow_groups.py
+++ b/waywell/version/slow_groups.py
@@ -14,11 +14,11 @@
 
 from waywell.version.closing_limit import count_closable
 from waywell.version.fleet import (
+    BoxesByDomain,
     FleetBox,
     FleetGroup,
-    Pools,
-    divide_by_domain,
-    parse_group,
+    group_by_domain,
+    parse_group_model,
 )
 from waywell.version.forming_memory import FormingMemory
 from waywell.version.model_need import ModelNeed
@@ -31,7 +31,7 @@
 def choose_slow_groups(
     need: ModelNeed,
     memory: FormingMemory,
-    idle: Pools,
+    idle: BoxesByDomain,
     groups: list[FleetGroup],
     serving: list[FleetGroup],
 ) -> list[FleetGroup]:
@@ -59,7 +59,7 @@
         found = _SlowGroupSearch(
             need, memory, idle.get(domain, []), domain_groups
         ).find()
-        wanted = Counter(parse_group(group.group) for group in found)
+        wanted = Counter(parse_group_model(group.group) for group in found)
         if all(closable[model] >= count for model, count in wanted.items()):
             closable.subtract(wanted)
             chosen.extend(found)
@@ -72,7 +72,7 @@
 ) -> dict[DomainName, list[FleetGroup]]:
     """Return the serving groups of the domains in which none is closing."""
     closing_domains = {group.domain for group in closing}
-    return divide_by_domain(
+    return group_by_domain(
         group for group in serving if group.domain not in closing_domains
     )
 
@@ -93,7 +93,7 @@
             own = [
                 group
                 for group in slow
-                if parse_group(group.group) == model.name
+                if parse_group_model(group.group) == model.name
             ]
             others = [group for group in slow if group not in own]
             found = self._collect(model, own, others)
--- a/waywell/version/staging.py
+++ b/waywell/version/staging.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from waywell.version.fleet import FleetBox, MemberState, Pools
+from waywell.version.fleet import BoxesByDomain, FleetBox, MemberState
 from waywell.version.forming_memory import FormingMemory, Staging
 from waywell.version.orders import BoxOrder, OrderReason, Stage
 
@@ -77,7 +77,7 @@
             if others and box.life not in self._memory.staging:
                 self._order_load(box, others[0])
 
-    def load_within_pace(self, idle: Pools) -> None:
+    def load_within_pace(self, idle: BoxesByDomain) -> None:
         """Load missing models, those with the greatest gain for callers first.
 
         Idle boxes come before serving ones: first loads that complete a whole
@@ -100,7 +100,7 @@
 
     def _find_most_gainful(
         self,
-        idle: Pools,
+        idle: BoxesByDomain,
     ) -> tuple[EngineModel, list[FleetBox]] | None:
         """Return the group with the greatest gain per load, with its boxes."""
         found = [
@@ -165,7 +165,7 @@
         ]
         return lacking[:1] if failures.is_limited(model.name) else lacking
 
-    def _load_spares(self, pools: Pools) -> bool:
+    def _load_spares(self, pools: BoxesByDomain) -> bool:
         """Load what idle boxes lack, the model in greatest need first.
 
         Returns
--- a/waywell/version/toml_text.py
+++ b/waywell/version/toml_text.py
@@ -1,4 +1,4 @@
-"""TOML read from files."""
+"""Reading of text files and parsing of TOML."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 from pathlib import Path
 from typing import Any
 
-from waywell.version.faults import FaultsError
+from waywell.version.input_validation import InvalidInputError
 
 
 def read_text(path: str) -> str:
-    """Read a text file.
+    """Return the contents of a UTF-8 text file.
 
     Raises
     ------
-    FaultsError
-        With the reason why the file can't be read.
+    InvalidInputError
+        If the file can't be read, with the reason.
     """
     try:
         return Path(path).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        raise FaultsError([f'{path}: {error}']) from error
+        raise InvalidInputError([f'{path}: {error}']) from error
 
 
 def read_toml(text: str, place: str) -> dict[str, Any]:
-    """Read TOML text.
+    """Return the plain values of a TOML text.
 
     Raises
     ------
-    FaultsError
-        With the line and column of the fault.
+    InvalidInputError
+        If the text is no valid TOML, with the line and column.
     """
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise FaultsError([f'{place}: {error}']) from error
+        raise InvalidInputError([f'{place}: {error}']) from error
