--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -24,7 +24,7 @@
     ModelName,
     ServiceName,
 )
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.membership.membership import NodeRecord
 from waywell.process.front_settings import PromiseSettings
 from waywell.request.ask import AnswerMark, Ask
@@ -130,30 +130,30 @@
             resumable=stream,
         )
         engine = Engine(9, (EngineModel(MODEL, 2),))
-        outlook = Outlook(PromiseSettings())
-        outlook.take_routes(
+        cluster = ClusterView(PromiseSettings())
+        cluster.take_routes(
             RouteTable(
                 1,
                 (route,),
                 (RoutedService(ServiceName('llm'), engine=engine),),
             ),
         )
-        outlook.confirm_routes(self.clock.now)
-        outlook.take_fleet(
+        cluster.confirm_routes(self.clock.now)
+        cluster.take_fleet(
             make_fleet(
                 *make_group('notes.7', 'a', 'b'),
                 *make_group('notes.8', 'c', 'd'),
             ),
             self.clock.now,
         )
-        self.outlook = outlook
+        self.cluster = cluster
         self.quarantine = LoneQuarantine(self.clock)
         self.turns = LoneTurns(self.clock)
         self.paths = HeldPaths()
         self.budget = ResendBudget(ResendLimits(0.2, 90.0, 10.0), 0.0)
         self.forwarder = Forwarder(
             ForwarderParts(
-                outlook=outlook,
+                cluster=cluster,
                 wire=_Wire(),
                 chooser=Chooser(HallName('port'), SharedLoads(), Random(1)),
                 book=self.book,
@@ -248,14 +248,14 @@
 
     async def restart(self, *names: str) -> None:
         """Let a newer list show boxes that started again under their ids."""
-        boxes = dict(self.outlook.fleet.boxes)
+        boxes = dict(self.cluster.fleet.boxes)
         for name in names:
             boxes[BoxId(name)] = msgspec.structs.replace(
                 boxes[BoxId(name)],
                 standing=None,
                 incarnation=Incarnation(2),
             )
-        self.outlook.take_fleet(Fleet(boxes), self.clock.now)
+        self.cluster.take_fleet(Fleet(boxes), self.clock.now)
         await self.settle()
 
 
--- a/tests/holder.py
+++ b/tests/holder.py
@@ -123,7 +123,7 @@
         self._entries: dict[str, FleetBox] = {}
         self.last_models: dict[BoxLife, ModelName] = {}
         engines = [('llm', engine)]
-        self._outlook = SimpleNamespace(
+        self._cluster = SimpleNamespace(
             index=SimpleNamespace(list_engines=lambda: engines),
             eras=EraTracker(),
             fleet=Fleet({}),
@@ -147,8 +147,8 @@
 
     def restart_node(self) -> None:
         """Move the duty to a node that has seen no list before."""
-        self._outlook.lives = LifeTracker()
-        self._outlook.fleet = Fleet({})
+        self._cluster.lives = LifeTracker()
+        self._cluster.fleet = Fleet({})
         self.last_models.clear()
         self.take_over()
 
@@ -253,11 +253,11 @@
             is_busy = self.duty.handle_waiting()
 
     def _show_entries(self) -> None:
-        before, after = self._outlook.fleet, Fleet(dict(self._entries))
+        before, after = self._cluster.fleet, Fleet(dict(self._entries))
         change = compare_fleets(before, after)
         note_models(self.last_models, before, change)
-        self._outlook.lives.update(after, change, self.clock.now)
-        self._outlook.fleet = after
+        self._cluster.lives.update(after, change, self.clock.now)
+        self._cluster.fleet = after
 
     def _make_duty(self) -> _HeldDuty:
         self._term += 1
@@ -265,7 +265,7 @@
             None,
             LoneGossip(),
             self.clock,
-            self._outlook,
+            self._cluster,
             self.orders,
             2.0,
             FormingSources(
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -139,7 +139,7 @@
         head, member = (
             ('a', 'b') if first.replica.head.box == 'a' else ('c', 'd')
         )
-        stage.outlook.take_fleet(
+        stage.cluster.take_fleet(
             make_fleet(*make_group('notes.9', head, member)),
             stage.clock.now + 0.1,
         )
@@ -155,7 +155,7 @@
     async def play() -> None:
         await stage.begin()
         (first,) = stage.attempts
-        stage.outlook.listen_for_ends(
+        stage.cluster.listen_for_ends(
             stage.forwarder._parts.backpressure.forget_ended
         )
         await stage.head(first, status=503, mark=REST)
@@ -241,7 +241,7 @@
         await stage.events(stream, 1)
         other = next(
             one
-            for one in stage.outlook.list_replicas('llm', 'notes')
+            for one in stage.cluster.list_replicas('llm', 'notes')
             if one != stream.replica
         )
         stage.forwarder._parts.backpressure.note(
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -20,7 +20,7 @@
 from waywell.daemon import make_loop
 from waywell.duties.lease import HOLDER_SHARE, LeaseRecord, LeaseState
 from waywell.ids import AccountName, Incarnation, NodeId
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.process.clock import SystemClock
 from waywell.process.front_settings import PromiseSettings
 from waywell.version.routes import KeyHolder, RouteTable
@@ -77,14 +77,14 @@
     suspend: Callable[[], None],
 ) -> None:
     clock = SystemClock()
-    outlook = Outlook(PromiseSettings())
+    cluster = ClusterView(PromiseSettings())
     holder = KeyHolder(AccountName('shop'))
-    outlook.take_routes(RouteTable(1, holders={KEY: holder}))
-    outlook.confirm_routes(clock.read())
-    outlook.check_keys(clock.read())
+    cluster.take_routes(RouteTable(1, holders={KEY: holder}))
+    cluster.confirm_routes(clock.read())
+    cluster.check_keys(clock.read())
     suspend()
     with pytest.raises(Refusal):
-        outlook.check_keys(clock.read())
+        cluster.check_keys(clock.read())
 
 
 def test_timers_that_fell_due_while_asleep_run_at_once(
--- a/tests/test_era_history.py
+++ b/tests/test_era_history.py
@@ -8,8 +8,8 @@
 from tests.held_clock import HeldClock
 from waywell.connection.store_era import StoreEra
 from waywell.knowledge import era_history
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.era_history import EraHistory
-from waywell.knowledge.outlook import Outlook
 from waywell.process.front_settings import PromiseSettings
 
 
@@ -20,10 +20,10 @@
         self.clock = HeldClock()
         self.is_holder = True
         self.lines: list[dict[str, object]] = []
-        self.outlook = Outlook(PromiseSettings())
-        self.outlook.fleet = make_fleet(*make_group('small.7', 'a', 'b'))
+        self.cluster = ClusterView(PromiseSettings())
+        self.cluster.fleet = make_fleet(*make_group('small.7', 'a', 'b'))
         self.history = EraHistory(
-            self.outlook, self.clock, lambda: self.is_holder, lambda: 3
+            self.cluster, self.clock, lambda: self.is_holder, lambda: 3
         )
         monkeypatch.setattr(era_history, 'log_warning', self._log)
 
@@ -37,7 +37,7 @@
 
 
 def test_the_first_era_has_no_beginning(node: Node) -> None:
-    node.outlook.eras.observe(StoreEra(4))
+    node.cluster.eras.observe(StoreEra(4))
     assert node.history.show() == {
         'store_era': 4,
         'store_era_changes': 0,
@@ -47,11 +47,11 @@
 
 
 def test_status_tells_since_when_the_era_is(node: Node) -> None:
-    node.outlook.eras.observe(StoreEra(4))
+    node.cluster.eras.observe(StoreEra(4))
     node.clock.now = 86400.5
-    node.outlook.eras.observe(StoreEra(5))
+    node.cluster.eras.observe(StoreEra(5))
     node.clock.now += 9
-    node.outlook.eras.observe(StoreEra(5))
+    node.cluster.eras.observe(StoreEra(5))
     assert node.history.show() == {
         'store_era': 5,
         'store_era_changes': 1,
@@ -70,8 +70,8 @@
     dropped: str,
 ) -> None:
     node.is_holder = is_holder
-    node.outlook.eras.observe(StoreEra(4))
-    node.outlook.eras.observe(StoreEra(5))
+    node.cluster.eras.observe(StoreEra(4))
+    node.cluster.eras.observe(StoreEra(5))
     assert node.lines == [
         {
             'event': 'store_era_changed',
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -9,8 +9,8 @@
 from tests.test_membership import make_record
 from waywell.connection.peer import FeedAnswer, FeedAsk
 from waywell.ids import HallName, NodeId
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.feed import Feed
-from waywell.knowledge.outlook import Outlook
 from waywell.knowledge.paces import make_paces
 from waywell.knowledge.readers import pick_reader
 from waywell.membership.links import PeerLinks
@@ -69,14 +69,14 @@
     def __init__(self, reads_from: float = 0.0, hall: str = HALL) -> None:
         self.clock = HeldClock()
         self.links = _Links()
-        self.outlook = Outlook(PromiseSettings())
+        self.cluster = ClusterView(PromiseSettings())
         reader = msgspec.structs.replace(
             make_record('b'), link_mbps=100, hall=HallName(hall)
         )
         self.feed = Feed(
             self.links,
             _Gossip(make_record('a'), reader),
-            self.outlook,
+            self.cluster,
             self.clock,
             ReplicaBook(),
             SharedLoads(),
@@ -107,14 +107,14 @@
     def get_ages(self) -> tuple[float, float]:
         now = self.clock.now
         return (
-            self.outlook.get_routes_age(now),
-            self.outlook.get_boxes_age(now),
+            self.cluster.get_routes_age(now),
+            self.cluster.get_boxes_age(now),
         )
 
 
 def test_ages_count_from_the_question_however_long_its_answer_took() -> None:
     bench = Bench()
-    bench.outlook.take_routes(RouteTable(7))
+    bench.cluster.take_routes(RouteTable(7))
     ask = bench.ask()
     # The answer lies in a buffer, or this process stands still.
     bench.clock.now += 3.0
@@ -124,14 +124,14 @@
 
 def test_an_answer_about_another_version_confirms_nothing() -> None:
     bench = Bench()
-    bench.outlook.take_routes(RouteTable(6))
-    bench.outlook.confirm_routes(98.0)
+    bench.cluster.take_routes(RouteTable(6))
+    bench.cluster.confirm_routes(98.0)
     bench.answer(bench.ask())
     assert bench.get_ages()[0] == 2.0
     assert bench.feed.behind_version == 7
     assert bench.ask().wants_routes
     bench.answer(bench.ask(), routes=RouteTable(7))
-    assert bench.outlook.index.table.version == 7
+    assert bench.cluster.index.table.version == 7
     assert bench.feed.behind_version == 0
 
 
@@ -141,7 +141,7 @@
     bench.clock.now += 1.0
     bench.answer(bench.ask(), boxes=(make_box('new'),))
     bench.answer(late, boxes=(make_box('old'),))
-    assert set(bench.outlook.fleet.boxes) == {'new'}
+    assert set(bench.cluster.fleet.boxes) == {'new'}
 
 
 def test_changes_are_applied_to_the_list_that_was_asked_with() -> None:
@@ -155,16 +155,16 @@
         boxes=(make_box('z'),),
         gone=('x',),
     )
-    assert set(bench.outlook.fleet.boxes) == {'y', 'z'}
+    assert set(bench.cluster.fleet.boxes) == {'y', 'z'}
     # The answerer was restarted: its changes are to a list never seen here.
     bench.clock.now += 0.3
     bench.answer(bench.ask(), run=2, is_whole=False, gone=('y',))
-    assert set(bench.outlook.fleet.boxes) == {'y', 'z'}
+    assert set(bench.cluster.fleet.boxes) == {'y', 'z'}
 
 
 def test_a_question_is_answered_once_only() -> None:
     bench = Bench()
-    bench.outlook.take_routes(RouteTable(7))
+    bench.cluster.take_routes(RouteTable(7))
     ask = bench.ask()
     bench.answer(ask)
     bench.clock.now += 2.0
@@ -174,7 +174,7 @@
 
 def test_a_node_reads_by_itself_when_its_reader_tells_old_news() -> None:
     bench = Bench()
-    bench.outlook.take_routes(RouteTable(7))
+    bench.cluster.take_routes(RouteTable(7))
     bench.answer(bench.ask(), boxes=(make_box('x'),))
     now = bench.clock.now
     assert not bench.feed.needs_routes(now)
@@ -197,17 +197,17 @@
 
 def test_a_reader_that_reaches_the_platform_asks_for_no_boxes() -> None:
     bench = Bench(hall=FAR)
-    bench.outlook.take_fleet(make_fleet(make_box('x')), bench.clock.now)
-    bench.outlook.confirm_routes(bench.clock.now)
+    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.confirm_routes(bench.clock.now)
     ask = bench.ask()
     assert not ask.wants_boxes
     bench.answer(ask, boxes=(make_box('y'),), boxes_age=0.0)
-    assert set(bench.outlook.fleet.boxes) == {'x'}
+    assert set(bench.cluster.fleet.boxes) == {'x'}
 
 
 def test_a_reader_that_is_cut_off_takes_the_boxes_of_others() -> None:
     bench = Bench(hall=FAR)
-    bench.outlook.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
     bench.clock.now += 1.5
     ask = bench.ask()
     # Ages first: only one of those that know more is asked for its list.
@@ -217,7 +217,7 @@
     (peer, fetch) = bench.links.sent[0]
     assert (peer, fetch.wants_boxes) == ('b', True)
     bench.answer(fetch, boxes=(make_box('y'),))
-    assert set(bench.outlook.fleet.boxes) == {'y'}
+    assert set(bench.cluster.fleet.boxes) == {'y'}
 
 
 def test_no_box_lists_are_asked_for_while_all_lost_the_platform() -> None:
@@ -227,11 +227,11 @@
     boxes 2.8 MB/s from seven peers, over links of 2.5 MB/s.
     """
     bench = Bench(hall=FAR)
-    bench.outlook.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
     for _ in range(10):
         bench.clock.now += 0.7
         ask = bench.ask()
-        age = bench.outlook.get_boxes_age(bench.clock.now)
+        age = bench.cluster.get_boxes_age(bench.clock.now)
         bench.answer(ask, is_whole=False, boxes_age=age - 0.6)
         asks = [message for _node, message in bench.links.sent]
         assert not any(one.wants_boxes for one in asks)
@@ -239,7 +239,7 @@
 
 def test_one_peer_is_asked_for_its_newer_list_at_a_time() -> None:
     bench = Bench(hall=FAR)
-    bench.outlook.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
     bench.clock.now += 1.5
     first = bench.ask()
     (other,) = (ask for node, ask in bench.links.sent if node == 'c')
@@ -251,7 +251,7 @@
 
 def test_only_readers_are_told_of_requests_in_flight() -> None:
     bench = Bench()
-    bench.outlook.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
     bench.clock.now += 1.5
     assert bench.ask().loads is not None
     (other,) = (ask for node, ask in bench.links.sent if node == 'c')
@@ -262,7 +262,7 @@
 
 def test_boxes_and_loads_are_told_only_to_those_who_want_them() -> None:
     bench = Bench(hall=FAR)
-    bench.outlook.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
     ask = FeedAsk(1, 0, 0, 0, hall=FAR, wants_boxes=False)
     bench.feed.on_received(PeerLinks.Received(NodeId('b'), ask))
     asked = msgspec.structs.replace(ask, wants_boxes=True)
@@ -278,24 +278,24 @@
     Each node read each version from the platform as soon as it heard of it.
     """
     bench = Bench()
-    bench.outlook.take_routes(RouteTable(6))
-    bench.outlook.confirm_routes(bench.clock.now)
+    bench.cluster.take_routes(RouteTable(6))
+    bench.cluster.confirm_routes(bench.clock.now)
     ask = bench.ask()
     assert ask.wants_routes
     bench.answer(ask, routes=RouteTable(7))
-    assert bench.outlook.index.table.version == 7
+    assert bench.cluster.index.table.version == 7
     assert not bench.feed.needs_routes(bench.clock.now)
 
 
 def test_a_node_whose_reader_sends_no_newer_routes_reads_them() -> None:
     """The reader lives and answers, and its routes are not the newest."""
     bench = Bench()
-    bench.outlook.take_routes(RouteTable(6))
-    bench.outlook.confirm_routes(bench.clock.now)
+    bench.cluster.take_routes(RouteTable(6))
+    bench.cluster.confirm_routes(bench.clock.now)
     bench.answer(bench.ask())
     assert not bench.feed.needs_routes(bench.clock.now)
     bench.clock.now += 0.8
-    bench.outlook.confirm_routes(bench.clock.now)
+    bench.cluster.confirm_routes(bench.clock.now)
     assert bench.feed.needs_routes(bench.clock.now)
     bench.answer(bench.ask(), routes=RouteTable(7))
     assert not bench.feed.needs_routes(bench.clock.now)
--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -6,12 +6,12 @@
 
 from tests.boxes import make_box, make_fleet, make_group
 from waywell.connection.platform import Changes, PlatformFault, Stored
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.fleet_watch import (
     KEEP_SECONDS,
     MEMBER_KEEP_SECONDS,
     FleetWatch,
 )
-from waywell.knowledge.outlook import Outlook
 from waywell.knowledge.paces import make_paces
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.process.front_settings import PromiseSettings
@@ -27,10 +27,10 @@
         self, *boxes: FleetBox, promises: PromiseSettings | None = None
     ) -> None:
         promises = promises or PromiseSettings()
-        self.outlook = Outlook(promises)
+        self.cluster = ClusterView(promises)
         parts = WatchParts(
             None,
-            self.outlook,
+            self.cluster,
             None,
             lambda _now: True,
             lambda: True,
@@ -47,7 +47,7 @@
         """Take in a whole list; return the boxes in force."""
         stored = tuple(Stored('box', box.box, 1, box) for box in boxes)
         self.watch.take(Changes(9, stored, complete=True), now, now)
-        return set(self.outlook.fleet.boxes)
+        return set(self.cluster.fleet.boxes)
 
 
 def test_boxes_that_lapsed_in_an_outage_are_kept_until_they_are_back() -> None:
@@ -113,7 +113,7 @@
     head, member = make_group('big.7', 'a', 'b')
     bench = Bench(head, member)
     assert bench.list(5.0, head) == {'a', 'b'}
-    assert bench.outlook.kept == {'b'}
+    assert bench.cluster.kept == {'b'}
     assert bench.list(4.9 + MEMBER_KEEP_SECONDS, head) == {'a', 'b'}
     assert bench.list(5.1 + MEMBER_KEEP_SECONDS, head) == {'a'}
 
@@ -153,7 +153,7 @@
     bench = Bench(head, member)
     bench.list(5.0, head)
     assert bench.list(6.0, head, member) == {'a', 'b'}
-    assert not bench.outlook.kept
+    assert not bench.cluster.kept
 
 
 def test_a_list_that_was_asked_for_earlier_undoes_no_later_one() -> None:
@@ -166,20 +166,20 @@
     old = msgspec.structs.replace(make_box('a'), incarnation=1)
     new = msgspec.structs.replace(make_box('a'), incarnation=2)
     bench = Bench(old)
-    bench.outlook.take_fleet(make_fleet(new), 5.3)
+    bench.cluster.take_fleet(make_fleet(new), 5.3)
     stored = (Stored('box', old.box, 1, old),)
     bench.watch.take(Changes(9, stored, complete=True), 5.0, 5.4)
-    assert bench.outlook.fleet.boxes[old.box].incarnation == 2
+    assert bench.cluster.fleet.boxes[old.box].incarnation == 2
 
 
 def test_what_an_earlier_answer_had_beyond_it_comes_with_the_next_look() -> (
     None
 ):
     bench = Bench(make_box('a'))
-    bench.outlook.take_fleet(make_fleet(make_box('a'), make_box('b')), 5.3)
+    bench.cluster.take_fleet(make_fleet(make_box('a'), make_box('b')), 5.3)
     changes = (make_box('a'), make_box('b'), make_box('c'))
     stored = tuple(Stored('box', box.box, 1, box) for box in changes)
     bench.watch.take(Changes(9, stored, complete=True), 5.0, 5.4)
-    assert set(bench.outlook.fleet.boxes) == {'a', 'b'}
+    assert set(bench.cluster.fleet.boxes) == {'a', 'b'}
     bench.watch.take(Changes(9, ()), 5.5, 5.5)
-    assert set(bench.outlook.fleet.boxes) == {'a', 'b', 'c'}
+    assert set(bench.cluster.fleet.boxes) == {'a', 'b', 'c'}
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -28,8 +28,8 @@
 from waywell.connection.http_calls import CallAnswer, HttpCalls
 from waywell.connection.platform import Changes, Kind
 from waywell.ids import BoxId
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.fleet_watch import FleetWatch
-from waywell.knowledge.outlook import Outlook
 from waywell.knowledge.paces import make_paces
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.platform.store import ObjectStore
@@ -248,11 +248,11 @@
     assert 'own' in {*list_names(changes), *changes.unreadable}
 
 
-def make_watch() -> tuple[FleetWatch, Outlook]:
-    outlook = Outlook(PromiseSettings())
+def make_watch() -> tuple[FleetWatch, ClusterView]:
+    cluster = ClusterView(PromiseSettings())
     parts = WatchParts(
         None,  # type: ignore[arg-type]
-        outlook,
+        cluster,
         HeldClock(),
         lambda _now: True,
         lambda: True,
@@ -261,29 +261,29 @@
     )
     return FleetWatch(
         parts, make_paces(PromiseSettings()), lambda: False
-    ), outlook
+    ), cluster
 
 
 @pytest.mark.parametrize('case', NAMED)
 def test_a_box_is_not_used_once_its_entry_is_foreign(
     pages: Pages, case: str
 ) -> None:
-    watch, outlook = make_watch()
+    watch, cluster = make_watch()
     pages.add_list(SOUND, encode('x', ENTRY))
     watch.take(read_list(), 100.0, 100.0)
-    assert BoxId('x') in outlook.fleet.boxes
+    assert BoxId('x') in cluster.fleet.boxes
     pages.add_events(NAMED[case])
     watch.take(read_events(), 101.0, 101.0)
-    assert set(outlook.fleet.boxes) == {'sound'}
+    assert set(cluster.fleet.boxes) == {'sound'}
     pages.add_events(encode('x', ENTRY, 13))
     watch.take(read_events(), 102.0, 102.0)
-    assert BoxId('x') in outlook.fleet.boxes
+    assert BoxId('x') in cluster.fleet.boxes
 
 
 def test_an_event_that_tells_no_name_lets_all_be_read_anew(
     pages: Pages,
 ) -> None:
-    watch, _outlook = make_watch()
+    watch, _cluster = make_watch()
     pages.add_list(SOUND)
     watch.take(read_list(), 100.0, 100.0)
     assert watch.dump()['revision'] == 9
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -191,7 +191,7 @@
         (first,) = stage.attempts
         await stage.head(first)
         await stage.events(first, 0, 1)
-        group = stage.outlook.fleet.groups[first.replica.group]
+        group = stage.cluster.fleet.groups[first.replica.group]
         await stage.restart(group.members[rank].box)
         (_first, second) = stage.attempts
         assert second.replica.group != first.replica.group
@@ -230,7 +230,7 @@
         await stage.head(first)
         others = {
             box.box
-            for box in stage.outlook.fleet.boxes.values()
+            for box in stage.cluster.fleet.boxes.values()
             if box.standing and box.standing.group != first.replica.group
         }
         await stage.restart(*others)
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -18,7 +18,7 @@
 from waywell.health.node_paths import ListedBoxes
 from waywell.health.partition import PartitionParts, PartitionWatch
 from waywell.ids import ModelName, NodeId, ServiceName
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.membership.gossip import Gossip
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import MembershipTable
@@ -43,10 +43,10 @@
     monkeypatch.setattr(partition, 'PROBE_STAGGER', 0)
 
 
-def make_outlook() -> Outlook:
+def make_cluster() -> ClusterView:
     engine = Engine(9, (EngineModel(ModelName('notes'), 2),))
-    outlook = Outlook(PromiseSettings())
-    outlook.take_routes(
+    cluster = ClusterView(PromiseSettings())
+    cluster.take_routes(
         RouteTable(1, (), (RoutedService(LLM, engine=engine),))
     )
     boxes = [
@@ -54,8 +54,8 @@
         for number, head in enumerate(HEADS)
         for box in make_group(f'notes.{number + 7}', head, f'm{number}')
     ]
-    outlook.take_fleet(make_fleet(*boxes), 0.0)
-    return outlook
+    cluster.take_fleet(make_fleet(*boxes), 0.0)
+    return cluster
 
 
 class _Gossip:
@@ -97,7 +97,7 @@
 
     def __init__(self, name: str, names: str, nodes: dict[str, Node]) -> None:
         self.clock = HeldClock()
-        self.outlook = make_outlook()
+        self.cluster = make_cluster()
         self.reached: set[str] = set(HEADS)
         self.restored = 0
         self.connections = 0
@@ -111,7 +111,7 @@
                 self.gossip,
                 self.links,
                 self.clock,
-                ListedBoxes(self.outlook),
+                ListedBoxes(self.cluster),
                 Random(1),
                 None,
                 self._connect,
@@ -122,7 +122,7 @@
     def fail(self, *heads: str) -> None:
         """Let requests fail to connect to some boxes."""
         for head in heads:
-            box = self.outlook.fleet.boxes[head]
+            box = self.cluster.fleet.boxes[head]
             self.watch.record(box, self.clock.now, is_connected=False)
 
     async def _connect(self, box: FleetBox) -> bool:
@@ -310,7 +310,7 @@
 @in_loop
 async def test_what_a_peer_reached_before_witnesses_nothing() -> None:
     nodes = make_nodes('ab')
-    for box in nodes['b'].outlook.fleet.boxes.values():
+    for box in nodes['b'].cluster.fleet.boxes.values():
         nodes['b'].watch.record(box, 10.0, is_connected=True)
     for node in nodes.values():
         node.reached.clear()
--- a/tests/test_readiness_gate.py
+++ b/tests/test_readiness_gate.py
@@ -9,7 +9,7 @@
 from waywell.codes import Code, Refusal
 from waywell.connection.peer import FeedAsk
 from waywell.ids import NodeId
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.readiness_gate import (
     LOOK_WAIT_SECONDS,
     PEERS_WAIT_SECONDS,
@@ -145,33 +145,33 @@
 
 def test_a_node_that_is_not_ready_refuses_as_one_that_starts() -> None:
     gate = ReadinessGate(is_strict=True)
-    outlook = Outlook(PromiseSettings(), gate=gate)
-    outlook.take_routes(RouteTable(1))
-    outlook.confirm_routes(NOW)
+    cluster = ClusterView(PromiseSettings(), gate=gate)
+    cluster.take_routes(RouteTable(1))
+    cluster.confirm_routes(NOW)
     with pytest.raises(Refusal) as refused:
-        outlook.check_routes(NOW)
+        cluster.check_routes(NOW)
     assert refused.value.code is Code.NODE_STARTING
     gate.update(view(), NOW)
-    outlook.check_routes(NOW)
+    cluster.check_routes(NOW)
 
 
 def test_nothing_confirms_a_version_while_a_later_one_is_known() -> None:
-    outlook = Outlook(PromiseSettings())
-    outlook.take_routes(RouteTable(1))
-    outlook.confirm_routes(NOW)
-    outlook.observe_version(2)
-    outlook.confirm_routes(NOW + 3)
-    assert outlook.get_routes_age(NOW + 3) == 3
-    assert not outlook.are_keys_fresh(NOW + 5)
-    outlook.take_routes(RouteTable(2))
-    outlook.confirm_routes(NOW + 5)
-    assert outlook.are_keys_fresh(NOW + 5)
+    cluster = ClusterView(PromiseSettings())
+    cluster.take_routes(RouteTable(1))
+    cluster.confirm_routes(NOW)
+    cluster.observe_version(2)
+    cluster.confirm_routes(NOW + 3)
+    assert cluster.get_routes_age(NOW + 3) == 3
+    assert not cluster.are_keys_fresh(NOW + 5)
+    cluster.take_routes(RouteTable(2))
+    cluster.confirm_routes(NOW + 5)
+    assert cluster.are_keys_fresh(NOW + 5)
 
 
 def test_a_new_peer_is_asked_at_once_for_the_later_routes_it_tells() -> None:
     bench = Bench()
-    bench.outlook.gate = ReadinessGate(is_strict=True)
-    bench.outlook.take_routes(RouteTable(6))
+    bench.cluster.gate = ReadinessGate(is_strict=True)
+    bench.cluster.take_routes(RouteTable(6))
     bench.feed.on_opened(PeerLinks.Opened(make_record('b')))
     (ask,) = list_asks(bench)
     assert not ask.wants_boxes
@@ -179,7 +179,7 @@
     (_ask, fetch) = list_asks(bench)
     assert fetch.wants_newer(7)
     bench.answer(fetch, is_whole=False, routes=RouteTable(7))
-    assert bench.outlook.index.table.version == 7
+    assert bench.cluster.index.table.version == 7
     assert len(list_asks(bench)) == 2
 
 
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -17,7 +17,7 @@
 from tests.test_fleet_watch import Bench as WatchBench
 from waywell.connection.store_era import StoreEra
 from waywell.ids import GroupId, Incarnation
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.restored_entries import COPY_SECONDS, REWRITE_SECONDS
 from waywell.process.front_settings import PromiseSettings
 from waywell.version.fleet import FleetBox
@@ -34,13 +34,13 @@
     """What a node knows of boxes, and which incarnations it heard to end."""
 
     def __init__(self) -> None:
-        self.outlook = Outlook(PromiseSettings())
+        self.cluster = ClusterView(PromiseSettings())
         self.ended: list[EndedLife] = []
-        self.outlook.listen_for_ends(self.ended.extend)
+        self.cluster.listen_for_ends(self.ended.extend)
 
     def list(self, now: float, *boxes: FleetBox) -> dict[str, FleetBox]:
-        self.outlook.update_fleet(make_fleet(*boxes), now, now)
-        return dict(self.outlook.fleet.boxes)
+        self.cluster.update_fleet(make_fleet(*boxes), now, now)
+        return dict(self.cluster.fleet.boxes)
 
 
 def make_restarted() -> Bench:
@@ -54,7 +54,7 @@
 
 def test_an_ended_incarnation_does_not_begin_again() -> None:
     bench = make_restarted()
-    bench.outlook.begin_recovery(3.0)
+    bench.cluster.begin_recovery(3.0)
     assert bench.list(3.1, make_run('a', 1))['a'].incarnation == 2
     # The box may be cut off from the store, until its entry lapses.
     later = 3.0 + COPY_SECONDS - 0.1
@@ -66,15 +66,15 @@
     None
 ):
     bench = make_restarted()
-    bench.outlook.begin_recovery(3.0)
-    bench.outlook.begin_recovery(9.0)
+    bench.cluster.begin_recovery(3.0)
+    bench.cluster.begin_recovery(9.0)
     later = 9.0 + COPY_SECONDS - 0.1
     assert bench.list(later, make_run('a', 1))['a'].incarnation == 2
 
 
 def test_a_box_that_restarts_after_the_return_has_a_new_incarnation() -> None:
     bench = make_restarted()
-    bench.outlook.begin_recovery(3.0)
+    bench.cluster.begin_recovery(3.0)
     bench.list(3.1, make_run('a', 1))
     assert bench.list(3.2, make_run('a', 3))['a'].incarnation == 3
     assert [one.life.incarnation for one in bench.ended] == [2]
@@ -83,7 +83,7 @@
 def test_an_ended_incarnation_of_a_box_that_is_gone_is_no_box() -> None:
     bench = make_restarted()
     bench.list(2.5)
-    bench.outlook.begin_recovery(3.0)
+    bench.cluster.begin_recovery(3.0)
     assert not bench.list(3.1, make_run('a', 1))
 
 
@@ -93,7 +93,7 @@
     leaving = msgspec.structs.replace(box, leaving=True)
     bench.list(1.0, box)
     bench.list(2.0, leaving)
-    bench.outlook.begin_recovery(3.0)
+    bench.cluster.begin_recovery(3.0)
     assert bench.list(3.1, box)['a'].leaving
     assert bench.list(5.0, leaving)['a'].leaving
     # The next run of the box is another one.
@@ -104,7 +104,7 @@
     bench = Bench()
     leaving = msgspec.structs.replace(make_run('b', 1), leaving=True)
     bench.list(1.0, make_run('a', 1), leaving)
-    bench.outlook.begin_recovery(3.0)
+    bench.cluster.begin_recovery(3.0)
     assert set(bench.list(3.1, make_run('c', 1))) == {'a', 'c'}
     later = 3.0 + REWRITE_SECONDS
     assert set(bench.list(later, make_run('c', 1))) == {'c'}
@@ -117,9 +117,9 @@
     head = msgspec.structs.replace(head, entry_number=4)
     bench.list(1.0, joining, member)
     bench.list(2.0, head, member)
-    bench.outlook.begin_recovery(3.0)
+    bench.cluster.begin_recovery(3.0)
     assert bench.list(3.1, joining, member)['a'].standing == head.standing
-    assert not bench.outlook.lives.has_group_ended(GroupId('small.7'))
+    assert not bench.cluster.lives.has_group_ended(GroupId('small.7'))
     # The box has left its group since, and says so.
     left = msgspec.structs.replace(joining, entry_number=5)
     assert bench.list(3.2, left, member)['a'].standing is None
@@ -127,18 +127,18 @@
 
 def test_a_watch_tells_which_boxes_the_store_does_not_list() -> None:
     bench = WatchBench(make_box('a'), make_box('b'))
-    bench.outlook.begin_recovery(3.0)
+    bench.cluster.begin_recovery(3.0)
     assert bench.list(3.1, make_box('a')) == {'a', 'b'}
-    assert bench.outlook.kept == {'b'}
+    assert bench.cluster.kept == {'b'}
     assert bench.list(3.5, make_box('a'), make_box('b')) == {'a', 'b'}
-    assert not bench.outlook.kept
+    assert not bench.cluster.kept
 
 
 def test_a_node_that_is_told_by_another_one_holds_what_it_knows() -> None:
     bench = FeedBench()
-    bench.outlook.eras.observe(StoreEra(1))
-    bench.outlook.eras.listen(
-        lambda _change: bench.outlook.begin_recovery(bench.clock.now)
+    bench.cluster.eras.observe(StoreEra(1))
+    bench.cluster.eras.listen(
+        lambda _change: bench.cluster.begin_recovery(bench.clock.now)
     )
     for run in (1, 2):
         bench.clock.now += 1.0
@@ -146,4 +146,4 @@
     bench.clock.now += 1.0
     # The reader has started since, and knows of no second run.
     bench.answer(bench.ask(), boxes=(make_run('a', 1),), era=StoreEra(2))
-    assert bench.outlook.fleet.boxes['a'].incarnation == 2
+    assert bench.cluster.fleet.boxes['a'].incarnation == 2
--- a/tests/test_restored_machine.py
+++ b/tests/test_restored_machine.py
@@ -19,7 +19,7 @@
 from waywell.connection.platform import Changes, Kind, PlatformFault, Stored
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.ids import BoxId, Incarnation
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.knowledge.restored_entries import REWRITE_SECONDS
 from waywell.knowledge.route_watch import RouteWatch
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.outlook = Outlook(PromiseSettings())
+        self.cluster = ClusterView(PromiseSettings())
         self.boxes: Entries = {}
         self.entries: Entries = {}
         self.copies = [_Copy(self.now, {})]
@@ -114,7 +114,7 @@
         if kept:
             self.copies = kept[: max(1, len(kept) - back + 1)]
             self.entries = dict(self.copies[-1].entries)
-            self.outlook.begin_recovery(self.now)
+            self.cluster.begin_recovery(self.now)
             self.rewrite_at = self.now + REWRITE_SECONDS
         if looks:
             self.look()
@@ -122,10 +122,10 @@
     @rule()
     def look(self) -> None:
         self.now += 0.001
-        self.outlook.update_fleet(
+        self.cluster.update_fleet(
             make_fleet(*self.entries.values()), self.now, self.now
         )
-        listed = self.outlook.fleet.boxes
+        listed = self.cluster.fleet.boxes
         for name in listed.keys() - self.entries.keys():
             assert not listed[name].leaving, 'a box that left is held'
 
@@ -135,11 +135,11 @@
         self._write_all()
         self.now += REWRITE_SECONDS
         self.look()
-        assert self.outlook.fleet.boxes == self.boxes
+        assert self.cluster.fleet.boxes == self.boxes
 
     @invariant()
     def nothing_known_of_a_box_goes_back(self) -> None:
-        for name, box in self.outlook.fleet.boxes.items():
+        for name, box in self.cluster.fleet.boxes.items():
             shown = (box.incarnation, box.entry_number, box.leaving)
             before = self.shown.get(name, shown)
             assert shown[0] >= before[0], 'an ended incarnation is back'
@@ -151,7 +151,7 @@
     @invariant()
     def boxes_that_live_stay(self) -> None:
         for name in self.shown.keys() & self.boxes.keys():
-            is_listed = name in self.outlook.fleet.boxes
+            is_listed = name in self.cluster.fleet.boxes
             assert is_listed or self.shown[name][2]
 
     def _copy(self) -> None:
@@ -230,14 +230,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.clock = HeldClock()
-        self.outlook = Outlook(PromiseSettings())
-        self.store = RouteStore(self.outlook.eras)
+        self.cluster = ClusterView(PromiseSettings())
+        self.store = RouteStore(self.cluster.eras)
         self.latest = 1
         self.copies = [self.store.content]
         self.in_force = 0
         parts = WatchParts(
             self.store,  # type: ignore[arg-type]
-            self.outlook,
+            self.cluster,
             self.clock,
             lambda _now: True,
             lambda: True,
@@ -273,7 +273,7 @@
 
     @rule()
     def hear_of_the_era(self) -> None:
-        self.outlook.eras.observe_peer(self.store.era)
+        self.cluster.eras.observe_peer(self.store.era)
 
     @rule()
     def look(self) -> None:
@@ -284,8 +284,8 @@
             self.watch.take_fault(answer.failure(), asked_at)
             return
         self.watch.take(answer.unwrap(), asked_at, asked_at)
-        if self.outlook.get_routes_age(asked_at) <= 0:
-            version = self.outlook.index.table.version
+        if self.cluster.get_routes_age(asked_at) <= 0:
+            version = self.cluster.index.table.version
             assert version == self.store.answered_version
 
     @rule(back=st.integers(1, 3))
@@ -304,12 +304,12 @@
         self.write_again()
         self.look()
         self.look()
-        assert self.outlook.index.table.version == self.latest
-        assert self.outlook.get_routes_age(self.clock.now) <= 0
+        assert self.cluster.index.table.version == self.latest
+        assert self.cluster.get_routes_age(self.clock.now) <= 0
 
     @invariant()
     def no_version_goes_back(self) -> None:
-        version = self.outlook.index.table.version
+        version = self.cluster.index.table.version
         assert version >= self.in_force
         self.in_force = version
 
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -19,7 +19,7 @@
 from waywell.connection.platform import Changes, Kind, PlatformFault, Stored
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.ids import Fingerprint
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.membership.membership import MembershipTable
 from waywell.membership.presence import Presence
@@ -61,7 +61,7 @@
 def make_records(
     store: Store,
     held: dict[Fingerprint, Hold],
-    outlook: Outlook | None = None,
+    cluster: ClusterView | None = None,
 ) -> HeldRecords:
     """Return what writes the records of requests that are held back."""
     quarantine = SimpleNamespace(
@@ -71,7 +71,7 @@
     )
     parts = WatchParts(
         store,  # type: ignore[arg-type]
-        outlook or Outlook(PromiseSettings()),
+        cluster or ClusterView(PromiseSettings()),
         HeldClock(),
         lambda _now: True,
         lambda: True,
@@ -103,13 +103,13 @@
 @in_loop
 async def test_a_record_of_a_crashing_request_is_written_again() -> None:
     store = Store()
-    outlook = Outlook(PromiseSettings())
-    outlook.eras.observe(StoreEra(1))
+    cluster = ClusterView(PromiseSettings())
+    cluster.eras.observe(StoreEra(1))
     hold = Hold(CRASHES_HELD, HeldClock.now)
-    records = make_records(store, {Fingerprint('f'): hold}, outlook)
+    records = make_records(store, {Fingerprint('f'): hold}, cluster)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
     await wait_until(lambda: 'f' in store.objects)
-    come_back(store, outlook.eras)
+    come_back(store, cluster.eras)
     await wait_until(lambda: 'f' in store.objects)
     await records.stop()
 
--- a/tests/test_watch_eras.py
+++ b/tests/test_watch_eras.py
@@ -15,7 +15,7 @@
 from tests.held_clock import HeldClock
 from waywell.connection.platform import Changes, Kind, PlatformFault, Stored
 from waywell.connection.store_era import StoreEra
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.knowledge.route_watch import RouteWatch
 from waywell.process.front_settings import PromiseSettings
@@ -53,11 +53,11 @@
     def __init__(self) -> None:
         self.store = Store()
         self.clock = HeldClock()
-        self.outlook = Outlook(PromiseSettings())
-        self.outlook.eras.observe(StoreEra(1))
+        self.cluster = ClusterView(PromiseSettings())
+        self.cluster.eras.observe(StoreEra(1))
         parts = WatchParts(
             self.store,  # type: ignore[arg-type]
-            self.outlook,
+            self.cluster,
             self.clock,
             lambda _now: True,
             lambda: True,
@@ -75,12 +75,12 @@
         return answer
 
     def go_back(self) -> None:
-        self.outlook.eras.observe(
-            StoreEra(max(0, self.outlook.eras.current) + 1)
+        self.cluster.eras.observe(
+            StoreEra(max(0, self.cluster.eras.current) + 1)
         )
 
     def get_age(self) -> float:
-        return self.outlook.get_routes_age(self.clock.now)
+        return self.cluster.get_routes_age(self.clock.now)
 
 
 def test_no_watch_goes_on_from_a_revision_of_a_former_era() -> None:
@@ -112,7 +112,7 @@
     bench.clock.now += 1
     bench.look()
     bench.look()
-    assert bench.outlook.index.table.version == 5
+    assert bench.cluster.index.table.version == 5
     assert bench.get_age() == 1
     # The operators write it again.
     bench.watch.forget_revision()
--- a/waywell/duties/box_survey.py
+++ b/waywell/duties/box_survey.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
     from waywell.ids import GroupId
-    from waywell.knowledge.outlook import Outlook
+    from waywell.knowledge.cluster_view import ClusterView
     from waywell.version.fleet import FleetGroup
     from waywell.version.forming_memory import FormingMemory
 
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    outlook
+    cluster
         Where the box list is.
     begin
         Begins to ask a box; its answer is taken in later.
@@ -50,12 +50,12 @@
 
     def __init__(
         self,
-        outlook: Outlook,
+        cluster: ClusterView,
         begin: Callable[[FleetBox], None],
         count_requests: Callable[[BoxLife], int],
     ) -> None:
         """Ask nobody yet."""
-        self._outlook = outlook
+        self._cluster = cluster
         self._begin = begin
         self._count_requests = count_requests
         self._asking: set[BoxLife] = set()
@@ -121,7 +121,7 @@
         for troubled in (memory.lost, self._unreached):
             for box in self._list_due(troubled, now):
                 self.ask(box)
-        fleet = self._outlook.fleet
+        fleet = self._cluster.fleet
         for told in tuple(memory.reports):
             known = fleet.find_life(told)
             if known is None:
@@ -131,8 +131,8 @@
 
     def ask_kept(self, memory: FormingMemory, now: float) -> None:
         """Ask boxes whose entries have gone whether they live."""
-        for name in self._outlook.kept:
-            box = self._outlook.fleet.boxes.get(name)
+        for name in self._cluster.kept:
+            box = self._cluster.fleet.boxes.get(name)
             if box is not None and box.life not in memory.lost:
                 self._ask_again(memory, box, now)
 
@@ -146,7 +146,7 @@
         if standing is None:
             return False
         doubted_at = self._doubted_at.get(standing.group, -math.inf)
-        group = self._outlook.fleet.groups.get(standing.group)
+        group = self._cluster.fleet.groups.get(standing.group)
         head = group.head if group else None
         if head is None:
             return False
@@ -174,7 +174,7 @@
         """Return the boxes to ask again; forget those that are gone."""
         due = []
         for life, asked_at in tuple(troubled.items()):
-            box = self._outlook.fleet.find_life(life)
+            box = self._cluster.fleet.find_life(life)
             if box is None:
                 troubled.pop(life)
             elif now - asked_at > ASK_AGAIN_SECONDS or self._is_doubted(box):
@@ -240,7 +240,7 @@
         moment, the holder knew 9 at the most after 2 s (one day's log).
         """
         silent = memory.lost.keys() | self._unreached.keys()
-        for other in self._outlook.fleet.boxes.values():
+        for other in self._cluster.fleet.boxes.values():
             is_mate = other.domain == box.domain
             is_mate = is_mate and other.service == box.service
             if is_mate and other.life not in silent:
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from waywell.connection.box_orders import BoxOrders
     from waywell.connection.platform import Platform
-    from waywell.knowledge.outlook import Outlook
+    from waywell.knowledge.cluster_view import ClusterView
     from waywell.membership.gossip import Gossip
     from waywell.membership.membership import NodeRecord
     from waywell.process.clock import Clock
@@ -88,7 +88,7 @@
         Membership.
     clock
         Where the time is read.
-    outlook
+    cluster
         Routes and boxes in force.
     orders
         Calls to boxes.
@@ -157,16 +157,16 @@
         platform: Platform,
         gossip: Gossip,
         clock: Clock,
-        outlook: Outlook,
+        cluster: ClusterView,
         orders: BoxOrders,
         term: float,
         sources: FormingSources,
     ) -> None:
         """Start without the lease."""
         super().__init__(
-            'forming', platform, gossip, clock, term, outlook.eras
+            'forming', platform, gossip, clock, term, cluster.eras
         )
-        self._outlook = outlook
+        self._cluster = cluster
         self._links = sources.links
         self._orders = orders
         self._read_demand = sources.read_demand
@@ -174,7 +174,7 @@
         self._summaries: dict[ServiceName, FormingSummary] = {}
         self.loads = LoadHistory()
         self._survey = BoxSurvey(
-            outlook, self._begin_probe, sources.count_requests
+            cluster, self._begin_probe, sources.count_requests
         )
         self._box_count = 0
         self._counted_at = 0.0
@@ -190,7 +190,7 @@
         """Answer whether this node reaches the boxes that form groups."""
         return not any(
             self._links.is_partitioned(name)
-            for name, _engine in self._outlook.index.list_engines()
+            for name, _engine in self._cluster.index.list_engines()
         )
 
     def find_least_epoch(self) -> int:
@@ -198,7 +198,7 @@
 
         Where the lease was written over, nothing else tells it.
         """
-        return self._outlook.fleet.find_latest_epoch() // EPOCHS_A_TERM
+        return self._cluster.fleet.find_latest_epoch() // EPOCHS_A_TERM
 
     async def take_up(self) -> None:
         """Forget what an earlier term knew; begin to plan."""
@@ -218,7 +218,7 @@
             return
         if not self.may_hold():
             return
-        for name, engine in self._outlook.index.list_engines():
+        for name, engine in self._cluster.index.list_engines():
             memory = self._get_memory(name)
             self._survey.ask_troubled(memory, now)
             self._survey.ask_kept(memory, now)
@@ -227,7 +227,7 @@
                 engine,
                 self._list_present(name, memory),
                 self._read_demand(now),
-                self._outlook.kept,
+                self._cluster.kept,
             )
             planner = FormingPlanner(view, memory, now)
             self._send(planner.plan())
@@ -259,7 +259,7 @@
 
     def on_doubted(self, doubted: Doubted) -> None:
         """Ask the members of a doubted group for a sign of life."""
-        group = self._outlook.fleet.groups.get(doubted.group)
+        group = self._cluster.fleet.groups.get(doubted.group)
         if not self.is_held() or group is None:
             return
         self._survey.note_doubt(group, self.clock.read())
@@ -301,7 +301,7 @@
         return Fleet(
             {
                 name: box
-                for name, box in self._outlook.fleet.boxes.items()
+                for name, box in self._cluster.fleet.boxes.items()
                 if box.service == service and box.life not in memory.lost
             },
         )
@@ -320,13 +320,13 @@
 
     def _may_plan(self, now: float) -> bool:
         """Answer whether the box list is new enough and has settled."""
-        count = len(self._outlook.fleet.boxes)
+        count = len(self._cluster.fleet.boxes)
         if count != self._box_count:
             self._box_count = count
             self._counted_at = now
-        if self._outlook.get_boxes_age(now) > OLDEST_LIST:
+        if self._cluster.get_boxes_age(now) > OLDEST_LIST:
             return False
-        if any(box.standing for box in self._outlook.fleet.boxes.values()):
+        if any(box.standing for box in self._cluster.fleet.boxes.values()):
             return True
         return now - self._counted_at >= SETTLE_SECONDS
 
@@ -335,8 +335,8 @@
         if memory is None:
             memory = FormingMemory(
                 next_epoch=self.epoch * EPOCHS_A_TERM + 1,
-                last_models=self._outlook.last_models,
-                lives=self._outlook.lives,
+                last_models=self._cluster.last_models,
+                lives=self._cluster.lives,
                 load_failures=self.loads.get(service),
             )
             self._memories[service] = memory
@@ -404,7 +404,7 @@
     async def _give(self, assignment: Assignment, epoch: int) -> None:
         if not self._is_of_this_term(epoch):
             return
-        if self._outlook.fleet.has_restarted(assignment.box):
+        if self._cluster.fleet.has_restarted(assignment.box):
             log_order(assignment, OrderResult.ENDED)
             self.post(self.Ordered(assignment, OrderResult.ENDED, epoch))
             return
--- a/waywell/experiment/call.py
+++ b/waywell/experiment/call.py
@@ -16,7 +16,7 @@
 from waywell.experiment.tally import Ending, Tally
 from waywell.experiment.timeline import Timeline
 from waywell.ids import ModelName
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.request.ask import Ask
 from waywell.request.hedge_timeouts import (
     HedgeTimeouts,
@@ -43,7 +43,7 @@
     timeline: Timeline
     """Events of the model."""
 
-    outlook: Outlook
+    cluster: ClusterView
     """Box list that the nodes see."""
 
     fleet_model: SimulatedBoxes
@@ -191,7 +191,7 @@
         parts = self.parts
         model = ModelName(self.arrival.kind.model)
         return self.node.chooser.choose(
-            parts.outlook.list_replicas(SERVICE, model),
+            parts.cluster.list_replicas(SERVICE, model),
             self._tried,
             self.node.book,
             parts.timeline.now,
@@ -306,7 +306,7 @@
             return
         running = fleet_model.find_running(key)
         if running is None:
-            self._call.parts.outlook.doubt(self._replica)
+            self._call.parts.cluster.doubt(self._replica)
             self._call.on_rejected(self)
         elif running.engine.submit(self._work):
             self._engine = running.engine
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -24,7 +24,7 @@
     from waywell.experiment.simulated_boxes import SimulatedBoxes
     from waywell.experiment.timeline import Timeline
     from waywell.ids import GroupId, ModelName
-    from waywell.knowledge.outlook import Outlook
+    from waywell.knowledge.cluster_view import ClusterView
     from waywell.version.box_report import BoxReport
     from waywell.version.fleet import BoxLife, FleetBox, Replica
     from waywell.version.routes import Engine
@@ -37,7 +37,7 @@
     ----------
     engine
         Engines of the service.
-    outlook
+    cluster
         The box list that the holder sees.
     fleet_model
         The boxes.
@@ -52,7 +52,7 @@
     def __init__(
         self,
         engine: Engine,
-        outlook: Outlook,
+        cluster: ClusterView,
         fleet_model: SimulatedBoxes,
         node: Node,
         timeline: Timeline,
@@ -61,7 +61,7 @@
         """Plan nothing yet."""
         self.measures_demand = True
         self._engine = engine
-        self._outlook = outlook
+        self._cluster = cluster
         self._fleet_model = fleet_model
         self._node = node
         self._timeline = timeline
@@ -69,11 +69,11 @@
         self._gauge = DemandGauge()
         self._memory = FormingMemory(
             next_epoch=EPOCHS_A_TERM + 1,
-            last_models=outlook.last_models,
-            lives=outlook.lives,
+            last_models=cluster.last_models,
+            lives=cluster.lives,
         )
         self._survey = BoxSurvey(
-            outlook, self._begin_probe, self._count_requests
+            cluster, self._begin_probe, self._count_requests
         )
 
     def start(self) -> None:
@@ -87,7 +87,7 @@
         )
 
     def _record_suspicion(self, replica: Replica) -> None:
-        group = self._outlook.fleet.groups.get(replica.group)
+        group = self._cluster.fleet.groups.get(replica.group)
         if group is not None:
             self._survey.note_doubt(group, self._timeline.now)
 
@@ -109,7 +109,7 @@
 
     def _list_present(self) -> Fleet:
         """Return the listed boxes that give signs of life."""
-        boxes = self._outlook.fleet.boxes
+        boxes = self._cluster.fleet.boxes
         lost = self._memory.lost
         return Fleet(
             {name: box for name, box in boxes.items() if box.life not in lost},
@@ -118,7 +118,7 @@
     def _read_demand(self) -> Mapping[ModelName, float]:
         loads = self._node.loads.add_up()
         loads.update(self._node.book.list_loads())
-        in_flight = count_by_model(loads, self._outlook.fleet)
+        in_flight = count_by_model(loads, self._cluster.fleet)
         means = self._gauge.observe(in_flight, self._timeline.now)
         return means if self.measures_demand else {}
 
@@ -175,7 +175,7 @@
             self._give(join)
 
     def _give(self, assignment: Assignment) -> None:
-        if self._outlook.fleet.has_restarted(assignment.box):
+        if self._cluster.fleet.has_restarted(assignment.box):
             self._record_result(assignment, OrderResult.ENDED)
             return
         self._timeline.schedule_in(
--- a/waywell/experiment/play.py
+++ b/waywell/experiment/play.py
@@ -21,7 +21,7 @@
 from waywell.experiment.tally import Tally
 from waywell.experiment.timeline import Timeline
 from waywell.ids import BoxId, DomainName, HallName, ModelName, NodeId
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.process.front_settings import MS, PromiseSettings
 from waywell.request.placement import Chooser
 from waywell.request.resend_budget import ResendBudget, ResendLimits
@@ -75,13 +75,13 @@
         self.calls: list[Call] = []
         self._load = load
         stall = load.platform.stall_seconds / MS
-        self._outlook = Outlook(PromiseSettings(stalled_within_ms=stall))
+        self._cluster = ClusterView(PromiseSettings(stalled_within_ms=stall))
         engine = make_engine(load)
-        self._outlook.take_routes(_make_routes(load, engine))
+        self._cluster.take_routes(_make_routes(load, engine))
         nodes = self._make_nodes(policy, seed)
         holder = FormingHolder(
             engine,
-            self._outlook,
+            self._cluster,
             self.fleet_model,
             nodes[0],
             self.timeline,
@@ -90,7 +90,7 @@
         holder.measures_demand = policy.measures_demand
         self.parts = CallParts(
             self.timeline,
-            self._outlook,
+            self._cluster,
             self.fleet_model,
             holder,
             engine,
@@ -139,13 +139,13 @@
 
     def _list_boxes(self) -> None:
         now = self.timeline.now
-        self._outlook.update_fleet(self.fleet_model.list_entries(), now, now)
+        self._cluster.update_fleet(self.fleet_model.list_entries(), now, now)
 
     def _share_loads(self) -> None:
         share_loads(self.parts.nodes, self.timeline.now)
 
     def _forget_replicas(self) -> None:
-        keys = self._outlook.list_keys()
+        keys = self._cluster.list_keys()
         for node in self.parts.nodes:
             node.book.forget_others(keys)
 
--- a/waywell/health/node_paths.py
+++ b/waywell/health/node_paths.py
@@ -19,7 +19,7 @@
     from random import Random
 
     from waywell.ids import BoxId, ServiceName
-    from waywell.knowledge.outlook import Outlook
+    from waywell.knowledge.cluster_view import ClusterView
     from waywell.membership.gossip import Gossip
     from waywell.membership.links import PeerLinks
     from waywell.process.clock import Clock
@@ -42,32 +42,32 @@
 
     Parameters
     ----------
-    outlook
+    cluster
         Routes and boxes in force.
     """
 
-    def __init__(self, outlook: Outlook) -> None:
+    def __init__(self, cluster: ClusterView) -> None:
         """Keep where they are read."""
-        self._outlook = outlook
+        self._cluster = cluster
 
     def find_box(self, box: BoxId) -> FleetBox | None:
         """Return a box of the list."""
-        return self._outlook.fleet.boxes.get(box)
+        return self._cluster.fleet.boxes.get(box)
 
     def list_boxes(self, service: ServiceName) -> list[FleetBox]:
         """Return the boxes that take requests; all where none does yet."""
-        outlook = self._outlook
-        known = outlook.index.find_service(service)
+        cluster = self._cluster
+        known = cluster.index.find_service(service)
         models = known.engine.models if known and known.engine else ()
         names = [model.name for model in models] or [ModelName('')]
         heads = [
             replica.head
             for name in names
-            for replica in outlook.list_replicas(service, name)
+            for replica in cluster.list_replicas(service, name)
         ]
         return heads or [
             box
-            for box in outlook.fleet.boxes.values()
+            for box in cluster.fleet.boxes.values()
             if box.service == service and not box.leaving
         ]
 
--- a/waywell/knowledge/outlook.py
+++ b/waywell/knowledge/cluster_view.py
@@ -40,7 +40,7 @@
 """Advice to callers while the routes are not confirmed."""
 
 
-class Outlook:
+class ClusterView:
     """Routes and boxes in force at this node.
 
     Everything is replaced whole by its owner, so that the request path reads
@@ -297,9 +297,9 @@
         )
 
 
-def make_started_outlook(
+def make_gated_cluster_view(
     promises: PromiseSettings,
     eras: EraTracker,
-) -> Outlook:
-    """Return the outlook of a node that has not heard from its peers yet."""
-    return Outlook(promises, eras, ReadinessGate(promises.keys_strict))
+) -> ClusterView:
+    """Return the cluster view of a node whose readiness gate may be closed."""
+    return ClusterView(promises, eras, ReadinessGate(promises.keys_strict))
--- a/waywell/knowledge/era_history.py
+++ b/waywell/knowledge/era_history.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from waywell.connection.store_era import EraChange
-    from waywell.knowledge.outlook import Outlook
+    from waywell.knowledge.cluster_view import ClusterView
     from waywell.process.clock import Clock
 
 
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    outlook
+    cluster
         Routes and boxes in force, and the era.
     clock
         Where the time is read.
@@ -32,25 +32,25 @@
 
     def __init__(
         self,
-        outlook: Outlook,
+        cluster: ClusterView,
         clock: Clock,
         is_holder: Callable[[], bool],
         count_held: Callable[[], int],
     ) -> None:
         """Listen to changes of the era."""
-        self._outlook = outlook
+        self._cluster = cluster
         self._clock = clock
         self._is_holder = is_holder
         self._count_held = count_held
         self._changed_at: float | None = None
-        outlook.eras.listen(self._record)
+        cluster.eras.listen(self._record)
 
     def show(self) -> dict[str, int | str | None]:
         """Return the era and since when, as plain values.
 
         The time is ``None`` where this node saw no change of the era.
         """
-        eras = self._outlook.eras
+        eras = self._cluster.eras
         return {
             'store_era': eras.current,
             'store_era_changes': eras.changes,
@@ -63,7 +63,7 @@
         dropped = ['revisions']
         if self._is_holder():
             dropped.append('lease_term')
-        fleet = self._outlook.fleet
+        fleet = self._cluster.fleet
         log_warning(
             'store_era_changed',
             former=change.former,
@@ -71,7 +71,7 @@
             dropped=','.join(dropped),
             boxes_kept=len(fleet.boxes),
             groups_kept=len(fleet.groups),
-            routes_kept=self._outlook.index.table.version,
+            routes_kept=self._cluster.index.table.version,
             holds_kept=self._count_held(),
         )
 
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from waywell.knowledge.outlook import Outlook
+    from waywell.knowledge.cluster_view import ClusterView
     from waywell.knowledge.paces import Paces
     from waywell.membership.gossip import Gossip
     from waywell.process.clock import Clock
@@ -82,7 +82,7 @@
         Streams to other nodes.
     gossip
         Membership.
-    outlook
+    cluster
         What this node knows.
     clock
         Where the time is read.
@@ -103,7 +103,7 @@
         self,
         links: PeerLinks,
         gossip: Gossip,
-        outlook: Outlook,
+        cluster: ClusterView,
         clock: Clock,
         book: ReplicaBook,
         loads: SharedLoads,
@@ -114,7 +114,7 @@
         super().__init__('feed')
         self._links = links
         self._gossip = gossip
-        self._outlook = outlook
+        self._cluster = cluster
         self._clock = clock
         self._book = book
         self._loads = loads
@@ -182,13 +182,13 @@
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
         """Ask a new peer for its version, before this node is ready."""
-        if not self._outlook.gate.is_open:
+        if not self._cluster.gate.is_open:
             now = self._clock.read()
             self._ask(opened.record.node, now, wants_boxes=False)
 
     def on_received(self, received: PeerLinks.Received) -> None:
         """Answer a question, or take in an answer."""
-        self._outlook.eras.observe_peer(received.message.era)
+        self._cluster.eras.observe_peer(received.message.era)
         if isinstance(received.message, FeedAsk):
             self._answer(received.node, received.message)
         else:
@@ -200,7 +200,7 @@
             **super().dump(),
             'reader': self._readers.own,
             'followed': self._followed,
-            'serial': self._outlook.fleet_serial,
+            'serial': self._cluster.fleet_serial,
         }
 
     def _ask_everyone_else(self, asked: set[NodeId], now: float) -> None:
@@ -215,11 +215,11 @@
 
     def _are_routes_old(self, now: float) -> bool:
         """Answer whether the routes were not confirmed for too long."""
-        return self._outlook.get_routes_age(now) > self._paces.route_fed
+        return self._cluster.get_routes_age(now) > self._paces.route_fed
 
     def _are_boxes_old(self, now: float) -> bool:
         """Answer whether the box list was not confirmed for too long."""
-        return self._outlook.get_boxes_age(now) > self._paces.box_fed
+        return self._cluster.get_boxes_age(now) > self._paces.box_fed
 
     def _list_loads(self) -> tuple[BoxLoad, ...]:
         """Return the requests in flight that this node tells others of.
@@ -250,21 +250,21 @@
             self._asked.popitem(last=False)
         ask = FeedAsk(
             self._serial,
-            self._outlook.index.table.version,
+            self._cluster.index.table.version,
             base.run,
             base.serial,
             wants_routes=self.behind_version > 0 or follows,
             hall=self._own.hall,
             loads=loads,
             wants_boxes=wants_boxes,
-            era=self._outlook.eras.current,
+            era=self._cluster.eras.current,
         )
         self._links.send(peer, ask)
 
     def _answer(self, peer: NodeId, ask: FeedAsk) -> None:
         now = self._clock.read()
         self._take_loads(peer, ask, now)
-        self._lists.remember(self._outlook.fleet, self._outlook.fleet_serial)
+        self._lists.remember(self._cluster.fleet, self._cluster.fleet_serial)
         self._links.send(peer, self._make_answer(peer, ask, now))
 
     def _make_answer(
@@ -274,17 +274,17 @@
         now: float,
     ) -> FeedAnswer:
         """Return what is known here, as changes where the peer can follow."""
-        table = self._outlook.index.table
+        table = self._cluster.index.table
         answer = FeedAnswer(
             ask=ask.ask,
             version=table.version,
-            routes_age=_bound(self._outlook.get_routes_age(now)),
+            routes_age=_bound(self._cluster.get_routes_age(now)),
             run=self._incarnation,
-            serial=self._outlook.fleet_serial,
-            boxes_age=_bound(self._outlook.get_boxes_age(now)),
+            serial=self._cluster.fleet_serial,
+            boxes_age=_bound(self._cluster.get_boxes_age(now)),
             is_whole=False,
             routes=table if ask.wants_newer(table.version) else None,
-            era=self._outlook.eras.current,
+            era=self._cluster.eras.current,
         )
         if ask.wants_boxes:
             return self._add_boxes(answer, peer, ask)
@@ -340,7 +340,7 @@
         One peer at each tick: any list that is newer is as good.
         """
         now = self._clock.read()
-        newer = self._outlook.get_boxes_age(now) - answer.boxes_age
+        newer = self._cluster.get_boxes_age(now) - answer.boxes_age
         if self._may_fetch and newer > self._paces.told_apart:
             self._may_fetch = False
             self._ask(peer, now, wants_boxes=True)
@@ -352,18 +352,18 @@
         asked_at: float,
     ) -> None:
         if answer.routes is not None:
-            self._outlook.take_routes(answer.routes)
-        self._outlook.observe_version(answer.version)
-        own = self._outlook.index.table.version
+            self._cluster.take_routes(answer.routes)
+        self._cluster.observe_version(answer.version)
+        own = self._cluster.index.table.version
         if answer.version > own:
             self._note_behind(peer, answer.version)
         elif own >= self.behind_version:
             self.behind_version = 0
         if answer.version == own and own:
-            self._outlook.confirm_routes(asked_at - answer.routes_age)
+            self._cluster.confirm_routes(asked_at - answer.routes_age)
         record = self._gossip.table.find(peer)
         is_ready = record is not None and record.configuration > 0
-        self._outlook.gate.record_answer(peer, is_ready=is_ready)
+        self._cluster.gate.record_answer(peer, is_ready=is_ready)
 
     def _note_behind(self, peer: NodeId, version: int) -> None:
         """Record a later version; before this node is ready, ask for it."""
@@ -372,7 +372,7 @@
             self._behind_since = now
         is_news = version > self.behind_version
         self.behind_version = version
-        if is_news and not self._outlook.gate.is_open:
+        if is_news and not self._cluster.gate.is_open:
             self._ask(peer, now, wants_boxes=False)
 
     def _take_boxes(
@@ -390,7 +390,7 @@
             fleet = _apply(base.fleet, answer)
         self._followed = _Followed(peer, answer.run, answer.serial, fleet)
         seen_at = asked.at - answer.boxes_age
-        self._outlook.update_fleet(fleet, seen_at, self._clock.read())
+        self._cluster.update_fleet(fleet, seen_at, self._clock.read())
 
 
 def _apply(base: Fleet, answer: FeedAnswer) -> Fleet:
--- a/waywell/knowledge/fleet_watch.py
+++ b/waywell/knowledge/fleet_watch.py
@@ -62,7 +62,7 @@
         # The list must be confirmed as often as it is asked for.
         scope = WatchScope('boxes', Kind.BOX, wait=pace, pace=pace)
         super().__init__('fleet', scope, parts)
-        self._outlook = parts.outlook
+        self._cluster = parts.cluster
         self._listed: dict[BoxId, FleetBox] = {}
         self._kept: dict[BoxId, float] = {}
         self._is_away = False
@@ -75,7 +75,7 @@
             **super().dump(),
             'boxes': len(self._listed),
             'kept': sorted(self._kept),
-            'age_seconds': self._outlook.get_boxes_age(now),
+            'age_seconds': self._cluster.get_boxes_age(now),
         }
 
     def get_pace(self) -> float:
@@ -106,14 +106,14 @@
         self._keep_vanished(listed, set(changes.unreadable), now)
         self._drop_kept(listed, now)
         self._listed = listed
-        known = self._outlook.fleet.boxes
+        known = self._cluster.fleet.boxes
         kept = {name: known[name] for name in self._kept if name in known}
         boxes = {**kept, **listed}
         # A reader's later list may have come first: what this answer has
         # beyond that list is taken with the next look.
-        is_new = self._outlook.update_fleet(Fleet(boxes), asked_at, now)
-        in_force = self._outlook.fleet.boxes
-        self._outlook.kept = frozenset(in_force.keys() - listed.keys())
+        is_new = self._cluster.update_fleet(Fleet(boxes), asked_at, now)
+        in_force = self._cluster.fleet.boxes
+        self._cluster.kept = frozenset(in_force.keys() - listed.keys())
         if is_new:
             self._log_changes(in_force, known)
 
@@ -135,7 +135,7 @@
         They do around an outage, and in groups that serve.
         """
         until_back = self._returned_at + KEEP_SECONDS
-        known = self._outlook.fleet.boxes
+        known = self._cluster.fleet.boxes
         for name in self._listed.keys() - listed.keys() - foreign:
             box = known.get(name)
             if box is None or box.leaving:
@@ -149,7 +149,7 @@
         standing = box.standing
         if standing is None:
             return 0.0
-        group = self._outlook.fleet.groups[standing.group]
+        group = self._cluster.fleet.groups[standing.group]
         head = group.head
         if head is None or head.standing is None:
             return 0.0
--- a/waywell/knowledge/platform_watch.py
+++ b/waywell/knowledge/platform_watch.py
@@ -12,7 +12,7 @@
 
 from waywell.connection.platform import Kind, Platform, PlatformFault
 from waywell.connection.store_era import Revision, StoreEra
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.paces import choose_failed_wait
 from waywell.process.actor import Actor
 from waywell.process.clock import Clock
@@ -31,7 +31,7 @@
     platform: Platform
     """The platform."""
 
-    outlook: Outlook
+    cluster: ClusterView
     """Where what was read is put in force."""
 
     clock: Clock
@@ -189,7 +189,7 @@
         await asyncio.sleep(max(0.0, asked_at + self.get_pace() - now))
 
     def _get_era(self) -> StoreEra:
-        return self._parts.outlook.eras.current
+        return self._parts.cluster.eras.current
 
     def _choose_wait(self) -> float:
         parts = self._parts
--- a/waywell/knowledge/route_watch.py
+++ b/waywell/knowledge/route_watch.py
@@ -34,7 +34,7 @@
         """Know nothing yet."""
         scope = WatchScope('routes', Kind.CONFIGURATION, wait)
         super().__init__('routes', scope, parts)
-        self._outlook = parts.outlook
+        self._cluster = parts.cluster
         self._stored_version = 0
 
     def dump(self) -> dict[str, object]:
@@ -42,8 +42,8 @@
         now = self._parts.clock.read()
         return {
             **super().dump(),
-            'version': self._outlook.index.table.version,
-            'unconfirmed_seconds': self._outlook.get_routes_age(now),
+            'version': self._cluster.index.table.version,
+            'unconfirmed_seconds': self._cluster.get_routes_age(now),
         }
 
     def take(self, changes: Changes, asked_at: float, now: float) -> None:
@@ -56,8 +56,8 @@
         if ROUTES_NAME in changes.unreadable:
             # The newest version is not in force until a readable one comes.
             self._stored_version = 0
-        if self._stored_version == self._outlook.index.table.version:
-            self._outlook.confirm_routes(asked_at)
+        if self._stored_version == self._cluster.index.table.version:
+            self._cluster.confirm_routes(asked_at)
 
     def take_fault(self, fault: PlatformFault, now: float) -> None:
         """Read anew after any fault."""
@@ -66,7 +66,7 @@
     def _take_stored(self, stored: Stored) -> None:
         if stored.name != ROUTES_NAME or stored.body is None:
             return
-        in_force = self._outlook.index.table.version
+        in_force = self._cluster.index.table.version
         self._stored_version = stored.body.version
         if self._stored_version < in_force:
             # A store that came back from a copy lacks the later versions.
@@ -76,7 +76,7 @@
                 in_force=in_force,
                 revision=stored.version,
             )
-        if self._outlook.take_routes(stored.body):
+        if self._cluster.take_routes(stored.body):
             log_event(
                 'routes_in_force',
                 version=stored.body.version,
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -15,9 +15,9 @@
 from waywell.health.doubts import DoubtListeners, Doubts
 from waywell.health.node_paths import ListedBoxes, make_node_paths
 from waywell.ids import GroupId, HallName, Incarnation, NodeId
+from waywell.knowledge.cluster_view import ClusterView, make_gated_cluster_view
 from waywell.knowledge.feed import Feed
 from waywell.knowledge.fleet_watch import FleetWatch
-from waywell.knowledge.outlook import Outlook, make_started_outlook
 from waywell.knowledge.paces import make_paces
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.knowledge.route_watch import RouteWatch
@@ -102,12 +102,12 @@
         self.settings = settings
         self.clock = SystemClock()
         self.metrics = Metrics()
-        self.outlook = make_started_outlook(settings.promises, adapter.eras)
+        self.cluster = make_gated_cluster_view(settings.promises, adapter.eras)
         self.book = ReplicaBook()
         self.backpressure = Backpressure()
-        self.outlook.listen_for_ends(self.backpressure.forget_ended)
+        self.cluster.listen_for_ends(self.backpressure.forget_ended)
         adapter.eras.listen(
-            lambda _change: self.outlook.begin_recovery(self.clock.read())
+            lambda _change: self.cluster.begin_recovery(self.clock.read())
         )
         self.loads = SharedLoads()
         self.demand = DemandGauge()
@@ -173,8 +173,8 @@
         now = self.clock.read()
         return (
             self._is_started
-            and self.outlook.has_routes
-            and self.outlook.are_keys_fresh(now)
+            and self.cluster.has_routes
+            and self.cluster.are_keys_fresh(now)
             and not self._is_leaving
         )
 
@@ -206,7 +206,7 @@
             'node': self.settings.node.name,
             'ready': self.is_ready(),
             'in_flight': self.in_flight,
-            'serving': self.outlook.count_serving(),
+            'serving': self.cluster.count_serving(),
             **{actor.name: actor.dump() for actor in self.actors},
         }
 
@@ -215,7 +215,7 @@
             backend=FrontBackend(
                 wire=self._adapter.wire,
                 serve=self._serve,
-                get_limits=lambda: self.outlook.index.table.limits,
+                get_limits=lambda: self.cluster.index.table.limits,
                 is_leaving=lambda: self._is_leaving,
                 report=self._report,
             ),
@@ -257,21 +257,21 @@
             self.links,
             self.settings.seeds,
             self._random,
-            _choose_first_dials(self.outlook),
+            _choose_first_dials(self.cluster),
         )
-        self.outlook.eras.listen(self.presence.list_again)
+        self.cluster.eras.listen(self.presence.list_again)
         self.paths = make_node_paths(
             self.gossip,
             self.links,
             self.clock,
-            ListedBoxes(self.outlook),
+            ListedBoxes(self.cluster),
             self._random,
             self.book.end_rests,
         )
         self.feed = Feed(
             self.links,
             self.gossip,
-            self.outlook,
+            self.cluster,
             self.clock,
             self.book,
             self.loads,
@@ -291,7 +291,7 @@
             platform,
             self.gossip,
             self.clock,
-            self.outlook,
+            self.cluster,
             self._adapter.orders,
             timing.lease,
             FormingSources(
@@ -323,7 +323,7 @@
             self._random,
             lambda: self.presence.count_nodes() > 0,
         )
-        self.outlook.listen_for_ends(self.turns.forget_ended)
+        self.cluster.listen_for_ends(self.turns.forget_ended)
         self.actors = (
             self.links,
             self.paths.watch,
@@ -344,7 +344,7 @@
     ) -> WatchParts:
         return WatchParts(
             self._adapter.platform,
-            self.outlook,
+            self.cluster,
             self.clock,
             is_needed,
             self._reads_for_others,
@@ -356,7 +356,7 @@
         node = self.settings.node
         return Forwarder(
             ForwarderParts(
-                outlook=self.outlook,
+                cluster=self.cluster,
                 wire=self._adapter.wire,
                 chooser=Chooser(
                     HallName(node.hall),
@@ -413,7 +413,7 @@
     def _read_demand(self, now: float) -> Mapping[Any, float]:
         loads = self.loads.add_up()
         loads.update(self.book.list_loads())
-        in_flight = count_by_model(loads, self.outlook.fleet)
+        in_flight = count_by_model(loads, self.cluster.fleet)
         return self.demand.observe(in_flight, now)
 
     async def _leave(self) -> None:
@@ -454,7 +454,7 @@
                 code=int(code),
                 name=code.name,
                 ran=ran.value,
-                routes_age=self.outlook.get_routes_age(self.clock.read()),
+                routes_age=self.cluster.get_routes_age(self.clock.read()),
             )
 
     def _accept_peer(self) -> StreamListener | None:
@@ -468,7 +468,7 @@
         """
         while True:
             now = self.clock.read()
-            self.outlook.compare_routes(self.presence.get_contacts(), now)
+            self.cluster.compare_routes(self.presence.get_contacts(), now)
             self._tell_readiness()
             self._forget_replicas()
             self.backpressure.forget_old(now)
@@ -490,21 +490,21 @@
             return
         self._was_ready = is_ready
         self.gossip.post(Gossip.Advance(numbers=Numbers(int(is_ready), 0)))
-        version = self.outlook.index.table.version
+        version = self.cluster.index.table.version
         log_event('readiness', ready=is_ready, routes=version)
 
     def _forget_replicas(self) -> None:
         """Drop the records of replicas that a newer box list lacks."""
-        if self.outlook.fleet_serial != self._tended_serial:
-            self._tended_serial = self.outlook.fleet_serial
-            self.book.forget_others(self.outlook.list_keys())
+        if self.cluster.fleet_serial != self._tended_serial:
+            self._tended_serial = self.cluster.fleet_serial
+            self.book.forget_others(self.cluster.list_keys())
             self.paths.watch.table.retain(
-                box.life for box in self.outlook.fleet.boxes.values()
+                box.life for box in self.cluster.fleet.boxes.values()
             )
 
 
-def _choose_first_dials(outlook: Outlook) -> int:
+def _choose_first_dials(cluster: ClusterView) -> int:
     """Return how many nodes one that has started calls at its first look."""
-    if outlook.gate.is_open or outlook.eras.is_first_start:
+    if cluster.gate.is_open or cluster.eras.is_first_start:
         return JOIN_DIALS
     return START_DIALS
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -43,7 +43,7 @@
         """Keep the node; its parts are read at each question."""
         self._node = node
         self._era_history = EraHistory(
-            node.outlook,
+            node.cluster,
             node.clock,
             lambda: node.forming.is_held(),
             lambda: len(node.quarantine.quarantine.book.held),
@@ -71,7 +71,7 @@
 
     def _answer_status(self, _query: Mapping[str, str]) -> DeskAnswer:
         node = self._node
-        outlook = node.outlook
+        cluster = node.cluster
         now = node.clock.read()
         return _answer(
             {
@@ -79,11 +79,11 @@
                 'ready': node.is_ready(),
                 'in_flight': node.in_flight,
                 'nodes': node.members.count_states(),
-                'routes_version': outlook.index.table.version,
-                'routes_age_seconds': outlook.get_routes_age(now),
-                'boxes': len(outlook.fleet.boxes),
-                'boxes_age_seconds': outlook.get_boxes_age(now),
-                'serving': outlook.count_serving(),
+                'routes_version': cluster.index.table.version,
+                'routes_age_seconds': cluster.get_routes_age(now),
+                'boxes': len(cluster.fleet.boxes),
+                'boxes_age_seconds': cluster.get_boxes_age(now),
+                'serving': cluster.count_serving(),
                 **self._era_history.show(),
                 'foreign': {
                     'routes': node.routes.foreign[:MOST_SHOWN],
@@ -98,7 +98,7 @@
         )
 
     def _answer_configuration(self, _query: Mapping[str, str]) -> DeskAnswer:
-        table = self._node.outlook.index.table
+        table = self._node.cluster.index.table
         accounts = {holder.account for holder in table.holders.values()}
         return _answer(
             {
@@ -111,18 +111,18 @@
         )
 
     def _answer_groups(self, _query: Mapping[str, str]) -> DeskAnswer:
-        fleet = self._node.outlook.fleet
+        fleet = self._node.cluster.fleet
         shown = [_show_group(group) for group in fleet.groups.values()]
         return _answer(shown)
 
     def _answer_boxes(self, _query: Mapping[str, str]) -> DeskAnswer:
-        fleet = self._node.outlook.fleet
+        fleet = self._node.cluster.fleet
         shown = [msgspec.structs.asdict(box) for box in fleet.boxes.values()]
         return _answer(shown)
 
     def _answer_route(self, query: Mapping[str, str]) -> DeskAnswer:
         """Tell where a request by ``host``, ``path`` and ``model`` may go."""
-        index = self._node.outlook.index
+        index = self._node.cluster.index
         host, path = query.get('host', ''), query.get('path', '')
         route = index.find_route(host, path)
         if route is None:
@@ -149,7 +149,7 @@
         node = self._node
         now = node.clock.read()
         replicas = []
-        for replica in node.outlook.list_replicas(share.service, model):
+        for replica in node.cluster.list_replicas(share.service, model):
             record = node.book.get(replica.key)
             replicas.append(
                 {
--- a/waywell/quarantine/held_records.py
+++ b/waywell/quarantine/held_records.py
@@ -87,7 +87,7 @@
         self._written: set[Trait] = set()
         self._has_read = False
         quarantine.tell(self)
-        parts.outlook.eras.listen(self._write_again)
+        parts.cluster.eras.listen(self._write_again)
 
     def take(self, changes: Changes, asked_at: float, now: float) -> None:
         """Put the holds that are listed in force."""
--- a/waywell/request/attempts.py
+++ b/waywell/request/attempts.py
@@ -179,9 +179,9 @@
         self._parts.guard.check(context.traits, now)
         if context.holder is None:
             return
-        outlook = self._parts.outlook
-        outlook.check_keys(now)
-        if outlook.index.find_holder(context.ask.key) is None:
+        cluster = self._parts.cluster
+        cluster.check_keys(now)
+        if cluster.index.find_holder(context.ask.key) is None:
             raise Refusal(Code.UNKNOWN_KEY)
 
     def log(
@@ -193,7 +193,7 @@
     ) -> None:
         """Log what becomes of an attempt."""
         context = self._context
-        outlook = self._parts.outlook
+        cluster = self._parts.cluster
         self._parts.metrics.count_attempt(event, context.service)
         log_event(
             event,
@@ -203,8 +203,8 @@
             attempt=attempt.number,
             **attempt.destination.describe(),
             last_event=context.last_event,
-            routes_age=outlook.get_routes_age(now),
-            boxes_age=outlook.get_boxes_age(now),
+            routes_age=cluster.get_routes_age(now),
+            boxes_age=cluster.get_boxes_age(now),
             age=round(now - context.arrived_at, 3),
             **pairs,
         )
@@ -255,7 +255,7 @@
 
     def _list_replicas(self) -> list[Replica]:
         context = self._context
-        return self._parts.outlook.list_replicas(
+        return self._parts.cluster.list_replicas(
             context.service, context.ask.model
         )
 
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -148,13 +148,13 @@
             return False
         if not self._parts.turns.may_send(life, self._turn, now):
             return False
-        outlook = self._parts.outlook
+        cluster = self._parts.cluster
         if self._context.holder is not None:
-            if not outlook.are_keys_fresh(now):
+            if not cluster.are_keys_fresh(now):
                 return False
-            if outlook.index.find_holder(self._context.ask.key) is None:
+            if cluster.index.find_holder(self._context.ask.key) is None:
                 return False
-        return outlook.may_send_to(self.replica)
+        return cluster.may_send_to(self.replica)
 
     def count_sends(self) -> int:
         """Return how many replicas the attempt may reach."""
@@ -199,7 +199,7 @@
 
     def on_misdirected(self) -> None:
         """Take in that it is not what it was taken for."""
-        self._parts.outlook.doubt(self.replica)
+        self._parts.cluster.doubt(self.replica)
 
     def on_pause(self, seconds: float) -> None:
         """Take in for how long it was silent between two pieces."""
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -34,7 +34,7 @@
         """Keep the parts."""
         self._parts = parts
         self._node_ends_at = math.inf
-        parts.outlook.listen_for_ends(parts.running.break_off)
+        parts.cluster.listen_for_ends(parts.running.break_off)
 
     def leave(self, ends_at: float) -> None:
         """Take nothing more that can't be expected to end by a moment.
@@ -77,14 +77,14 @@
     def _identify(self, ask: Ask) -> RequestContext:
         """Find route, account and service."""
         now = self._parts.clock.read()
-        outlook = self._parts.outlook
-        outlook.check_routes(now)
-        route = outlook.index.find_route(ask.host, ask.path)
+        cluster = self._parts.cluster
+        cluster.check_routes(now)
+        route = cluster.index.find_route(ask.host, ask.path)
         if route is None:
             raise Refusal(Code.NO_ROUTE)
         holder = self._find_holder(ask, route, now)
         name = route.pick_service(self._parts.draw())
-        service = None if name is None else outlook.index.find_service(name)
+        service = None if name is None else cluster.index.find_service(name)
         if service is None:
             raise Refusal(
                 Code.NO_WHOLE_GROUP,
@@ -122,11 +122,11 @@
         route: Route,
         now: float,
     ) -> KeyHolder | None:
-        outlook = self._parts.outlook
-        if route.public or not outlook.index.table.has_accounts:
+        cluster = self._parts.cluster
+        if route.public or not cluster.index.table.has_accounts:
             return None
-        outlook.check_keys(now)
-        holder = outlook.index.find_holder(ask.key)
+        cluster.check_keys(now)
+        holder = cluster.index.find_holder(ask.key)
         if holder is None:
             raise Refusal(Code.UNKNOWN_KEY)
         return holder
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -10,7 +10,7 @@
 
 from waywell.connection.wire import Wire
 from waywell.ids import Fingerprint, ServiceName, Trait
-from waywell.knowledge.outlook import Outlook
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.process.clock import Clock
 from waywell.request.answer_times import AnswerTimes
 from waywell.request.ask import Ask
@@ -61,7 +61,7 @@
 class ForwarderParts:
     """What a forwarder works with."""
 
-    outlook: Outlook
+    cluster: ClusterView
     """Routes and boxes in force, with how fresh they are."""
 
     wire: Wire
--- a/waywell/telemetry/front_gauges.py
+++ b/waywell/telemetry/front_gauges.py
@@ -109,7 +109,7 @@
         return node.paths.watch.table.count_unreachable(node.clock.read())
 
     def _read_era(self) -> Mapping[str, float]:
-        eras = self._node.outlook.eras
+        eras = self._node.cluster.eras
         return {'era': eras.current, 'changes': eras.changes}
 
     def _count_turns(self) -> Mapping[str, float]:
@@ -130,14 +130,14 @@
         }
 
     def _count_serving(self) -> Mapping[str, float]:
-        return self._node.outlook.count_serving()
+        return self._node.cluster.count_serving()
 
     def _read_ages(self) -> Mapping[str, float]:
-        outlook = self._node.outlook
+        cluster = self._node.cluster
         now = self._node.clock.read()
         return {
-            'routes': outlook.get_routes_age(now),
-            'boxes': outlook.get_boxes_age(now),
+            'routes': cluster.get_routes_age(now),
+            'boxes': cluster.get_boxes_age(now),
         }
 
     def _count_nodes(self) -> Mapping[str, float]:
