--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -11,7 +11,7 @@
 from waywell.ids import HallName, NodeId
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.feed import Feed
-from waywell.knowledge.paces import make_paces
+from waywell.knowledge.poll_intervals import make_poll_intervals
 from waywell.knowledge.readers import pick_reader
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import MembershipTable, NodeRecord
@@ -80,7 +80,7 @@
             self.clock,
             ReplicaBook(),
             SharedLoads(),
-            make_paces(PromiseSettings()),
+            make_poll_intervals(PromiseSettings()),
             reads_from,
         )
 
--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -12,8 +12,8 @@
     MEMBER_KEEP_SECONDS,
     FleetWatch,
 )
-from waywell.knowledge.paces import make_paces
 from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.poll_intervals import make_poll_intervals
 from waywell.process.front_settings import PromiseSettings
 from waywell.version.fleet import FleetBox, MemberState
 
@@ -39,7 +39,7 @@
         )
         self.is_quick = False
         self.watch = FleetWatch(
-            parts, make_paces(promises), lambda: self.is_quick
+            parts, make_poll_intervals(promises), lambda: self.is_quick
         )
         self.list(1.0, *boxes)
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -30,8 +30,8 @@
 from waywell.ids import BoxId
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.fleet_watch import FleetWatch
-from waywell.knowledge.paces import make_paces
 from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.poll_intervals import make_poll_intervals
 from waywell.platform.store import ObjectStore
 from waywell.process.front_settings import PromiseSettings
 
@@ -260,7 +260,7 @@
         lambda: 0.5,
     )
     return FleetWatch(
-        parts, make_paces(PromiseSettings()), lambda: False
+        parts, make_poll_intervals(PromiseSettings()), lambda: False
     ), cluster
 
 
--- a/tests/test_paces.py
+++ b/tests/test_poll_intervals.py
@@ -7,7 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from waywell.knowledge.paces import choose_failed_wait, make_paces
+from waywell.knowledge.poll_intervals import (
+    choose_retry_delay,
+    make_poll_intervals,
+)
 from waywell.process.front_settings import PromiseSettings
 
 BOUNDS = st.floats(300.0, 60_000.0)
@@ -24,22 +27,26 @@
         leaving_within_ms=leaving_ms,
         applied_within_ms=applied_ms,
     )
-    paces = make_paces(promises)
-    told = paces.box_look + paces.ask
+    intervals = make_poll_intervals(promises)
+    told = intervals.box_interval + intervals.ask_interval
     assert told < promises.leaving_within / 2
-    assert told < paces.box_fed < promises.leaving_within
-    assert paces.route_look < paces.route_fed < promises.applied_within
-    assert 2 * paces.route_fed <= promises.keys_refused_within
+    assert told < intervals.box_max_age < promises.leaving_within
+    assert (
+        intervals.route_watch_seconds
+        < intervals.route_max_age
+        < promises.applied_within
+    )
+    assert 2 * intervals.route_max_age <= promises.keys_refused_within
 
 
 def test_a_tighter_bound_is_looked_after_more_often() -> None:
-    usual = make_paces(PromiseSettings())
-    tight = make_paces(
+    usual = make_poll_intervals(PromiseSettings())
+    tight = make_poll_intervals(
         PromiseSettings(leaving_within_ms=600.0, applied_within_ms=600.0),
     )
-    assert tight.box_look < usual.box_look
-    assert tight.ask < usual.ask
-    assert tight.route_look < usual.route_look
+    assert tight.box_interval < usual.box_interval
+    assert tight.ask_interval < usual.ask_interval
+    assert tight.route_watch_seconds < usual.route_watch_seconds
 
 
 def count_calls(
@@ -50,7 +57,7 @@
     now, failures = 0.0, 0
     while now < seconds:
         failures += 1
-        now += choose_failed_wait(
+        now += choose_retry_delay(
             failures,
             reads_for_others=reads_for_others,
             nodes=nodes,
@@ -80,14 +87,14 @@
     None
 ):
     waits = [
-        choose_failed_wait(
+        choose_retry_delay(
             failures, reads_for_others=True, nodes=195, draw=0.999
         )
         for failures in range(1, 2000)
     ]
     assert max(waits) < 0.75
     assert (
-        choose_failed_wait(1, reads_for_others=False, nodes=195, draw=0.5)
+        choose_retry_delay(1, reads_for_others=False, nodes=195, draw=0.5)
         == 0.25
     )
 
@@ -96,7 +103,7 @@
     random = Random(7)
     waits = {
         round(
-            choose_failed_wait(
+            choose_retry_delay(
                 3, reads_for_others=False, nodes=195, draw=random.random()
             ),
             2,
@@ -129,7 +136,7 @@
 
 def test_a_node_that_hears_from_nobody_calls_as_often_as_ever() -> None:
     waits = [
-        choose_failed_wait(9, reads_for_others=False, nodes=1, draw=0.5)
+        choose_retry_delay(9, reads_for_others=False, nodes=1, draw=0.5)
         for _ in range(3)
     ]
     assert waits == [2.0, 2.0, 2.0]
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -27,7 +27,7 @@
     from collections.abc import Mapping
 
     from waywell.knowledge.cluster_view import ClusterView
-    from waywell.knowledge.paces import Paces
+    from waywell.knowledge.poll_intervals import PollIntervals
     from waywell.membership.gossip import Gossip
     from waywell.process.clock import Clock
     from waywell.request.replica_book import ReplicaBook
@@ -90,7 +90,7 @@
         This node's requests in flight.
     loads
         What other nodes tell of theirs.
-    paces
+    intervals
         How often to ask, and how old an answer may be.
     reads_from
         Moment before which this node reads nothing itself, in seconds.
@@ -107,7 +107,7 @@
         clock: Clock,
         book: ReplicaBook,
         loads: SharedLoads,
-        paces: Paces,
+        intervals: PollIntervals,
         reads_from: float = 0.0,
     ) -> None:
         """Know no reader yet."""
@@ -118,7 +118,7 @@
         self._clock = clock
         self._book = book
         self._loads = loads
-        self._paces = paces
+        self._intervals = intervals
         self._reads_from = reads_from
         self._own = gossip.table.own
         self._incarnation = self._own.incarnation
@@ -136,7 +136,7 @@
     def start(self) -> None:
         """Begin to ask."""
         super().start()
-        self.repeat(self._paces.ask, self.Tick())
+        self.repeat(self._intervals.ask_interval, self.Tick())
 
     def is_reader(self) -> bool:
         """Answer whether this node reads for its hall."""
@@ -151,7 +151,8 @@
         # Nobody has sent the newer routes that there are.
         waited = now - self._behind_since
         return (
-            self.behind_version > 0 and waited > BEHIND_ASKS * self._paces.ask
+            self.behind_version > 0
+            and waited > BEHIND_ASKS * self._intervals.ask_interval
         )
 
     def needs_boxes(self, now: float) -> bool:
@@ -215,11 +216,13 @@
 
     def _are_routes_old(self, now: float) -> bool:
         """Answer whether the routes were not confirmed for too long."""
-        return self._cluster.get_routes_age(now) > self._paces.route_fed
+        return (
+            self._cluster.get_routes_age(now) > self._intervals.route_max_age
+        )
 
     def _are_boxes_old(self, now: float) -> bool:
         """Answer whether the box list was not confirmed for too long."""
-        return self._cluster.get_boxes_age(now) > self._paces.box_fed
+        return self._cluster.get_boxes_age(now) > self._intervals.box_max_age
 
     def _list_loads(self) -> tuple[BoxLoad, ...]:
         """Return the requests in flight that this node tells others of.
@@ -341,7 +344,7 @@
         """
         now = self._clock.read()
         newer = self._cluster.get_boxes_age(now) - answer.boxes_age
-        if self._may_fetch and newer > self._paces.told_apart:
+        if self._may_fetch and newer > self._intervals.max_age_difference:
             self._may_fetch = False
             self._ask(peer, now, wants_boxes=True)
 
--- a/waywell/knowledge/fleet_watch.py
+++ b/waywell/knowledge/fleet_watch.py
@@ -14,8 +14,8 @@
     from collections.abc import Callable, Set
 
     from waywell.connection.platform import Changes
-    from waywell.knowledge.paces import Paces
     from waywell.knowledge.platform_watch import WatchParts
+    from waywell.knowledge.poll_intervals import PollIntervals
 
 QUICK_PACE = 0.15
 """Seconds between two looks of the node that forms groups, as between its
@@ -41,7 +41,7 @@
     ----------
     parts
         What it works with.
-    paces
+    intervals
         How often to look: boxes change all the time, and each call has a
         price.
     is_quick
@@ -52,13 +52,13 @@
     def __init__(
         self,
         parts: WatchParts,
-        paces: Paces,
+        intervals: PollIntervals,
         is_quick: Callable[[], bool],
     ) -> None:
         """Know nothing yet."""
         self._is_quick = is_quick
-        self._head_keep = paces.vanished_kept
-        pace = paces.box_look
+        self._head_keep = intervals.vanished_retention
+        pace = intervals.box_interval
         # The list must be confirmed as often as it is asked for.
         scope = WatchScope('boxes', Kind.BOX, wait=pace, pace=pace)
         super().__init__('fleet', scope, parts)
--- a/waywell/knowledge/platform_watch.py
+++ b/waywell/knowledge/platform_watch.py
@@ -13,7 +13,7 @@
 from waywell.connection.platform import Kind, Platform, PlatformFault
 from waywell.connection.store_era import Revision, StoreEra
 from waywell.knowledge.cluster_view import ClusterView
-from waywell.knowledge.paces import choose_failed_wait
+from waywell.knowledge.poll_intervals import choose_retry_delay
 from waywell.process.actor import Actor
 from waywell.process.clock import Clock
 from waywell.telemetry.events import log_event, log_warning
@@ -193,7 +193,7 @@
 
     def _choose_wait(self) -> float:
         parts = self._parts
-        return choose_failed_wait(
+        return choose_retry_delay(
             self._failures,
             reads_for_others=parts.reads_for_others(),
             nodes=parts.count_nodes(),
--- a/waywell/knowledge/paces.py
+++ b/waywell/knowledge/poll_intervals.py
@@ -15,18 +15,18 @@
 if TYPE_CHECKING:
     from waywell.process.front_settings import PromiseSettings
 
-BOX_LOOK_PART = 0.2
+BOX_INTERVAL_FRACTION = 0.2
 """Part of the bound for leaving boxes between two looks at the box list."""
 
-BOX_LOOK_MOST = 0.4
+MAX_BOX_INTERVAL = 0.4
 """Longest time between two looks at the box list, in seconds: a group that
 lost a box is patched in about a second."""
 
-ASK_PART = 0.175
+ASK_INTERVAL_FRACTION = 0.175
 """Part of the bound for leaving boxes between two questions to the reader;
 with the look before it, both take less than half of the bound."""
 
-ASK_MOST = 0.35
+MAX_ASK_INTERVAL = 0.35
 """Longest time between two questions to the reader, in seconds: half the
 length of a stream, as the answers tell other nodes' requests in flight."""
 
@@ -34,48 +34,48 @@
 """Seconds from the choice of a box until its request may reach it: a process
 may stand still, and packets may be sent again."""
 
-BOX_FED_PART = 0.7
+BOX_MAX_AGE_FRACTION = 0.7
 """Part of the bound for leaving boxes after which a node reads the box list
 itself; the rest is for the call and for requests on their way."""
 
-ROUTE_FED_PART = 0.7
+ROUTE_MAX_AGE_FRACTION = 0.7
 """Part of the bound for new routes after which a node reads them itself: its
 reader may be cut off from the platform while this node is not."""
 
-ROUTE_LOOK_PART = 0.4
+ROUTE_WATCH_FRACTION = 0.4
 """Part of that time for which a reader's watch waits: each answer confirms the
 version in force, and one more question must fit."""
 
-MOST_DOUBLED = 6
+MAX_DOUBLINGS = 6
 """Failures in a row that double the wait; it is at its longest before."""
 
-KEY_PART = 0.5
+KEY_BOUND_FRACTION = 0.5
 """Part of the bound for removed keys within which routes must be confirmed
 again; a second reading fits before keys are refused."""
 
-FAILED_WAIT = 0.25
+FIRST_RETRY_DELAY = 0.25
 """Seconds until a call that failed is made again for the first time."""
 
-LONGEST_FAILED_WAIT = 2.0
+MAX_RETRY_DELAY = 2.0
 """Longest wait of a node for which others read: it hears from its reader once
 the platform is back, or, cut off from that one as well, is back by itself
 within the 4 s and more that nodes have to catch up."""
 
-SHARED_WAIT = 0.1
+MAX_RETRY_DELAY_PER_NODE = 0.1
 """Seconds of the longest wait for each node that would hear from this one: of
 hundreds the first one that reaches the platform tells the others, so all of
 them together call some ten times a second and not each every other second."""
 
-LONGEST_READER_WAIT = 0.5
+MAX_READER_RETRY_DELAY = 0.5
 """Longest wait of a node that reads for others; the whole system is as late as
 it is."""
 
-WAIT_SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Part of a wait by which it is drawn longer or shorter, so that nodes which
 failed at one moment do not all call at another."""
 
 
-def choose_failed_wait(
+def choose_retry_delay(
     failures: int,
     *,
     reads_for_others: bool,
@@ -100,61 +100,63 @@
     draw
         A number from 0 up to 1, drawn anew for each call.
     """
-    longest = max(LONGEST_FAILED_WAIT, SHARED_WAIT * nodes)
+    longest = max(MAX_RETRY_DELAY, MAX_RETRY_DELAY_PER_NODE * nodes)
     if reads_for_others:
-        longest = LONGEST_READER_WAIT
-    doubled = math.ldexp(FAILED_WAIT, min(failures - 1, MOST_DOUBLED))
+        longest = MAX_READER_RETRY_DELAY
+    doubled = math.ldexp(FIRST_RETRY_DELAY, min(failures - 1, MAX_DOUBLINGS))
     wait = min(longest, doubled)
-    return wait * (1 + WAIT_SPREAD * (2 * draw - 1))
+    return wait * (1 + RETRY_JITTER * (2 * draw - 1))
 
 
 @attrs.frozen
-class Paces:
+class PollIntervals:
     """Times between looks, in seconds."""
 
-    box_look: float
+    box_interval: float
     """Between two looks of a reader at the box list."""
 
-    box_fed: float
+    box_max_age: float
     """Age of the box list up to which a node does not read it itself."""
 
-    route_look: float
+    route_watch_seconds: float
     """For which a reader's watch of the routes waits."""
 
-    route_fed: float
+    route_max_age: float
     """Age of the routes up to which a node does not read them itself."""
 
-    ask: float
+    ask_interval: float
     """Between two questions to the reader."""
 
-    vanished_kept: float
+    vanished_retention: float
     """For which a box whose entry has gone may get requests still."""
 
     @property
-    def told_apart(self) -> float:
+    def max_age_difference(self) -> float:
         """Return by how much two nodes' knowledge differs in age at the most.
 
         As long as both get it from readers that reach the platform, or that
         have lost it at one moment.
         """
-        return self.box_look + self.ask
+        return self.box_interval + self.ask_interval
 
 
-def make_paces(promises: PromiseSettings) -> Paces:
+def make_poll_intervals(promises: PromiseSettings) -> PollIntervals:
     """Return the paces that keep some promises."""
     leaving = promises.leaving_within
-    route_fed = min(
-        ROUTE_FED_PART * promises.applied_within,
-        KEY_PART * promises.keys_refused_within,
+    route_max_age = min(
+        ROUTE_MAX_AGE_FRACTION * promises.applied_within,
+        KEY_BOUND_FRACTION * promises.keys_refused_within,
     )
-    box_look = min(BOX_LOOK_MOST, BOX_LOOK_PART * leaving)
-    ask = min(ASK_MOST, ASK_PART * leaving)
-    return Paces(
-        box_look=box_look,
-        box_fed=BOX_FED_PART * leaving,
-        route_look=ROUTE_LOOK_PART * route_fed,
-        route_fed=route_fed,
-        ask=ask,
+    box_interval = min(MAX_BOX_INTERVAL, BOX_INTERVAL_FRACTION * leaving)
+    ask_interval = min(MAX_ASK_INTERVAL, ASK_INTERVAL_FRACTION * leaving)
+    return PollIntervals(
+        box_interval=box_interval,
+        box_max_age=BOX_MAX_AGE_FRACTION * leaving,
+        route_watch_seconds=ROUTE_WATCH_FRACTION * route_max_age,
+        route_max_age=route_max_age,
+        ask_interval=ask_interval,
         # The list tells of it one look late, and followers one question later.
-        vanished_kept=max(0.0, leaving - box_look - ask - SEND_MARGIN),
+        vanished_retention=max(
+            0.0, leaving - box_interval - ask_interval - SEND_MARGIN
+        ),
     )
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -18,8 +18,8 @@
 from waywell.knowledge.cluster_view import ClusterView, make_gated_cluster_view
 from waywell.knowledge.feed import Feed
 from waywell.knowledge.fleet_watch import FleetWatch
-from waywell.knowledge.paces import make_paces
 from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.poll_intervals import make_poll_intervals
 from waywell.knowledge.route_watch import RouteWatch
 from waywell.limits.turns import Turns
 from waywell.membership.gossip import Gossip, Numbers
@@ -247,7 +247,7 @@
     def _make_tasks(self) -> None:
         timing = self.settings.timing
         platform = self._adapter.platform
-        paces = make_paces(self.settings.promises)
+        intervals = make_poll_intervals(self.settings.promises)
         self.members = MembershipTable(self._make_record(), timing.suspicion)
         self.links = PeerLinks(lambda: self.members.own, self._transport)
         self.gossip = Gossip(self.members, self.links, self.clock, timing)
@@ -275,16 +275,16 @@
             self.clock,
             self.book,
             self.loads,
-            paces,
+            intervals,
             self._choose_first_reading(),
         )
         self.routes = RouteWatch(
             self._make_watch_parts(self.feed.needs_routes),
-            paces.route_look,
+            intervals.route_watch_seconds,
         )
         self.fleet = FleetWatch(
             self._make_watch_parts(self._needs_boxes),
-            paces,
+            intervals,
             lambda: self.forming.is_held(),
         )
         self.forming = FormingDuty(
