--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -8,11 +8,11 @@
 from waywell.connection.platform import Changes, PlatformFault, Stored
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.fleet_watch import (
-    KEEP_SECONDS,
-    MEMBER_KEEP_SECONDS,
+    MEMBER_RETENTION_SECONDS,
+    RETURN_RETENTION_SECONDS,
     FleetWatch,
 )
-from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.platform_watch import WatchContext
 from waywell.knowledge.poll_intervals import make_poll_intervals
 from waywell.process.front_settings import PromiseSettings
 from waywell.version.fleet import FleetBox, MemberState
@@ -28,7 +28,7 @@
     ) -> None:
         promises = promises or PromiseSettings()
         self.cluster = ClusterView(promises)
-        parts = WatchParts(
+        parts = WatchContext(
             None,
             self.cluster,
             None,
@@ -37,39 +37,44 @@
             lambda: 1,
             lambda: 0.5,
         )
-        self.is_quick = False
+        self.is_forming = False
         self.watch = FleetWatch(
-            parts, make_poll_intervals(promises), lambda: self.is_quick
+            parts, make_poll_intervals(promises), lambda: self.is_forming
         )
         self.list(1.0, *boxes)
 
     def list(self, now: float, *boxes: FleetBox) -> set[str]:
         """Take in a whole list; return the boxes in force."""
         stored = tuple(Stored('box', box.box, 1, box) for box in boxes)
-        self.watch.take(Changes(9, stored, complete=True), now, now)
+        self.watch.apply_changes(Changes(9, stored, complete=True), now, now)
         return set(self.cluster.fleet.boxes)
 
 
 def test_boxes_that_lapsed_in_an_outage_are_kept_until_they_are_back() -> None:
     bench = Bench(make_box('a'), make_box('b'))
-    bench.watch.take_fault(PlatformFault.UNANSWERED, 5.0)
+    bench.watch.handle_fault(PlatformFault.UNANSWERED, 5.0)
     assert bench.list(5.5, make_box('a')) == {'a', 'b'}
     assert bench.list(6.0, make_box('a'), make_box('b')) == {'a', 'b'}
     # Back and gone once more, with the platform well: not kept again.
-    assert bench.list(5.0 + KEEP_SECONDS + 1, make_box('a')) == {'a'}
+    assert bench.list(5.0 + RETURN_RETENTION_SECONDS + 1, make_box('a')) == {
+        'a'
+    }
 
 
 def test_one_that_stays_away_is_given_up() -> None:
     bench = Bench(make_box('a'), make_box('b'))
-    bench.watch.take_fault(PlatformFault.UNANSWERED, 5.0)
+    bench.watch.handle_fault(PlatformFault.UNANSWERED, 5.0)
     bench.list(5.5, make_box('a'))
-    assert bench.list(5.4 + KEEP_SECONDS, make_box('a')) == {'a', 'b'}
-    assert bench.list(5.6 + KEEP_SECONDS, make_box('a')) == {'a'}
+    assert bench.list(5.4 + RETURN_RETENTION_SECONDS, make_box('a')) == {
+        'a',
+        'b',
+    }
+    assert bench.list(5.6 + RETURN_RETENTION_SECONDS, make_box('a')) == {'a'}
 
 
 def test_one_that_said_that_it_leaves_is_not_kept() -> None:
     bench = Bench(make_box('a'), AWAY)
-    bench.watch.take_fault(PlatformFault.UNANSWERED, 5.0)
+    bench.watch.handle_fault(PlatformFault.UNANSWERED, 5.0)
     assert bench.list(5.5, make_box('a')) == {'a'}
 
 
@@ -81,23 +86,23 @@
 def test_one_that_vanishes_after_the_return_is_kept_no_longer() -> None:
     """It may have left in good order; the others can't be told apart."""
     bench = Bench(make_box('a'), make_box('b'))
-    bench.watch.take_fault(PlatformFault.UNANSWERED, 5.0)
+    bench.watch.handle_fault(PlatformFault.UNANSWERED, 5.0)
     bench.list(5.5, make_box('a'), make_box('b'))
     assert bench.list(7.5, make_box('a')) == {'a', 'b'}
-    assert bench.list(5.6 + KEEP_SECONDS, make_box('a')) == {'a'}
+    assert bench.list(5.6 + RETURN_RETENTION_SECONDS, make_box('a')) == {'a'}
 
 
 def test_a_history_that_is_gone_is_no_outage() -> None:
     bench = Bench(make_box('a'), make_box('b'))
-    bench.watch.take_fault(PlatformFault.HISTORY_GONE, 5.0)
+    bench.watch.handle_fault(PlatformFault.HISTORY_GONE, 5.0)
     assert bench.list(5.1, make_box('a')) == {'a'}
 
 
 def test_the_node_that_forms_groups_looks_as_often_as_it_plans() -> None:
     bench = Bench(make_box('a'))
-    assert bench.watch.get_pace() == 0.4
-    bench.is_quick = True
-    assert bench.watch.get_pace() == 0.15
+    assert bench.watch.get_interval() == 0.4
+    bench.is_forming = True
+    assert bench.watch.get_interval() == 0.15
 
 
 def test_a_member_whose_entry_lapses_stays_in_its_group_for_a_while() -> None:
@@ -114,8 +119,8 @@
     bench = Bench(head, member)
     assert bench.list(5.0, head) == {'a', 'b'}
     assert bench.cluster.kept == {'b'}
-    assert bench.list(4.9 + MEMBER_KEEP_SECONDS, head) == {'a', 'b'}
-    assert bench.list(5.1 + MEMBER_KEEP_SECONDS, head) == {'a'}
+    assert bench.list(4.9 + MEMBER_RETENTION_SECONDS, head) == {'a', 'b'}
+    assert bench.list(5.1 + MEMBER_RETENTION_SECONDS, head) == {'a'}
 
 
 def test_a_head_gets_nothing_more_in_time_for_the_bound_of_leaving() -> None:
@@ -168,7 +173,7 @@
     bench = Bench(old)
     bench.cluster.take_fleet(make_fleet(new), 5.3)
     stored = (Stored('box', old.box, 1, old),)
-    bench.watch.take(Changes(9, stored, complete=True), 5.0, 5.4)
+    bench.watch.apply_changes(Changes(9, stored, complete=True), 5.0, 5.4)
     assert bench.cluster.fleet.boxes[old.box].incarnation == 2
 
 
@@ -179,7 +184,7 @@
     bench.cluster.take_fleet(make_fleet(make_box('a'), make_box('b')), 5.3)
     changes = (make_box('a'), make_box('b'), make_box('c'))
     stored = tuple(Stored('box', box.box, 1, box) for box in changes)
-    bench.watch.take(Changes(9, stored, complete=True), 5.0, 5.4)
+    bench.watch.apply_changes(Changes(9, stored, complete=True), 5.0, 5.4)
     assert set(bench.cluster.fleet.boxes) == {'a', 'b'}
-    bench.watch.take(Changes(9, ()), 5.5, 5.5)
+    bench.watch.apply_changes(Changes(9, ()), 5.5, 5.5)
     assert set(bench.cluster.fleet.boxes) == {'a', 'b', 'c'}
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -30,7 +30,7 @@
 from waywell.ids import BoxId
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.fleet_watch import FleetWatch
-from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.platform_watch import WatchContext
 from waywell.knowledge.poll_intervals import make_poll_intervals
 from waywell.platform.store import ObjectStore
 from waywell.process.front_settings import PromiseSettings
@@ -250,7 +250,7 @@
 
 def make_watch() -> tuple[FleetWatch, ClusterView]:
     cluster = ClusterView(PromiseSettings())
-    parts = WatchParts(
+    parts = WatchContext(
         None,  # type: ignore[arg-type]
         cluster,
         HeldClock(),
@@ -270,13 +270,13 @@
 ) -> None:
     watch, cluster = make_watch()
     pages.add_list(SOUND, encode('x', ENTRY))
-    watch.take(read_list(), 100.0, 100.0)
+    watch.apply_changes(read_list(), 100.0, 100.0)
     assert BoxId('x') in cluster.fleet.boxes
     pages.add_events(NAMED[case])
-    watch.take(read_events(), 101.0, 101.0)
+    watch.apply_changes(read_events(), 101.0, 101.0)
     assert set(cluster.fleet.boxes) == {'sound'}
     pages.add_events(encode('x', ENTRY, 13))
-    watch.take(read_events(), 102.0, 102.0)
+    watch.apply_changes(read_events(), 102.0, 102.0)
     assert BoxId('x') in cluster.fleet.boxes
 
 
@@ -285,10 +285,10 @@
 ) -> None:
     watch, _cluster = make_watch()
     pages.add_list(SOUND)
-    watch.take(read_list(), 100.0, 100.0)
+    watch.apply_changes(read_list(), 100.0, 100.0)
     assert watch.dump()['revision'] == 9
     pages.add_events(NAMELESS['null'])
-    watch.take(read_events(), 101.0, 101.0)
+    watch.apply_changes(read_events(), 101.0, 101.0)
     assert not watch.dump()['revision']
 
 
--- a/tests/test_restored_machine.py
+++ b/tests/test_restored_machine.py
@@ -20,7 +20,7 @@
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.ids import BoxId, Incarnation
 from waywell.knowledge.cluster_view import ClusterView
-from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.platform_watch import WatchContext
 from waywell.knowledge.restored_entries import REWRITE_SECONDS
 from waywell.knowledge.route_watch import RouteWatch
 from waywell.process.front_settings import PromiseSettings
@@ -235,7 +235,7 @@
         self.latest = 1
         self.copies = [self.store.content]
         self.in_force = 0
-        parts = WatchParts(
+        parts = WatchContext(
             self.store,  # type: ignore[arg-type]
             self.cluster,
             self.clock,
@@ -281,9 +281,9 @@
         asked_at = self.clock.now
         answer = asyncio.run(self.watch.read())
         if isinstance(answer, Failure):
-            self.watch.take_fault(answer.failure(), asked_at)
+            self.watch.handle_fault(answer.failure(), asked_at)
             return
-        self.watch.take(answer.unwrap(), asked_at, asked_at)
+        self.watch.apply_changes(answer.unwrap(), asked_at, asked_at)
         if self.cluster.get_routes_age(asked_at) <= 0:
             version = self.cluster.index.table.version
             assert version == self.store.answered_version
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -20,7 +20,7 @@
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.ids import Fingerprint
 from waywell.knowledge.cluster_view import ClusterView
-from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.platform_watch import WatchContext
 from waywell.membership.membership import MembershipTable
 from waywell.membership.presence import Presence
 from waywell.process.front_settings import PromiseSettings
@@ -69,7 +69,7 @@
         book=SimpleNamespace(held=held),
         take_stored=lambda *_words: None,
     )
-    parts = WatchParts(
+    parts = WatchContext(
         store,  # type: ignore[arg-type]
         cluster or ClusterView(PromiseSettings()),
         HeldClock(),
--- a/tests/test_watch_eras.py
+++ b/tests/test_watch_eras.py
@@ -16,7 +16,7 @@
 from waywell.connection.platform import Changes, Kind, PlatformFault, Stored
 from waywell.connection.store_era import StoreEra
 from waywell.knowledge.cluster_view import ClusterView
-from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.platform_watch import WatchContext
 from waywell.knowledge.route_watch import RouteWatch
 from waywell.process.front_settings import PromiseSettings
 from waywell.version.routes import RouteTable
@@ -55,7 +55,7 @@
         self.clock = HeldClock()
         self.cluster = ClusterView(PromiseSettings())
         self.cluster.eras.observe(StoreEra(1))
-        parts = WatchParts(
+        parts = WatchContext(
             self.store,  # type: ignore[arg-type]
             self.cluster,
             self.clock,
@@ -69,9 +69,11 @@
     def look(self) -> Result[Changes, PlatformFault]:
         answer = asyncio.run(self.watch.read())
         if isinstance(answer, Failure):
-            self.watch.take_fault(answer.failure(), self.clock.now)
+            self.watch.handle_fault(answer.failure(), self.clock.now)
         else:
-            self.watch.take(answer.unwrap(), self.clock.now, self.clock.now)
+            self.watch.apply_changes(
+                answer.unwrap(), self.clock.now, self.clock.now
+            )
         return answer
 
     def go_back(self) -> None:
--- a/waywell/knowledge/platform_watch.py
+++ b/waywell/knowledge/platform_watch.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class WatchParts:
+class WatchContext:
     """What a watch works with."""
 
     platform: Platform
@@ -60,10 +60,10 @@
     kind: Kind
     """Kind of the objects."""
 
-    wait: float
+    watch_seconds: float
     """Seconds for which a look waits when nothing changes."""
 
-    pace: float = 0.0
+    interval: float = 0.0
     """Least seconds between two looks."""
 
 
@@ -84,15 +84,15 @@
         self,
         name: str,
         scope: WatchScope,
-        parts: WatchParts,
+        context: WatchContext,
     ) -> None:
         """Know nothing yet."""
         super().__init__(name)
         self._scope = scope
-        self._parts = parts
+        self._context = context
         self._cursor = Revision()
         self._failures = 0
-        self._wanted = asyncio.Event()
+        self._wake_up = asyncio.Event()
         self._foreign: set[str] = set()
 
     def start(self) -> None:
@@ -114,12 +114,14 @@
             'foreign': self.foreign,
         }
 
-    def get_pace(self) -> float:
+    def get_interval(self) -> float:
         """Return the least seconds between two looks."""
-        return self._scope.pace
+        return self._scope.interval
 
     @abc.abstractmethod
-    def take(self, changes: Changes, asked_at: float, now: float) -> None:
+    def apply_changes(
+        self, changes: Changes, asked_at: float, now: float
+    ) -> None:
         """Put what was read in force.
 
         Parameters
@@ -133,17 +135,19 @@
         """
 
     @abc.abstractmethod
-    def take_fault(self, fault: PlatformFault, now: float) -> None:
+    def handle_fault(self, fault: PlatformFault, now: float) -> None:
         """Take in that a call failed."""
 
     async def read(self) -> Result[Changes, PlatformFault]:
         """Read all, or what has changed since."""
-        platform = self._parts.platform
+        platform = self._context.platform
         kind = self._scope.kind
         cursor = self._cursor
         if not cursor.is_in(self._get_era()):
             return await platform.fetch_all(kind)
-        answer = await platform.watch((kind,), cursor.number, self._scope.wait)
+        answer = await platform.watch(
+            (kind,), cursor.number, self._scope.watch_seconds
+        )
         if not cursor.is_in(self._get_era()):
             # Revisions of another era name other changes.
             return Failure(PlatformFault.HISTORY_GONE)
@@ -157,64 +161,64 @@
         """Read all anew at the next look: changes may have been missed."""
         self._cursor = Revision()
 
-    def look_again(self, now: float) -> None:
+    def resume_reading(self, now: float) -> None:
         """Begin to read where no other node reads for this one."""
-        if self._parts.is_needed(now):
-            self._wanted.set()
+        if self._context.is_needed(now):
+            self._wake_up.set()
 
     async def _watch(self) -> None:
         while True:
-            asked_at = self._parts.clock.read()
-            if self._parts.is_needed(asked_at):
-                await self._look(asked_at)
+            asked_at = self._context.clock.read()
+            if self._context.is_needed(asked_at):
+                await self._poll(asked_at)
             else:
                 self.forget_revision()
-                self._wanted.clear()
-                await self._wanted.wait()
+                self._wake_up.clear()
+                await self._wake_up.wait()
 
-    async def _look(self, asked_at: float) -> None:
+    async def _poll(self, asked_at: float) -> None:
         """Read once, then wait until the next look is due."""
         answer = await self.read()
-        now = self._parts.clock.read()
+        now = self._context.clock.read()
         if isinstance(answer, Failure):
             fault: PlatformFault = answer.failure()
-            self.take_fault(fault, now)
-            self._note_lost(fault)
-            await asyncio.sleep(self._choose_wait())
+            self.handle_fault(fault, now)
+            self._record_failure(fault)
+            await asyncio.sleep(self._choose_retry_delay())
             return
-        self._note_reached()
+        self._record_success()
         changes = answer.unwrap()
-        self._note_foreign(changes)
-        self.take(changes, asked_at, now)
-        await asyncio.sleep(max(0.0, asked_at + self.get_pace() - now))
+        self._update_foreign(changes)
+        self.apply_changes(changes, asked_at, now)
+        await asyncio.sleep(max(0.0, asked_at + self.get_interval() - now))
 
     def _get_era(self) -> StoreEra:
-        return self._parts.cluster.eras.current
+        return self._context.cluster.eras.current
 
-    def _choose_wait(self) -> float:
-        parts = self._parts
+    def _choose_retry_delay(self) -> float:
+        context = self._context
         return choose_retry_delay(
             self._failures,
-            reads_for_others=parts.reads_for_others(),
-            nodes=parts.count_nodes(),
-            draw=parts.draw(),
+            reads_for_others=context.reads_for_others(),
+            nodes=context.count_nodes(),
+            draw=context.draw(),
         )
 
-    def _note_foreign(self, changes: Changes) -> None:
+    def _update_foreign(self, changes: Changes) -> None:
         """Remember which objects are another writer's."""
         if changes.complete:
             self._foreign.clear()
         self._foreign -= {stored.name for stored in changes.objects}
         self._foreign.update(changes.unreadable)
 
-    def _note_lost(self, fault: PlatformFault) -> None:
+    def _record_failure(self, fault: PlatformFault) -> None:
         self._failures += 1
         if self._failures == 1:
             log_warning(
                 'platform_lost', part=self._scope.part, fault=fault.value
             )
 
-    def _note_reached(self) -> None:
+    def _record_success(self) -> None:
         if self._failures:
             self._failures = 0
             log_event('platform_regained', part=self._scope.part)
--- a/waywell/knowledge/route_watch.py
+++ b/waywell/knowledge/route_watch.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from waywell.connection.platform import Changes, PlatformFault, Stored
-    from waywell.knowledge.platform_watch import WatchParts
+    from waywell.knowledge.platform_watch import WatchContext
 
 ROUTES_NAME = 'main'
 """Name of the one object that holds the routes."""
@@ -30,28 +30,30 @@
         Seconds for which a watch waits when nothing changes.
     """
 
-    def __init__(self, parts: WatchParts, wait: float) -> None:
+    def __init__(self, context: WatchContext, watch_seconds: float) -> None:
         """Know nothing yet."""
-        scope = WatchScope('routes', Kind.CONFIGURATION, wait)
-        super().__init__('routes', scope, parts)
-        self._cluster = parts.cluster
+        scope = WatchScope('routes', Kind.CONFIGURATION, watch_seconds)
+        super().__init__('routes', scope, context)
+        self._cluster = context.cluster
         self._stored_version = 0
 
     def dump(self) -> dict[str, object]:
         """Return the state as plain values."""
-        now = self._parts.clock.read()
+        now = self._context.clock.read()
         return {
             **super().dump(),
             'version': self._cluster.index.table.version,
             'unconfirmed_seconds': self._cluster.get_routes_age(now),
         }
 
-    def take(self, changes: Changes, asked_at: float, now: float) -> None:
+    def apply_changes(
+        self, changes: Changes, asked_at: float, now: float
+    ) -> None:
         """Put a newer version in force; confirm the one that is stored."""
         if changes.complete:
             self._stored_version = 0
         for stored in changes.objects:
-            self._take_stored(stored)
+            self._apply_stored(stored)
         self.advance(changes)
         if ROUTES_NAME in changes.unreadable:
             # The newest version is not in force until a readable one comes.
@@ -59,11 +61,11 @@
         if self._stored_version == self._cluster.index.table.version:
             self._cluster.confirm_routes(asked_at)
 
-    def take_fault(self, fault: PlatformFault, now: float) -> None:
+    def handle_fault(self, fault: PlatformFault, now: float) -> None:
         """Read anew after any fault."""
         self.forget_revision()
 
-    def _take_stored(self, stored: Stored) -> None:
+    def _apply_stored(self, stored: Stored) -> None:
         if stored.name != ROUTES_NAME or stored.body is None:
             return
         in_force = self._cluster.index.table.version
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -18,7 +18,7 @@
 from waywell.knowledge.cluster_view import ClusterView, make_gated_cluster_view
 from waywell.knowledge.feed import Feed
 from waywell.knowledge.fleet_watch import FleetWatch
-from waywell.knowledge.platform_watch import WatchParts
+from waywell.knowledge.platform_watch import WatchContext
 from waywell.knowledge.poll_intervals import make_poll_intervals
 from waywell.knowledge.route_watch import RouteWatch
 from waywell.limits.turns import Turns
@@ -341,8 +341,8 @@
     def _make_watch_parts(
         self,
         is_needed: Callable[[float], bool],
-    ) -> WatchParts:
-        return WatchParts(
+    ) -> WatchContext:
+        return WatchContext(
             self._adapter.platform,
             self.cluster,
             self.clock,
@@ -474,7 +474,7 @@
             self.backpressure.forget_old(now)
             self.turns.tend(now)
             for watch in (self.routes, self.fleet, self.quarantine.records):
-                watch.look_again(now)
+                watch.resume_reading(now)
             await asyncio.sleep(
                 TEND_SECONDS if self._was_ready else START_TEND_SECONDS
             )
--- a/waywell/quarantine/held_records.py
+++ b/waywell/quarantine/held_records.py
@@ -25,7 +25,7 @@
 
     from waywell.connection.platform import Changes, Stored
     from waywell.connection.store_era import EraChange
-    from waywell.knowledge.platform_watch import WatchParts
+    from waywell.knowledge.platform_watch import WatchContext
     from waywell.quarantine.quarantine import Quarantine
 
 LOOK_SECONDS = 1.5
@@ -72,13 +72,16 @@
 
     def __init__(
         self,
-        parts: WatchParts,
+        parts: WatchContext,
         quarantine: Quarantine,
         is_cleaner: Callable[[], bool],
     ) -> None:
         """Know of no record."""
         scope = WatchScope(
-            'held_requests', Kind.HELD_REQUEST, wait=0.0, pace=LOOK_SECONDS
+            'held_requests',
+            Kind.HELD_REQUEST,
+            watch_seconds=0.0,
+            interval=LOOK_SECONDS,
         )
         super().__init__('held_records', scope, parts)
         self._quarantine = quarantine
@@ -89,14 +92,16 @@
         quarantine.tell(self)
         parts.cluster.eras.listen(self._write_again)
 
-    def take(self, changes: Changes, asked_at: float, now: float) -> None:
+    def apply_changes(
+        self, changes: Changes, asked_at: float, now: float
+    ) -> None:
         """Put the holds that are listed in force."""
         self._has_read = True
         self._listed = {stored.name for stored in changes.objects}
         for stored in changes.objects:
             self._take_record(stored, now)
 
-    def take_fault(self, fault: PlatformFault, now: float) -> None:
+    def handle_fault(self, fault: PlatformFault, now: float) -> None:
         """Go on by what is known."""
 
     def on_held(self, held: Quarantine.Held) -> None:
@@ -112,7 +117,7 @@
 
     async def read(self) -> Result[Changes, PlatformFault]:
         """List all records; only the first list must be the newest."""
-        return await self._parts.platform.fetch_all(
+        return await self._context.platform.fetch_all(
             Kind.HELD_REQUEST, fresh=not self._has_read
         )
 
@@ -125,7 +130,7 @@
                 self.spawn(self._write_later(trait, hold))
 
     async def _write_later(self, trait: Trait, hold: Hold) -> None:
-        await asyncio.sleep(self._parts.draw() * SPREAD_SECONDS)
+        await asyncio.sleep(self._context.draw() * SPREAD_SECONDS)
         await self._write(trait, hold)
 
     def _take_record(self, stored: Stored, now: float) -> None:
@@ -136,7 +141,7 @@
                 'held_request_unreadable', name=stored.name, error=str(error)
             )
             return
-        age = max(0.0, self._parts.clock.read_wall() - record.ended_at)
+        age = max(0.0, self._context.clock.read_wall() - record.ended_at)
         if age <= MEMORY_SECONDS:
             hold = Hold(record.ends, now - age)
             self._quarantine.take_stored(Trait(stored.name), hold)
@@ -179,7 +184,7 @@
         """Write a record once; return why it is not there, if it is not."""
         if len(self._listed) >= MOST_RECORDS:
             return PlatformFault.TOO_LARGE
-        platform = self._parts.platform
+        platform = self._context.platform
         found = await platform.fetch(Kind.HELD_REQUEST, trait)
         if isinstance(found, Failure):
             unread: PlatformFault = found.failure()
@@ -187,8 +192,8 @@
         stored = found.unwrap()
         if stored is not None and _count_ends(stored) >= hold.crashes:
             return None
-        age = self._parts.clock.read() - hold.ended_at
-        ended_at = self._parts.clock.read_wall() - age
+        age = self._context.clock.read() - hold.ended_at
+        ended_at = self._context.clock.read_wall() - age
         written = await platform.write(
             Kind.HELD_REQUEST,
             trait,
@@ -201,7 +206,7 @@
         return None
 
     async def _remove(self, trait: Trait) -> None:
-        removed = await self._parts.platform.delete(Kind.HELD_REQUEST, trait)
+        removed = await self._context.platform.delete(Kind.HELD_REQUEST, trait)
         if isinstance(removed, Failure):
             log_event(
                 'held_request_not_removed',
--- a/waywell/quarantine/tasks.py
+++ b/waywell/quarantine/tasks.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from waywell.knowledge.platform_watch import WatchParts
+    from waywell.knowledge.platform_watch import WatchContext
     from waywell.membership.links import PeerLinks
     from waywell.process.clock import Clock
     from waywell.request.paths import LinkCheck
@@ -44,7 +44,7 @@
 
 def make_quarantine(
     links: PeerLinks,
-    watch_parts: WatchParts,
+    watch_parts: WatchContext,
     is_single: Callable[[], bool],
     verify: LinkCheck,
 ) -> QuarantineTasks:
