--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -131,7 +131,7 @@
         )
         engine = Engine(9, (EngineModel(MODEL, 2),))
         cluster = ClusterView(PromiseSettings())
-        cluster.take_routes(
+        cluster.apply_routes(
             RouteTable(
                 1,
                 (route,),
@@ -139,7 +139,7 @@
             ),
         )
         cluster.confirm_routes(self.clock.now)
-        cluster.take_fleet(
+        cluster.apply_fleet(
             make_fleet(
                 *make_group('notes.7', 'a', 'b'),
                 *make_group('notes.8', 'c', 'd'),
@@ -255,7 +255,7 @@
                 standing=None,
                 incarnation=Incarnation(2),
             )
-        self.cluster.take_fleet(Fleet(boxes), self.clock.now)
+        self.cluster.apply_fleet(Fleet(boxes), self.clock.now)
         await self.settle()
 
 
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -139,7 +139,7 @@
         head, member = (
             ('a', 'b') if first.replica.head.box == 'a' else ('c', 'd')
         )
-        stage.cluster.take_fleet(
+        stage.cluster.apply_fleet(
             make_fleet(*make_group('notes.9', head, member)),
             stage.clock.now + 0.1,
         )
@@ -155,7 +155,7 @@
     async def play() -> None:
         await stage.begin()
         (first,) = stage.attempts
-        stage.cluster.listen_for_ends(
+        stage.cluster.add_end_listener(
             stage.forwarder._parts.backpressure.forget_ended
         )
         await stage.head(first, status=503, mark=REST)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -79,7 +79,7 @@
     clock = SystemClock()
     cluster = ClusterView(PromiseSettings())
     holder = KeyHolder(AccountName('shop'))
-    cluster.take_routes(RouteTable(1, holders={KEY: holder}))
+    cluster.apply_routes(RouteTable(1, holders={KEY: holder}))
     cluster.confirm_routes(clock.read())
     cluster.check_keys(clock.read())
     suspend()
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -44,7 +44,7 @@
 
 def test_routes_that_are_not_confirmed_in_time_serve_nobody() -> None:
     cluster = make_cluster()
-    cluster.take_routes(TABLE)
+    cluster.apply_routes(TABLE)
     cluster.confirm_routes(10.0)
     last = 10.0 + 5.0 - KEY_MARGIN
     assert check(cluster, last - 0.001) is None
@@ -56,14 +56,14 @@
         PromiseSettings(keys_refused_within_ms=5000.0, keys_strict=False)
     )
     assert check(cluster, 10.0) is Code.NODE_STARTING
-    cluster.take_routes(TABLE)
+    cluster.apply_routes(TABLE)
     cluster.confirm_routes(10.0)
     assert check(cluster, 100.0) is None
 
 
 def test_an_older_confirmation_takes_nothing_back() -> None:
     cluster = make_cluster()
-    cluster.take_routes(TABLE)
+    cluster.apply_routes(TABLE)
     cluster.confirm_routes(10.0)
     cluster.confirm_routes(7.0)
     assert cluster.get_routes_age(10.0) == 0
@@ -71,38 +71,38 @@
 
 def test_no_version_goes_back() -> None:
     cluster = make_cluster()
-    assert cluster.take_routes(RouteTable(5))
-    assert not cluster.take_routes(RouteTable(4))
-    assert not cluster.take_routes(RouteTable(5))
+    assert cluster.apply_routes(RouteTable(5))
+    assert not cluster.apply_routes(RouteTable(4))
+    assert not cluster.apply_routes(RouteTable(5))
     assert cluster.index.table.version == 5
 
 
 def test_a_replica_that_left_its_group_gets_nothing_more() -> None:
     cluster = make_cluster()
-    cluster.take_routes(TABLE)
-    cluster.take_fleet(make_fleet(*make_group('notes.7', 'a', 'b')), 1.0)
+    cluster.apply_routes(TABLE)
+    cluster.apply_fleet(make_fleet(*make_group('notes.7', 'a', 'b')), 1.0)
     (replica,) = cluster.list_replicas(ServiceName('llm'), ModelName('notes'))
     assert cluster.may_send_to(replica)
-    cluster.take_fleet(make_fleet(*make_group('notes.8', 'a', 'b')), 2.0)
+    cluster.apply_fleet(make_fleet(*make_group('notes.8', 'a', 'b')), 2.0)
     assert not cluster.may_send_to(replica)
 
 
 def test_a_doubted_replica_is_out_until_the_list_changes() -> None:
     cluster = make_cluster()
-    cluster.take_routes(TABLE)
+    cluster.apply_routes(TABLE)
     fleet = make_fleet(*make_group('notes.7', 'a', 'b'))
-    cluster.take_fleet(fleet, 1.0)
+    cluster.apply_fleet(fleet, 1.0)
     service, model = ServiceName('llm'), ModelName('notes')
     (replica,) = cluster.list_replicas(service, model)
-    cluster.doubt(replica)
+    cluster.exclude_replica(replica)
     assert not cluster.list_replicas(service, model)
-    cluster.take_fleet(fleet, 2.0)
+    cluster.apply_fleet(fleet, 2.0)
     assert cluster.list_replicas(service, model)
 
 
 def test_an_unknown_model_has_no_replica() -> None:
     cluster = make_cluster()
-    cluster.take_routes(TABLE)
+    cluster.apply_routes(TABLE)
     assert not cluster.list_replicas(ServiceName('llm'), ModelName('other'))
     with pytest.raises(Refusal):
         cluster.check_keys(100.0)
@@ -111,8 +111,8 @@
 def test_an_engine_without_models_is_served_by_its_boxes_one_by_one() -> None:
     cluster = make_cluster()
     service = RoutedService(ServiceName('llm'), engine=Engine(9, ()))
-    cluster.take_routes(RouteTable(1, services=(service,)))
-    cluster.take_fleet(make_fleet(make_box('a'), make_box('b')), 1.0)
+    cluster.apply_routes(RouteTable(1, services=(service,)))
+    cluster.apply_fleet(make_fleet(make_box('a'), make_box('b')), 1.0)
     replicas = cluster.list_replicas(ServiceName('llm'), ModelName('notes'))
     assert [replica.key.box for replica in replicas] == ['a', 'b']
     assert not list(cluster.index.list_engines())
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -66,7 +66,7 @@
 class Bench:
     """A node whose hall is read by node b, or another than b's."""
 
-    def __init__(self, reads_from: float = 0.0, hall: str = HALL) -> None:
+    def __init__(self, read_after: float = 0.0, hall: str = HALL) -> None:
         self.clock = HeldClock()
         self.links = _Links()
         self.cluster = ClusterView(PromiseSettings())
@@ -81,7 +81,7 @@
             ReplicaBook(),
             SharedLoads(),
             make_poll_intervals(PromiseSettings()),
-            reads_from,
+            read_after,
         )
 
     def ask(self) -> FeedAsk:
@@ -114,7 +114,7 @@
 
 def test_ages_count_from_the_question_however_long_its_answer_took() -> None:
     bench = Bench()
-    bench.cluster.take_routes(RouteTable(7))
+    bench.cluster.apply_routes(RouteTable(7))
     ask = bench.ask()
     # The answer lies in a buffer, or this process stands still.
     bench.clock.now += 3.0
@@ -124,15 +124,15 @@
 
 def test_an_answer_about_another_version_confirms_nothing() -> None:
     bench = Bench()
-    bench.cluster.take_routes(RouteTable(6))
+    bench.cluster.apply_routes(RouteTable(6))
     bench.cluster.confirm_routes(98.0)
     bench.answer(bench.ask())
     assert bench.get_ages()[0] == 2.0
-    assert bench.feed.behind_version == 7
+    assert bench.feed.newer_version == 7
     assert bench.ask().wants_routes
     bench.answer(bench.ask(), routes=RouteTable(7))
     assert bench.cluster.index.table.version == 7
-    assert bench.feed.behind_version == 0
+    assert bench.feed.newer_version == 0
 
 
 def test_an_older_box_list_never_replaces_a_newer_one() -> None:
@@ -164,7 +164,7 @@
 
 def test_a_question_is_answered_once_only() -> None:
     bench = Bench()
-    bench.cluster.take_routes(RouteTable(7))
+    bench.cluster.apply_routes(RouteTable(7))
     ask = bench.ask()
     bench.answer(ask)
     bench.clock.now += 2.0
@@ -174,7 +174,7 @@
 
 def test_a_node_reads_by_itself_when_its_reader_tells_old_news() -> None:
     bench = Bench()
-    bench.cluster.take_routes(RouteTable(7))
+    bench.cluster.apply_routes(RouteTable(7))
     bench.answer(bench.ask(), boxes=(make_box('x'),))
     now = bench.clock.now
     assert not bench.feed.needs_routes(now)
@@ -188,7 +188,7 @@
 
 
 def test_at_the_first_start_a_node_lets_others_read_for_a_while() -> None:
-    bench = Bench(reads_from=102.0)
+    bench = Bench(read_after=102.0)
     assert not bench.feed.needs_boxes(101.9)
     assert not bench.feed.needs_routes(101.9)
     assert bench.feed.needs_boxes(102.0)
@@ -197,7 +197,7 @@
 
 def test_a_reader_that_reaches_the_platform_asks_for_no_boxes() -> None:
     bench = Bench(hall=FAR)
-    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
     bench.cluster.confirm_routes(bench.clock.now)
     ask = bench.ask()
     assert not ask.wants_boxes
@@ -207,7 +207,7 @@
 
 def test_a_reader_that_is_cut_off_takes_the_boxes_of_others() -> None:
     bench = Bench(hall=FAR)
-    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
     bench.clock.now += 1.5
     ask = bench.ask()
     # Ages first: only one of those that know more is asked for its list.
@@ -227,7 +227,7 @@
     boxes 2.8 MB/s from seven peers, over links of 2.5 MB/s.
     """
     bench = Bench(hall=FAR)
-    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
     for _ in range(10):
         bench.clock.now += 0.7
         ask = bench.ask()
@@ -239,7 +239,7 @@
 
 def test_one_peer_is_asked_for_its_newer_list_at_a_time() -> None:
     bench = Bench(hall=FAR)
-    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
     bench.clock.now += 1.5
     first = bench.ask()
     (other,) = (ask for node, ask in bench.links.sent if node == 'c')
@@ -251,7 +251,7 @@
 
 def test_only_readers_are_told_of_requests_in_flight() -> None:
     bench = Bench()
-    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
     bench.clock.now += 1.5
     assert bench.ask().loads is not None
     (other,) = (ask for node, ask in bench.links.sent if node == 'c')
@@ -262,7 +262,7 @@
 
 def test_boxes_and_loads_are_told_only_to_those_who_want_them() -> None:
     bench = Bench(hall=FAR)
-    bench.cluster.take_fleet(make_fleet(make_box('x')), bench.clock.now)
+    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
     ask = FeedAsk(1, 0, 0, 0, hall=FAR, wants_boxes=False)
     bench.feed.on_received(PeerLinks.Received(NodeId('b'), ask))
     asked = msgspec.structs.replace(ask, wants_boxes=True)
@@ -278,7 +278,7 @@
     Each node read each version from the platform as soon as it heard of it.
     """
     bench = Bench()
-    bench.cluster.take_routes(RouteTable(6))
+    bench.cluster.apply_routes(RouteTable(6))
     bench.cluster.confirm_routes(bench.clock.now)
     ask = bench.ask()
     assert ask.wants_routes
@@ -290,7 +290,7 @@
 def test_a_node_whose_reader_sends_no_newer_routes_reads_them() -> None:
     """The reader lives and answers, and its routes are not the newest."""
     bench = Bench()
-    bench.cluster.take_routes(RouteTable(6))
+    bench.cluster.apply_routes(RouteTable(6))
     bench.cluster.confirm_routes(bench.clock.now)
     bench.answer(bench.ask())
     assert not bench.feed.needs_routes(bench.clock.now)
--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -118,7 +118,7 @@
     head, member = make_group('big.7', 'a', 'b')
     bench = Bench(head, member)
     assert bench.list(5.0, head) == {'a', 'b'}
-    assert bench.cluster.kept == {'b'}
+    assert bench.cluster.retained_boxes == {'b'}
     assert bench.list(4.9 + MEMBER_RETENTION_SECONDS, head) == {'a', 'b'}
     assert bench.list(5.1 + MEMBER_RETENTION_SECONDS, head) == {'a'}
 
@@ -158,7 +158,7 @@
     bench = Bench(head, member)
     bench.list(5.0, head)
     assert bench.list(6.0, head, member) == {'a', 'b'}
-    assert not bench.cluster.kept
+    assert not bench.cluster.retained_boxes
 
 
 def test_a_list_that_was_asked_for_earlier_undoes_no_later_one() -> None:
@@ -171,7 +171,7 @@
     old = msgspec.structs.replace(make_box('a'), incarnation=1)
     new = msgspec.structs.replace(make_box('a'), incarnation=2)
     bench = Bench(old)
-    bench.cluster.take_fleet(make_fleet(new), 5.3)
+    bench.cluster.apply_fleet(make_fleet(new), 5.3)
     stored = (Stored('box', old.box, 1, old),)
     bench.watch.apply_changes(Changes(9, stored, complete=True), 5.0, 5.4)
     assert bench.cluster.fleet.boxes[old.box].incarnation == 2
@@ -181,7 +181,7 @@
     None
 ):
     bench = Bench(make_box('a'))
-    bench.cluster.take_fleet(make_fleet(make_box('a'), make_box('b')), 5.3)
+    bench.cluster.apply_fleet(make_fleet(make_box('a'), make_box('b')), 5.3)
     changes = (make_box('a'), make_box('b'), make_box('c'))
     stored = tuple(Stored('box', box.box, 1, box) for box in changes)
     bench.watch.apply_changes(Changes(9, stored, complete=True), 5.0, 5.4)
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -46,7 +46,7 @@
 def make_cluster() -> ClusterView:
     engine = Engine(9, (EngineModel(ModelName('notes'), 2),))
     cluster = ClusterView(PromiseSettings())
-    cluster.take_routes(
+    cluster.apply_routes(
         RouteTable(1, (), (RoutedService(LLM, engine=engine),))
     )
     boxes = [
@@ -54,7 +54,7 @@
         for number, head in enumerate(HEADS)
         for box in make_group(f'notes.{number + 7}', head, f'm{number}')
     ]
-    cluster.take_fleet(make_fleet(*boxes), 0.0)
+    cluster.apply_fleet(make_fleet(*boxes), 0.0)
     return cluster
 
 
--- a/tests/test_readiness_gate.py
+++ b/tests/test_readiness_gate.py
@@ -11,11 +11,11 @@
 from waywell.ids import NodeId
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.readiness_gate import (
-    LOOK_WAIT_SECONDS,
-    PEERS_WAIT_SECONDS,
-    RESTART_WAIT_SECONDS,
+    NODE_LIST_TIMEOUT,
+    PEER_ANSWER_TIMEOUT,
+    RESTART_TIMEOUT,
     ReadinessGate,
-    StartView,
+    StartupState,
 )
 from waywell.membership.links import PeerLinks
 from waywell.membership.presence import PeerContacts
@@ -35,8 +35,8 @@
     is_first_start: bool = False,
     has_looked: bool = True,
     open_calls: int = 0,
-) -> StartView:
-    return StartView(
+) -> StartupState:
+    return StartupState(
         version=version,
         latest_version=latest,
         is_first_start=is_first_start,
@@ -44,7 +44,7 @@
     )
 
 
-def is_open(gate: ReadinessGate, seen: StartView, now: float = NOW) -> bool:
+def is_open(gate: ReadinessGate, seen: StartupState, now: float = NOW) -> bool:
     gate.update(seen, now)
     return gate.is_open
 
@@ -70,7 +70,7 @@
     gate.record_answer(B, is_ready=True)
     behind = view(B, version=1, latest=2)
     assert not is_open(gate, behind)
-    assert not is_open(gate, behind, NOW + 100 * PEERS_WAIT_SECONDS)
+    assert not is_open(gate, behind, NOW + 100 * PEER_ANSWER_TIMEOUT)
     assert is_open(gate, view(B, version=2, latest=2))
 
 
@@ -94,8 +94,8 @@
     assert not is_open(gate, view(version=0, latest=0), NOW - 50)
     silent = view(B, open_calls=1)
     assert not is_open(gate, silent)
-    assert not is_open(gate, silent, NOW + PEERS_WAIT_SECONDS - 0.01)
-    assert is_open(gate, silent, NOW + PEERS_WAIT_SECONDS)
+    assert not is_open(gate, silent, NOW + PEER_ANSWER_TIMEOUT - 0.01)
+    assert is_open(gate, silent, NOW + PEER_ANSWER_TIMEOUT)
 
 
 def test_after_a_stop_of_all_a_node_that_is_gone_holds_up_nobody() -> None:
@@ -104,8 +104,8 @@
     gate.record_answer(C, is_ready=False)
     most_start = view(B, C, D, open_calls=1)
     assert not is_open(gate, most_start)
-    assert not is_open(gate, most_start, NOW + RESTART_WAIT_SECONDS - 0.01)
-    assert is_open(gate, most_start, NOW + RESTART_WAIT_SECONDS)
+    assert not is_open(gate, most_start, NOW + RESTART_TIMEOUT - 0.01)
+    assert is_open(gate, most_start, NOW + RESTART_TIMEOUT)
 
 
 def test_half_of_the_peers_starting_is_no_stop_of_all() -> None:
@@ -113,7 +113,7 @@
     gate.record_answer(B, is_ready=False)
     half = view(B, C, open_calls=1)
     assert not is_open(gate, half)
-    assert not is_open(gate, half, NOW + PEERS_WAIT_SECONDS - 0.01)
+    assert not is_open(gate, half, NOW + PEER_ANSWER_TIMEOUT - 0.01)
 
 
 def test_a_later_version_keeps_a_node_closed_while_most_start() -> None:
@@ -122,31 +122,31 @@
     gate.record_answer(C, is_ready=False)
     behind = view(B, C, D, latest=2, open_calls=1)
     assert not is_open(gate, behind)
-    assert not is_open(gate, behind, NOW + RESTART_WAIT_SECONDS)
+    assert not is_open(gate, behind, NOW + RESTART_TIMEOUT)
 
 
 def test_the_list_of_nodes_is_waited_for_no_longer_than_the_bound() -> None:
     gate = ReadinessGate(is_strict=True)
     unknown = view(has_looked=False)
     assert not is_open(gate, unknown)
-    assert not is_open(gate, unknown, NOW + LOOK_WAIT_SECONDS - 0.01)
-    assert is_open(gate, unknown, NOW + LOOK_WAIT_SECONDS)
+    assert not is_open(gate, unknown, NOW + NODE_LIST_TIMEOUT - 0.01)
+    assert is_open(gate, unknown, NOW + NODE_LIST_TIMEOUT)
 
 
 def test_peers_have_their_time_though_the_list_came_late() -> None:
     gate = ReadinessGate(is_strict=True)
     assert not is_open(gate, view(has_looked=False))
-    called_at = NOW + PEERS_WAIT_SECONDS
+    called_at = NOW + PEER_ANSWER_TIMEOUT
     silent = view(B, open_calls=1)
     assert not is_open(gate, silent, called_at)
-    assert not is_open(gate, silent, called_at + PEERS_WAIT_SECONDS - 0.01)
-    assert is_open(gate, silent, called_at + PEERS_WAIT_SECONDS)
+    assert not is_open(gate, silent, called_at + PEER_ANSWER_TIMEOUT - 0.01)
+    assert is_open(gate, silent, called_at + PEER_ANSWER_TIMEOUT)
 
 
 def test_a_node_that_is_not_ready_refuses_as_one_that_starts() -> None:
     gate = ReadinessGate(is_strict=True)
     cluster = ClusterView(PromiseSettings(), gate=gate)
-    cluster.take_routes(RouteTable(1))
+    cluster.apply_routes(RouteTable(1))
     cluster.confirm_routes(NOW)
     with pytest.raises(Refusal) as refused:
         cluster.check_routes(NOW)
@@ -157,13 +157,13 @@
 
 def test_nothing_confirms_a_version_while_a_later_one_is_known() -> None:
     cluster = ClusterView(PromiseSettings())
-    cluster.take_routes(RouteTable(1))
+    cluster.apply_routes(RouteTable(1))
     cluster.confirm_routes(NOW)
     cluster.observe_version(2)
     cluster.confirm_routes(NOW + 3)
     assert cluster.get_routes_age(NOW + 3) == 3
     assert not cluster.are_keys_fresh(NOW + 5)
-    cluster.take_routes(RouteTable(2))
+    cluster.apply_routes(RouteTable(2))
     cluster.confirm_routes(NOW + 5)
     assert cluster.are_keys_fresh(NOW + 5)
 
@@ -171,7 +171,7 @@
 def test_a_new_peer_is_asked_at_once_for_the_later_routes_it_tells() -> None:
     bench = Bench()
     bench.cluster.gate = ReadinessGate(is_strict=True)
-    bench.cluster.take_routes(RouteTable(6))
+    bench.cluster.apply_routes(RouteTable(6))
     bench.feed.on_opened(PeerLinks.Opened(make_record('b')))
     (ask,) = list_asks(bench)
     assert not ask.wants_boxes
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.cluster = ClusterView(PromiseSettings())
         self.ended: list[EndedLife] = []
-        self.cluster.listen_for_ends(self.ended.extend)
+        self.cluster.add_end_listener(self.ended.extend)
 
     def list(self, now: float, *boxes: FleetBox) -> dict[str, FleetBox]:
         self.cluster.update_fleet(make_fleet(*boxes), now, now)
@@ -129,9 +129,9 @@
     bench = WatchBench(make_box('a'), make_box('b'))
     bench.cluster.begin_recovery(3.0)
     assert bench.list(3.1, make_box('a')) == {'a', 'b'}
-    assert bench.cluster.kept == {'b'}
+    assert bench.cluster.retained_boxes == {'b'}
     assert bench.list(3.5, make_box('a'), make_box('b')) == {'a', 'b'}
-    assert not bench.cluster.kept
+    assert not bench.cluster.retained_boxes
 
 
 def test_a_node_that_is_told_by_another_one_holds_what_it_knows() -> None:
--- a/waywell/duties/box_survey.py
+++ b/waywell/duties/box_survey.py
@@ -131,7 +131,7 @@
 
     def ask_kept(self, memory: FormingMemory, now: float) -> None:
         """Ask boxes whose entries have gone whether they live."""
-        for name in self._cluster.kept:
+        for name in self._cluster.retained_boxes:
             box = self._cluster.fleet.boxes.get(name)
             if box is not None and box.life not in memory.lost:
                 self._ask_again(memory, box, now)
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -227,7 +227,7 @@
                 engine,
                 self._list_present(name, memory),
                 self._read_demand(now),
-                self._cluster.kept,
+                self._cluster.retained_boxes,
             )
             planner = FormingPlanner(view, memory, now)
             self._send(planner.plan())
--- a/waywell/experiment/call.py
+++ b/waywell/experiment/call.py
@@ -306,7 +306,7 @@
             return
         running = fleet_model.find_running(key)
         if running is None:
-            self._call.parts.cluster.doubt(self._replica)
+            self._call.parts.cluster.exclude_replica(self._replica)
             self._call.on_rejected(self)
         elif running.engine.submit(self._work):
             self._engine = running.engine
--- a/waywell/experiment/play.py
+++ b/waywell/experiment/play.py
@@ -77,7 +77,7 @@
         stall = load.platform.stall_seconds / MS
         self._cluster = ClusterView(PromiseSettings(stalled_within_ms=stall))
         engine = make_engine(load)
-        self._cluster.take_routes(_make_routes(load, engine))
+        self._cluster.apply_routes(_make_routes(load, engine))
         nodes = self._make_nodes(policy, seed)
         holder = FormingHolder(
             engine,
@@ -145,7 +145,7 @@
         share_loads(self.parts.nodes, self.timeline.now)
 
     def _forget_replicas(self) -> None:
-        keys = self._cluster.list_keys()
+        keys = self._cluster.list_replica_keys()
         for node in self.parts.nodes:
             node.book.forget_others(keys)
 
--- a/waywell/knowledge/box_lists.py
+++ b/waywell/knowledge/box_list_history.py
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MOST_SERIALS = 64
+MAX_KEPT_LISTS = 64
 """Versions of the box list that changes can be told from."""
 
 
-class Delta(msgspec.Struct, frozen=True):
+class BoxListDelta(msgspec.Struct, frozen=True):
     """What differs between two box lists."""
 
     boxes: tuple[FleetBox, ...]
@@ -27,30 +27,30 @@
     """Boxes that are not on the list any more."""
 
 
-class BoxLists:
+class BoxListHistory:
     """Keeps the last versions of a node's box list."""
 
     def __init__(self) -> None:
         """Keep none."""
         self._fleets: OrderedDict[int, Fleet] = OrderedDict()
         self._newest = Fleet({})
-        self._deltas: dict[int | None, Delta] = {}
+        self._deltas: dict[int | None, BoxListDelta] = {}
 
-    def remember(self, fleet: Fleet, serial: int) -> None:
+    def add(self, fleet: Fleet, serial: int) -> None:
         """Keep a version as the newest."""
         if serial in self._fleets:
             return
         self._newest = fleet
         self._deltas.clear()
         self._fleets[serial] = fleet
-        while len(self._fleets) > MOST_SERIALS:
+        while len(self._fleets) > MAX_KEPT_LISTS:
             self._fleets.popitem(last=False)
 
     def __contains__(self, serial: int) -> bool:
         """Answer whether a version is kept."""
         return serial in self._fleets
 
-    def find_delta(self, base: int | None) -> Delta:
+    def find_delta(self, base: int | None) -> BoxListDelta:
         """Return what differs between a version and the newest.
 
         Most followers hold the same version, so it is worked out once for
@@ -72,8 +72,8 @@
 def _find_delta(
     known: Mapping[BoxId, FleetBox],
     boxes: Mapping[BoxId, FleetBox],
-) -> Delta:
-    return Delta(
+) -> BoxListDelta:
+    return BoxListDelta(
         tuple(box for name, box in boxes.items() if known.get(name) != box),
         tuple(known.keys() - boxes.keys()),
     )
--- a/waywell/knowledge/cluster_view.py
+++ b/waywell/knowledge/cluster_view.py
@@ -9,7 +9,7 @@
 from waywell.codes import Code, Refusal
 from waywell.connection.store_era import EraTracker
 from waywell.ids import ModelName
-from waywell.knowledge.readiness_gate import ReadinessGate, StartView
+from waywell.knowledge.readiness_gate import ReadinessGate, StartupState
 from waywell.knowledge.restored_entries import RestoredEntries
 from waywell.telemetry.events import log_event
 from waywell.version.fleet import (
@@ -36,7 +36,7 @@
 """Seconds by which keys are given up before the promised bound: a send that
 is decided may wait this long in the machine before its bytes leave."""
 
-ROUTES_BACK_SECONDS = 0.5
+ROUTES_RETRY_SECONDS = 0.5
 """Advice to callers while the routes are not confirmed."""
 
 
@@ -69,7 +69,7 @@
         self.latest_version = 0
         self.fleet = Fleet({})
         self.fleet_serial = 0
-        self.kept: frozenset[BoxId] = frozenset()
+        self.retained_boxes: frozenset[BoxId] = frozenset()
         self.last_models: dict[BoxLife, ModelName] = {}
         self.lives = LifeTracker(promises.group_stall)
         self.restored = RestoredEntries()
@@ -84,7 +84,7 @@
         """Return whether callers may be served by a version in force."""
         return self.index.table.version > 0 and self.gate.is_open
 
-    def take_routes(self, table: RouteTable) -> bool:
+    def apply_routes(self, table: RouteTable) -> bool:
         """Put a version in force, unless it is not newer; answer whether."""
         if table.version <= self.index.table.version:
             return False
@@ -97,7 +97,7 @@
         """Record a version of the routes that some node has in force."""
         self.latest_version = max(self.latest_version, version)
 
-    def compare_routes(self, contacts: PeerContacts, now: float) -> None:
+    def update_gate(self, contacts: PeerContacts, now: float) -> None:
         """Begin to serve where the routes were compared with those of peers.
 
         Parameters
@@ -107,7 +107,7 @@
         now
             The present time, in seconds.
         """
-        view = StartView(
+        view = StartupState(
             self.index.table.version,
             self.latest_version,
             self.eras.is_first_start,
@@ -157,10 +157,10 @@
         if not self.is_newer_fleet(asked_at):
             return False
         is_as_listed = boxes is fleet.boxes
-        self.take_fleet(fleet if is_as_listed else Fleet(boxes), asked_at)
+        self.apply_fleet(fleet if is_as_listed else Fleet(boxes), asked_at)
         return True
 
-    def take_fleet(self, fleet: Fleet, asked_at: float) -> None:
+    def apply_fleet(self, fleet: Fleet, asked_at: float) -> None:
         """Put a box list in force that was asked for at a moment."""
         change = compare_fleets(self.fleet, fleet)
         note_models(self.last_models, self.fleet, change)
@@ -172,7 +172,7 @@
         if ended:
             self._tell_ended(ended)
 
-    def listen_for_ends(self, listener: EndListener) -> None:
+    def add_end_listener(self, listener: EndListener) -> None:
         """Call a listener with the lives that a new list shows to be over."""
         self._end_listeners.append(listener)
 
@@ -201,7 +201,7 @@
             Before the first version, or when the one in force may be old.
         """
         if not self.has_routes:
-            raise Refusal(Code.NODE_STARTING, retry_after=ROUTES_BACK_SECONDS)
+            raise Refusal(Code.NODE_STARTING, retry_after=ROUTES_RETRY_SECONDS)
         self.check_keys(now)
 
     def check_keys(self, now: float) -> None:
@@ -213,7 +213,7 @@
             When the routes are not confirmed within the promised bound.
         """
         if not self.are_keys_fresh(now):
-            raise Refusal(Code.ROUTES_STALE, retry_after=ROUTES_BACK_SECONDS)
+            raise Refusal(Code.ROUTES_STALE, retry_after=ROUTES_RETRY_SECONDS)
 
     def are_keys_fresh(self, now: float) -> bool:
         """Answer whether a key that is known here can be relied on.
@@ -250,7 +250,7 @@
                 counts[f'{service.name}/{name}'] = len(replicas)
         return counts
 
-    def list_keys(self) -> set[ReplicaKey]:
+    def list_replica_keys(self) -> set[ReplicaKey]:
         """Return the identities of all boxes with their present epochs."""
         return {make_key(box) for box in self.fleet.boxes.values()}
 
@@ -263,7 +263,7 @@
             return not replica.group
         return box.standing.epoch == replica.key.epoch
 
-    def doubt(self, replica: Replica) -> None:
+    def exclude_replica(self, replica: Replica) -> None:
         """Take a replica out that disowns its group; a new list clears it."""
         for found in self._replicas.values():
             if replica in found:
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -17,7 +17,7 @@
 
 from waywell.connection.peer import BoxLoad, FeedAnswer, FeedAsk
 from waywell.ids import NodeId
-from waywell.knowledge.box_lists import BoxLists
+from waywell.knowledge.box_list_history import BoxListHistory
 from waywell.knowledge.readers import HallReaders
 from waywell.membership.links import PeerLinks
 from waywell.process.actor import Actor, Message
@@ -33,10 +33,10 @@
     from waywell.request.replica_book import ReplicaBook
     from waywell.request.shared_loads import SharedLoads
 
-MOST_OPEN = 32
+MAX_OPEN_ASKS = 32
 """Questions without an answer that are remembered."""
 
-BEHIND_ASKS = 2.0
+NEWER_ROUTES_ASKS = 2.0
 """Questions to the reader that a node which knows of newer routes waits for
 before it reads them itself; the answer to the first one should bring them."""
 
@@ -108,7 +108,7 @@
         book: ReplicaBook,
         loads: SharedLoads,
         intervals: PollIntervals,
-        reads_from: float = 0.0,
+        read_after: float = 0.0,
     ) -> None:
         """Know no reader yet."""
         super().__init__('feed')
@@ -119,18 +119,18 @@
         self._book = book
         self._loads = loads
         self._intervals = intervals
-        self._reads_from = reads_from
+        self._read_after = read_after
         self._own = gossip.table.own
         self._incarnation = self._own.incarnation
         self._serial = 0
         self._asked: OrderedDict[int, _Asked] = OrderedDict()
-        self._lists = BoxLists()
+        self._lists = BoxListHistory()
         self._followed = _Followed()
         self._followers: set[NodeId] = set()
         self._readers = HallReaders(gossip.table)
         self._may_fetch = False
         self._behind_since = 0.0
-        self.behind_version = 0
+        self.newer_version = 0
         links.subscribe(self, PeerLinks.Opened, FeedAsk, FeedAnswer)
 
     def start(self) -> None:
@@ -144,20 +144,20 @@
 
     def needs_routes(self, now: float) -> bool:
         """Answer whether this node has to read the routes itself."""
-        if now < self._reads_from:
+        if now < self._read_after:
             return False
         if self.is_reader() or self._are_routes_old(now):
             return True
         # Nobody has sent the newer routes that there are.
         waited = now - self._behind_since
         return (
-            self.behind_version > 0
-            and waited > BEHIND_ASKS * self._intervals.ask_interval
+            self.newer_version > 0
+            and waited > NEWER_ROUTES_ASKS * self._intervals.ask_interval
         )
 
     def needs_boxes(self, now: float) -> bool:
         """Answer whether this node has to read the box list itself."""
-        if now < self._reads_from:
+        if now < self._read_after:
             return False
         return self.is_reader() or self._are_boxes_old(now)
 
@@ -249,14 +249,14 @@
         follows = peer == self._readers.own
         base = self._followed if self._followed.node == peer else _Followed()
         self._asked[self._serial] = _Asked(now, base, wants_boxes)
-        while len(self._asked) > MOST_OPEN:
+        while len(self._asked) > MAX_OPEN_ASKS:
             self._asked.popitem(last=False)
         ask = FeedAsk(
             self._serial,
             self._cluster.index.table.version,
             base.run,
             base.serial,
-            wants_routes=self.behind_version > 0 or follows,
+            wants_routes=self.newer_version > 0 or follows,
             hall=self._own.hall,
             loads=loads,
             wants_boxes=wants_boxes,
@@ -267,7 +267,7 @@
     def _answer(self, peer: NodeId, ask: FeedAsk) -> None:
         now = self._clock.read()
         self._take_loads(peer, ask, now)
-        self._lists.remember(self._cluster.fleet, self._cluster.fleet_serial)
+        self._lists.add(self._cluster.fleet, self._cluster.fleet_serial)
         self._links.send(peer, self._make_answer(peer, ask, now))
 
     def _make_answer(
@@ -355,13 +355,13 @@
         asked_at: float,
     ) -> None:
         if answer.routes is not None:
-            self._cluster.take_routes(answer.routes)
+            self._cluster.apply_routes(answer.routes)
         self._cluster.observe_version(answer.version)
         own = self._cluster.index.table.version
         if answer.version > own:
             self._note_behind(peer, answer.version)
-        elif own >= self.behind_version:
-            self.behind_version = 0
+        elif own >= self.newer_version:
+            self.newer_version = 0
         if answer.version == own and own:
             self._cluster.confirm_routes(asked_at - answer.routes_age)
         record = self._gossip.table.find(peer)
@@ -371,10 +371,10 @@
     def _note_behind(self, peer: NodeId, version: int) -> None:
         """Record a later version; before this node is ready, ask for it."""
         now = self._clock.read()
-        if not self.behind_version:
+        if not self.newer_version:
             self._behind_since = now
-        is_news = version > self.behind_version
-        self.behind_version = version
+        is_news = version > self.newer_version
+        self.newer_version = version
         if is_news and not self._cluster.gate.is_open:
             self._ask(peer, now, wants_boxes=False)
 
--- a/waywell/knowledge/fleet_watch.py
+++ b/waywell/knowledge/fleet_watch.py
@@ -119,7 +119,9 @@
         # beyond that list is taken with the next look.
         is_new = self._cluster.update_fleet(Fleet(boxes), asked_at, now)
         in_force = self._cluster.fleet.boxes
-        self._cluster.kept = frozenset(in_force.keys() - listed.keys())
+        self._cluster.retained_boxes = frozenset(
+            in_force.keys() - listed.keys()
+        )
         if is_new:
             self._log_changes(in_force, known)
 
--- a/waywell/knowledge/readiness_gate.py
+++ b/waywell/knowledge/readiness_gate.py
@@ -18,13 +18,13 @@
 if TYPE_CHECKING:
     from waywell.ids import NodeId
 
-PEERS_WAIT_SECONDS = 2.0
+PEER_ANSWER_TIMEOUT = 2.0
 """Longest wait for the answers of peers that were called."""
 
-RESTART_WAIT_SECONDS = 0.5
+RESTART_TIMEOUT = 0.5
 """Longest wait for silent peers while most of the others start as well."""
 
-LOOK_WAIT_SECONDS = 5.0
+NODE_LIST_TIMEOUT = 5.0
 """Longest wait for the list of nodes, from when routes are in force: a call
 that is not answered is repeated after 2 s."""
 
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class StartView:
+class StartupState:
     """What a node that has started knows of routes and other nodes."""
 
     version: int
@@ -86,7 +86,7 @@
         if not self.is_open:
             self._answered[peer] = is_ready
 
-    def update(self, view: StartView, now: float) -> None:
+    def update(self, view: StartupState, now: float) -> None:
         """Open the gate where the routes in force may be relied on.
 
         Parameters
@@ -116,7 +116,9 @@
             waited=round(now - self._since, 3),
         )
 
-    def _find_reason(self, view: StartView, now: float) -> GateReason | None:
+    def _find_reason(
+        self, view: StartupState, now: float
+    ) -> GateReason | None:
         """Return why the node may serve, if it may."""
         if view.latest_version > view.version:
             return None
@@ -139,10 +141,10 @@
     ) -> GateReason | None:
         """Return why no peer is waited for any longer, if none is."""
         called_for = now - self._called_at
-        is_over = now - self._since >= LOOK_WAIT_SECONDS
-        if is_over or called_for >= PEERS_WAIT_SECONDS:
+        is_over = now - self._since >= NODE_LIST_TIMEOUT
+        if is_over or called_for >= PEER_ANSWER_TIMEOUT:
             return GateReason.TIMED_OUT
-        if called_for >= RESTART_WAIT_SECONDS and self._do_most_start(peers):
+        if called_for >= RESTART_TIMEOUT and self._do_most_start(peers):
             return GateReason.MOST_START
         return None
 
--- a/waywell/knowledge/route_watch.py
+++ b/waywell/knowledge/route_watch.py
@@ -78,7 +78,7 @@
                 in_force=in_force,
                 revision=stored.version,
             )
-        if self._cluster.take_routes(stored.body):
+        if self._cluster.apply_routes(stored.body):
             log_event(
                 'routes_in_force',
                 version=stored.body.version,
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -105,7 +105,7 @@
         self.cluster = make_gated_cluster_view(settings.promises, adapter.eras)
         self.book = ReplicaBook()
         self.backpressure = Backpressure()
-        self.cluster.listen_for_ends(self.backpressure.forget_ended)
+        self.cluster.add_end_listener(self.backpressure.forget_ended)
         adapter.eras.listen(
             lambda _change: self.cluster.begin_recovery(self.clock.read())
         )
@@ -323,7 +323,7 @@
             self._random,
             lambda: self.presence.count_nodes() > 0,
         )
-        self.cluster.listen_for_ends(self.turns.forget_ended)
+        self.cluster.add_end_listener(self.turns.forget_ended)
         self.actors = (
             self.links,
             self.paths.watch,
@@ -468,7 +468,7 @@
         """
         while True:
             now = self.clock.read()
-            self.cluster.compare_routes(self.presence.get_contacts(), now)
+            self.cluster.update_gate(self.presence.get_contacts(), now)
             self._tell_readiness()
             self._forget_replicas()
             self.backpressure.forget_old(now)
@@ -497,7 +497,7 @@
         """Drop the records of replicas that a newer box list lacks."""
         if self.cluster.fleet_serial != self._tended_serial:
             self._tended_serial = self.cluster.fleet_serial
-            self.book.forget_others(self.cluster.list_keys())
+            self.book.forget_others(self.cluster.list_replica_keys())
             self.paths.watch.table.retain(
                 box.life for box in self.cluster.fleet.boxes.values()
             )
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -199,7 +199,7 @@
 
     def on_misdirected(self) -> None:
         """Take in that it is not what it was taken for."""
-        self._parts.cluster.doubt(self.replica)
+        self._parts.cluster.exclude_replica(self.replica)
 
     def on_pause(self, seconds: float) -> None:
         """Take in for how long it was silent between two pieces."""
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -34,7 +34,7 @@
         """Keep the parts."""
         self._parts = parts
         self._node_ends_at = math.inf
-        parts.cluster.listen_for_ends(parts.running.break_off)
+        parts.cluster.add_end_listener(parts.running.break_off)
 
     def leave(self, ends_at: float) -> None:
         """Take nothing more that can't be expected to end by a moment.
