--- a/tests/holder.py
+++ b/tests/holder.py
@@ -129,7 +129,7 @@
             fleet=Fleet({}),
             last_models=self.last_models,
             lives=LifeTracker(),
-            kept=frozenset(),
+            retained_boxes=frozenset(),
             get_boxes_age=lambda _now: 0.0,
         )
         self._term = 0
--- a/waywell/knowledge/__init__.py
+++ b/waywell/knowledge/__init__.py
@@ -1,1 +1,1 @@
-"""What a node knows of routes and boxes, and how it stays the newest."""
+"""A node's view of routes and boxes, and how it is kept up to date."""
--- a/waywell/knowledge/box_list_history.py
+++ b/waywell/knowledge/box_list_history.py
@@ -1,4 +1,4 @@
-"""Box lists that a reader keeps, to tell others only what has changed."""
+"""Recent versions of a node's box list, from which changes are computed."""
 
 from __future__ import annotations
 
@@ -14,30 +14,33 @@
     from collections.abc import Mapping
 
 MAX_KEPT_LISTS = 64
-"""Versions of the box list that changes can be told from."""
+"""Versions of the box list that are kept as bases for changes."""
 
 
 class BoxListDelta(msgspec.Struct, frozen=True):
-    """What differs between two box lists."""
+    """Difference between two box lists."""
 
     boxes: tuple[FleetBox, ...]
-    """Boxes that are new or have changed."""
+    """Boxes that were added or changed."""
 
     gone: tuple[BoxId, ...]
-    """Boxes that are not on the list any more."""
+    """Boxes that were removed."""
 
 
 class BoxListHistory:
-    """Keeps the last versions of a node's box list."""
+    """Keeps the most recent versions of a node's box list."""
 
     def __init__(self) -> None:
-        """Keep none."""
+        """Create an empty history."""
         self._fleets: OrderedDict[int, Fleet] = OrderedDict()
         self._newest = Fleet({})
         self._deltas: dict[int | None, BoxListDelta] = {}
 
     def add(self, fleet: Fleet, serial: int) -> None:
-        """Keep a version as the newest."""
+        """Store a version as the newest unless its number is known.
+
+        The oldest versions beyond ``MAX_KEPT_LISTS`` are dropped.
+        """
         if serial in self._fleets:
             return
         self._newest = fleet
@@ -47,14 +50,13 @@
             self._fleets.popitem(last=False)
 
     def __contains__(self, serial: int) -> bool:
-        """Answer whether a version is kept."""
+        """Return whether a version is kept."""
         return serial in self._fleets
 
     def find_delta(self, base: int | None) -> BoxListDelta:
-        """Return what differs between a version and the newest.
+        """Return the changes from a version to the newest.
 
-        Most followers hold the same version, so it is worked out once for
-        all of them.
+        The result is cached, since most followers hold the same version.
 
         Parameters
         ----------
@@ -64,12 +66,12 @@
         delta = self._deltas.get(base)
         if delta is None:
             known = {} if base is None else self._fleets[base].boxes
-            delta = _find_delta(known, self._newest.boxes)
+            delta = _compute_delta(known, self._newest.boxes)
             self._deltas[base] = delta
         return delta
 
 
-def _find_delta(
+def _compute_delta(
     known: Mapping[BoxId, FleetBox],
     boxes: Mapping[BoxId, FleetBox],
 ) -> BoxListDelta:
--- a/waywell/knowledge/era_history.py
+++ b/waywell/knowledge/era_history.py
@@ -1,4 +1,7 @@
-"""When the store came back from an older copy, and what this node keeps."""
+"""The latest change of the store's era, for the status report and the log.
+
+The era changes when the store is restored from an older copy.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +19,18 @@
 
 
 class EraHistory:
-    """Records the latest change of the store's era.
+    """Records and logs the latest change of the store's era.
 
     Parameters
     ----------
     cluster
         Routes and boxes in force, and the era.
     clock
-        Where the time is read.
+        Source of the wall-clock time.
     is_holder
         Returns whether this node holds the duty of forming groups.
     count_held
-        Returns how many requests are held back.
+        Returns the number of requests held back.
     """
 
     def __init__(
@@ -37,7 +40,7 @@
         is_holder: Callable[[], bool],
         count_held: Callable[[], int],
     ) -> None:
-        """Listen to changes of the era."""
+        """Subscribe to changes of the era."""
         self._cluster = cluster
         self._clock = clock
         self._is_holder = is_holder
@@ -46,9 +49,9 @@
         cluster.eras.listen(self._record)
 
     def show(self) -> dict[str, int | str | None]:
-        """Return the era and since when, as plain values.
+        """Return the era and the time of its change as plain values.
 
-        The time is ``None`` where this node saw no change of the era.
+        The time is ``None`` if this node has not seen the era change.
         """
         eras = self._cluster.eras
         return {
@@ -58,7 +61,7 @@
         }
 
     def _record(self, change: EraChange) -> None:
-        """Record a change; log what is dropped for it and what is kept."""
+        """Record a change and log which state is dropped and kept."""
         self._changed_at = self._clock.read_wall()
         dropped = ['revisions']
         if self._is_holder():
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -1,10 +1,11 @@
-"""The task that lets few nodes read the platform for the others.
-
-In each data hall one node, chosen by a hash from the live ones, reads routes
-and boxes; the others ask it a few times a second.  An answer tells how old
-each piece of knowledge is; its age counts from when the question was sent, so
-a message that waited somewhere never looks newer than it is.  A node whose
-knowledge grows old reads by itself and asks every peer.
+"""The actor that distributes routes and boxes between nodes.
+
+In each data hall one live node, the reader, reads routes and boxes from the
+platform; the others query it a few times a second.  An answer carries the age
+of the routes and of the box list.  The receiver adds the time since it sent
+the query, so that delays in transit never make data look newer than it is.
+A node whose data becomes too old reads the platform itself and queries every
+peer.
 """
 
 from __future__ import annotations
@@ -34,70 +35,70 @@
     from waywell.request.shared_loads import SharedLoads
 
 MAX_OPEN_ASKS = 32
-"""Questions without an answer that are remembered."""
+"""Maximum number of unanswered queries that are tracked."""
 
 NEWER_ROUTES_ASKS = 2.0
-"""Questions to the reader that a node which knows of newer routes waits for
-before it reads them itself; the answer to the first one should bring them."""
+"""Query intervals that a node waits before it reads newer routes itself; the
+answer to the first query to its reader should contain them."""
 
 UNKNOWN_AGE = 1e9
-"""Age of what was never known, in seconds."""
+"""Age sent for data that was never known, in seconds."""
 
 
-class _Followed(msgspec.Struct, frozen=True):
-    """A box list of another node that is held here."""
+class _PeerBoxList(msgspec.Struct, frozen=True):
+    """Copy of another node's box list, the base for later changes."""
 
     node: NodeId = NodeId('')
-    """Whose it is."""
+    """Node that sent the list; empty for none."""
 
     run: int = 0
     """Incarnation of that node."""
 
     serial: int = 0
-    """Its number there."""
+    """Number of the list at that node."""
 
     fleet: Fleet = Fleet({})
-    """The list."""
+    """Boxes as that node listed them."""
 
 
-class _Asked(msgspec.Struct, frozen=True):
-    """A question that is open."""
+class _OpenAsk(msgspec.Struct, frozen=True):
+    """A query that has not been answered."""
 
     at: float
-    """When it was sent, in seconds."""
+    """Time at which it was sent, in seconds."""
 
-    base: _Followed
-    """What its answer may tell changes from."""
+    base: _PeerBoxList
+    """Box list to which changes in the answer apply."""
 
     wants_boxes: bool = True
-    """Whether the answer should tell boxes."""
+    """Whether the answer should contain boxes."""
 
 
 class Feed(Actor):
-    """Asks the reader of this hall, and answers others.
+    """Queries the reader of this hall and answers queries of other nodes.
 
     Parameters
     ----------
     links
         Streams to other nodes.
     gossip
-        Membership.
+        Membership of nodes.
     cluster
-        What this node knows.
+        Routes and boxes in force at this node.
     clock
-        Where the time is read.
+        Source of the monotonic time.
     book
         This node's requests in flight.
     loads
-        What other nodes tell of theirs.
+        Requests in flight that other nodes report.
     intervals
-        How often to ask, and how old an answer may be.
-    reads_from
-        Moment before which this node reads nothing itself, in seconds.
+        Query interval and maximum ages of routes and boxes.
+    read_after
+        Time before which this node does not read the platform, in seconds.
     """
 
     class Tick(Message, frozen=True):
-        """A question is due."""
+        """Sent when the next query is due."""
 
     def __init__(
         self,
@@ -110,7 +111,7 @@
         intervals: PollIntervals,
         read_after: float = 0.0,
     ) -> None:
-        """Know no reader yet."""
+        """Subscribe to queries and answers."""
         super().__init__('feed')
         self._links = links
         self._gossip = gossip
@@ -120,114 +121,115 @@
         self._loads = loads
         self._intervals = intervals
         self._read_after = read_after
-        self._own = gossip.table.own
-        self._incarnation = self._own.incarnation
+        self._own_record = gossip.table.own
+        self._incarnation = self._own_record.incarnation
         self._serial = 0
-        self._asked: OrderedDict[int, _Asked] = OrderedDict()
-        self._lists = BoxListHistory()
-        self._followed = _Followed()
+        self._open_asks: OrderedDict[int, _OpenAsk] = OrderedDict()
+        self._box_lists = BoxListHistory()
+        self._peer_list = _PeerBoxList()
         self._followers: set[NodeId] = set()
         self._readers = HallReaders(gossip.table)
-        self._may_fetch = False
-        self._behind_since = 0.0
+        self._may_request_boxes = False
+        self._newer_since = 0.0
         self.newer_version = 0
         links.subscribe(self, PeerLinks.Opened, FeedAsk, FeedAnswer)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start sending queries at regular intervals."""
         super().start()
         self.repeat(self._intervals.ask_interval, self.Tick())
 
     def is_reader(self) -> bool:
-        """Answer whether this node reads for its hall."""
-        return self._readers.own in {None, self._own.node}
+        """Return whether this node is the reader of its hall."""
+        return self._readers.own in {None, self._own_record.node}
 
     def needs_routes(self, now: float) -> bool:
-        """Answer whether this node has to read the routes itself."""
+        """Return whether this node has to read the routes itself."""
         if now < self._read_after:
             return False
         if self.is_reader() or self._are_routes_old(now):
             return True
-        # Nobody has sent the newer routes that there are.
-        waited = now - self._behind_since
+        # Newer routes are known to exist, but no peer has sent them.
+        waited = now - self._newer_since
         return (
             self.newer_version > 0
             and waited > NEWER_ROUTES_ASKS * self._intervals.ask_interval
         )
 
     def needs_boxes(self, now: float) -> bool:
-        """Answer whether this node has to read the box list itself."""
+        """Return whether this node has to read the box list itself."""
         if now < self._read_after:
             return False
         return self.is_reader() or self._are_boxes_old(now)
 
     def on_tick(self, _tick: Tick) -> None:
-        """Ask the reader, or everyone when what is known grows old."""
+        """Query the reader, and all peers if routes or boxes are too old."""
         now = self._clock.read()
         readers = self._readers.choose()
-        own_reader = readers.pop(self._own.hall)
-        if own_reader.node == self._own.node:
-            # Readers tell each other the loads of their halls.
+        own_reader = readers.pop(self._own_record.hall)
+        if own_reader.node == self._own_record.node:
+            # Readers exchange the requests in flight of their halls.
             self._gossip.keep_streams(self.name, tuple(readers.values()))
             peers = {reader.node for reader in readers.values()}
         else:
             self._gossip.keep_streams(self.name, (own_reader,))
             peers = {own_reader.node}
-        self._may_fetch = self._are_boxes_old(now)
+        self._may_request_boxes = self._are_boxes_old(now)
         loads = self._list_loads()
         wants_boxes = not self.is_reader()
         for peer in peers:
             self._ask(peer, now, wants_boxes=wants_boxes, loads=loads)
-        if self._are_routes_old(now) or self._may_fetch:
-            self._ask_everyone_else(peers, now)
+        if self._are_routes_old(now) or self._may_request_boxes:
+            self._ask_remaining_peers(peers, now)
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
-        """Ask a new peer for its version, before this node is ready."""
+        """Ask a new peer for its version while this node is not ready."""
         if not self._cluster.gate.is_open:
             now = self._clock.read()
             self._ask(opened.record.node, now, wants_boxes=False)
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Answer a question, or take in an answer."""
+        """Answer a query, or apply an answer."""
         self._cluster.eras.observe_peer(received.message.era)
         if isinstance(received.message, FeedAsk):
             self._answer(received.node, received.message)
         else:
-            self._take(received.node, received.message)
+            self._apply_answer(received.node, received.message)
 
     def dump(self) -> dict[str, object]:
         """Return the state as plain values."""
         return {
             **super().dump(),
             'reader': self._readers.own,
-            'followed': self._followed,
+            'followed': self._peer_list,
             'serial': self._cluster.fleet_serial,
         }
 
-    def _ask_everyone_else(self, asked: set[NodeId], now: float) -> None:
-        """Ask all other peers how old their knowledge is.
+    def _ask_remaining_peers(self, asked: set[NodeId], now: float) -> None:
+        """Query all remaining peers for the ages of their routes and boxes.
 
-        Whole lists from all at once would fill a narrow link for as long as
-        the platform is away: 760 boxes are some 140 KB, from seven peers each
-        0.35 s 2.8 MB/s, over a link of 2.5 MB/s.
+        Box lists are not requested: full lists from all peers would saturate
+        a narrow link throughout an outage of the platform.  A list of 760
+        boxes has about 140 KB; from seven peers every 0.35 s that is 2.8 MB/s,
+        more than a link of 2.5 MB/s can carry.
         """
         for peer in self._links.list_peers() - asked:
             self._ask(peer, now, wants_boxes=False)
 
     def _are_routes_old(self, now: float) -> bool:
-        """Answer whether the routes were not confirmed for too long."""
+        """Return whether the last confirmation of the routes is too old."""
         return (
             self._cluster.get_routes_age(now) > self._intervals.route_max_age
         )
 
     def _are_boxes_old(self, now: float) -> bool:
-        """Answer whether the box list was not confirmed for too long."""
+        """Return whether the last confirmation of the box list is too old."""
         return self._cluster.get_boxes_age(now) > self._intervals.box_max_age
 
     def _list_loads(self) -> tuple[BoxLoad, ...]:
-        """Return the requests in flight that this node tells others of.
+        """Return the requests in flight that this node reports to others.
 
-        A reader tells those of its hall.
+        A reader reports the requests of its whole hall.
         """
         loads = Counter(self._book.list_loads())
         if self.is_reader():
@@ -244,20 +246,22 @@
         loads: tuple[BoxLoad, ...] | None = None,
     ) -> None:
         self._serial += 1
-        # The reader sends newer routes with its first answer about them, so
-        # that followers need not call the platform for each version.
-        follows = peer == self._readers.own
-        base = self._followed if self._followed.node == peer else _Followed()
-        self._asked[self._serial] = _Asked(now, base, wants_boxes)
-        while len(self._asked) > MAX_OPEN_ASKS:
-            self._asked.popitem(last=False)
+        # Ask the reader for newer routes in every query, so that followers
+        # need not call the platform for each version.
+        is_own_reader = peer == self._readers.own
+        base = (
+            self._peer_list if self._peer_list.node == peer else _PeerBoxList()
+        )
+        self._open_asks[self._serial] = _OpenAsk(now, base, wants_boxes)
+        while len(self._open_asks) > MAX_OPEN_ASKS:
+            self._open_asks.popitem(last=False)
         ask = FeedAsk(
             self._serial,
             self._cluster.index.table.version,
             base.run,
             base.serial,
-            wants_routes=self.newer_version > 0 or follows,
-            hall=self._own.hall,
+            wants_routes=self.newer_version > 0 or is_own_reader,
+            hall=self._own_record.hall,
             loads=loads,
             wants_boxes=wants_boxes,
             era=self._cluster.eras.current,
@@ -266,8 +270,8 @@
 
     def _answer(self, peer: NodeId, ask: FeedAsk) -> None:
         now = self._clock.read()
-        self._take_loads(peer, ask, now)
-        self._lists.add(self._cluster.fleet, self._cluster.fleet_serial)
+        self._record_loads(peer, ask, now)
+        self._box_lists.add(self._cluster.fleet, self._cluster.fleet_serial)
         self._links.send(peer, self._make_answer(peer, ask, now))
 
     def _make_answer(
@@ -276,15 +280,15 @@
         ask: FeedAsk,
         now: float,
     ) -> FeedAnswer:
-        """Return what is known here, as changes where the peer can follow."""
+        """Return the answer to a query, with routes and boxes if requested."""
         table = self._cluster.index.table
         answer = FeedAnswer(
             ask=ask.ask,
             version=table.version,
-            routes_age=_bound(self._cluster.get_routes_age(now)),
+            routes_age=_bound_age(self._cluster.get_routes_age(now)),
             run=self._incarnation,
             serial=self._cluster.fleet_serial,
-            boxes_age=_bound(self._cluster.get_boxes_age(now)),
+            boxes_age=_bound_age(self._cluster.get_boxes_age(now)),
             is_whole=False,
             routes=table if ask.wants_newer(table.version) else None,
             era=self._cluster.eras.current,
@@ -299,56 +303,65 @@
         peer: NodeId,
         ask: FeedAsk,
     ) -> FeedAnswer:
-        """Return an answer that tells boxes and their loads as well."""
-        is_kept = ask.run == self._incarnation and ask.serial in self._lists
+        """Return the answer with boxes and requests in flight added.
+
+        Boxes are sent as changes if the list that the peer holds is kept
+        here, else as a full list.
+        """
+        is_kept = (
+            ask.run == self._incarnation and ask.serial in self._box_lists
+        )
         base = ask.serial if is_kept else None
-        delta = self._lists.find_delta(base)
+        delta = self._box_lists.find_delta(base)
         return msgspec.structs.replace(
             answer,
             is_whole=base is None,
             boxes=delta.boxes,
             gone=delta.gone,
-            loads=self._list_loads_but(peer),
+            loads=self._list_loads_except(peer),
         )
 
-    def _take_loads(self, peer: NodeId, ask: FeedAsk, now: float) -> None:
+    def _record_loads(self, peer: NodeId, ask: FeedAsk, now: float) -> None:
         if ask.loads is None:
             return
-        if ask.hall == self._own.hall:
+        if ask.hall == self._own_record.hall:
             self._followers.add(peer)
         self._loads.take(peer, _decode_loads(ask.loads), now)
 
-    def _list_loads_but(self, peer: NodeId) -> tuple[BoxLoad, ...]:
-        """Return all requests in flight but those that a node tells of."""
+    def _list_loads_except(self, peer: NodeId) -> tuple[BoxLoad, ...]:
+        """Return all known requests in flight except those a node reported."""
         loads = Counter(self._book.list_loads())
         loads.update(self._loads.add_up((peer,)))
         return _encode_loads(loads)
 
-    def _take(self, peer: NodeId, answer: FeedAnswer) -> None:
-        asked = self._asked.pop(answer.ask, None)
-        if asked is None:
+    def _apply_answer(self, peer: NodeId, answer: FeedAnswer) -> None:
+        open_ask = self._open_asks.pop(answer.ask, None)
+        if open_ask is None:
             return
-        self._take_routes(peer, answer, asked.at)
+        self._apply_routes(peer, answer, open_ask.at)
         if peer == self._readers.own:
             loads = _decode_loads(answer.loads)
             self._loads.take(peer, loads, self._clock.read())
-        if asked.wants_boxes:
-            self._take_boxes(peer, answer, asked)
+        if open_ask.wants_boxes:
+            self._apply_boxes(peer, answer, open_ask)
         else:
-            self._fetch_newer(peer, answer)
+            self._request_newer_boxes(peer, answer)
 
-    def _fetch_newer(self, peer: NodeId, answer: FeedAnswer) -> None:
-        """Ask a peer for its box list where this node's is older by much.
+    def _request_newer_boxes(self, peer: NodeId, answer: FeedAnswer) -> None:
+        """Request a peer's box list if it is considerably newer.
 
-        One peer at each tick: any list that is newer is as good.
+        Only one peer is asked at each tick, since any newer list will do.
         """
         now = self._clock.read()
-        newer = self._cluster.get_boxes_age(now) - answer.boxes_age
-        if self._may_fetch and newer > self._intervals.max_age_difference:
-            self._may_fetch = False
+        age_difference = self._cluster.get_boxes_age(now) - answer.boxes_age
+        if (
+            self._may_request_boxes
+            and age_difference > self._intervals.max_age_difference
+        ):
+            self._may_request_boxes = False
             self._ask(peer, now, wants_boxes=True)
 
-    def _take_routes(
+    def _apply_routes(
         self,
         peer: NodeId,
         answer: FeedAnswer,
@@ -359,7 +372,7 @@
         self._cluster.observe_version(answer.version)
         own = self._cluster.index.table.version
         if answer.version > own:
-            self._note_behind(peer, answer.version)
+            self._record_newer_version(peer, answer.version)
         elif own >= self.newer_version:
             self.newer_version = 0
         if answer.version == own and own:
@@ -368,36 +381,36 @@
         is_ready = record is not None and record.configuration > 0
         self._cluster.gate.record_answer(peer, is_ready=is_ready)
 
-    def _note_behind(self, peer: NodeId, version: int) -> None:
-        """Record a later version; before this node is ready, ask for it."""
+    def _record_newer_version(self, peer: NodeId, version: int) -> None:
+        """Record a newer version; request it while this node is not ready."""
         now = self._clock.read()
         if not self.newer_version:
-            self._behind_since = now
-        is_news = version > self.newer_version
+            self._newer_since = now
+        is_newest = version > self.newer_version
         self.newer_version = version
-        if is_news and not self._cluster.gate.is_open:
+        if is_newest and not self._cluster.gate.is_open:
             self._ask(peer, now, wants_boxes=False)
 
-    def _take_boxes(
+    def _apply_boxes(
         self,
         peer: NodeId,
         answer: FeedAnswer,
-        asked: _Asked,
+        open_ask: _OpenAsk,
     ) -> None:
-        """Take in a newer box list."""
-        base = asked.base
+        """Apply a peer's box list, or its changes to the list held here."""
+        base = open_ask.base
         if not answer.is_whole and base.run != answer.run:
             return
         fleet = base.fleet
         if answer.is_whole or answer.boxes or answer.gone:
-            fleet = _apply(base.fleet, answer)
-        self._followed = _Followed(peer, answer.run, answer.serial, fleet)
-        seen_at = asked.at - answer.boxes_age
+            fleet = _apply_box_changes(base.fleet, answer)
+        self._peer_list = _PeerBoxList(peer, answer.run, answer.serial, fleet)
+        seen_at = open_ask.at - answer.boxes_age
         self._cluster.update_fleet(fleet, seen_at, self._clock.read())
 
 
-def _apply(base: Fleet, answer: FeedAnswer) -> Fleet:
-    """Return the list that an answer tells."""
+def _apply_box_changes(base: Fleet, answer: FeedAnswer) -> Fleet:
+    """Return the box list that results from an answer."""
     boxes = {} if answer.is_whole else dict(base.boxes)
     boxes.update({box.box: box for box in answer.boxes})
     for name in answer.gone:
@@ -405,8 +418,8 @@
     return Fleet(boxes)
 
 
-def _bound(age: float) -> float:
-    """Return an age as a number that every codec can carry."""
+def _bound_age(age: float) -> float:
+    """Return an age as a finite number, which every codec can encode."""
     return age if math.isfinite(age) else UNKNOWN_AGE
 
 
