--- a/waywell/knowledge/cluster_view.py
+++ b/waywell/knowledge/cluster_view.py
@@ -1,4 +1,4 @@
-"""What this node knows of routes and boxes, and how sure that is."""
+"""A node's view of routes and boxes, and the age of each."""
 
 from __future__ import annotations
 
@@ -30,30 +30,30 @@
     from waywell.process.front_settings import PromiseSettings
 
 EndListener = Callable[[tuple[EndedLife, ...]], None]
-"""Called with the lives that a new list shows to be over."""
+"""Called with the lives that a new box list shows to have ended."""
 
 KEY_MARGIN = 0.4
-"""Seconds by which keys are given up before the promised bound: a send that
-is decided may wait this long in the machine before its bytes leave."""
+"""Seconds before the promised bound at which keys expire: a request that was
+accepted may be delayed this long on the machine before its bytes leave."""
 
 ROUTES_RETRY_SECONDS = 0.5
-"""Advice to callers while the routes are not confirmed."""
+"""Value of Retry-After, in seconds, while the routes are not confirmed."""
 
 
 class ClusterView:
     """Routes and boxes in force at this node.
 
-    Everything is replaced whole by its owner, so that the request path reads
-    it without waiting.
+    Routes and box list are replaced as a whole, so that the request path
+    reads them without locking.
 
     Parameters
     ----------
     promises
-        Bounds that the operators were promised.
+        Time bounds promised to the operators.
     eras
         Era of the platform's store.
     gate
-        Keeps a node that has started from serving; open where none is given.
+        Delays serving after a start; open if none is given.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         eras: EraTracker | None = None,
         gate: ReadinessGate | None = None,
     ) -> None:
-        """Know nothing yet."""
+        """Create a view without routes and boxes."""
         self.eras = eras or EraTracker()
         self.gate = gate or ReadinessGate(is_strict=False)
         self.index = RouteIndex(RouteTable(0))
@@ -75,17 +75,17 @@
         self.restored = RestoredEntries()
         self._end_listeners: list[EndListener] = []
         self._promises = promises
-        self._confirmed_at = -math.inf
-        self._boxes_at = -math.inf
+        self._routes_confirmed_at = -math.inf
+        self._boxes_confirmed_at = -math.inf
         self._replicas: dict[tuple[ServiceName, ModelName], list[Replica]] = {}
 
     @property
     def has_routes(self) -> bool:
-        """Return whether callers may be served by a version in force."""
+        """Return whether routes are in force and the gate is open."""
         return self.index.table.version > 0 and self.gate.is_open
 
     def apply_routes(self, table: RouteTable) -> bool:
-        """Put a version in force, unless it is not newer; answer whether."""
+        """Put routes in force if they are newer; return whether they are."""
         if table.version <= self.index.table.version:
             return False
         self.index = RouteIndex(table)
@@ -94,60 +94,65 @@
         return True
 
     def observe_version(self, version: int) -> None:
-        """Record a version of the routes that some node has in force."""
+        """Record that some node has a version of the routes in force."""
         self.latest_version = max(self.latest_version, version)
 
     def update_gate(self, contacts: PeerContacts, now: float) -> None:
-        """Begin to serve where the routes were compared with those of peers.
+        """Open the readiness gate if the routes in force may be relied on.
 
         Parameters
         ----------
         contacts
-            How far this node has reached the others.
+            Peers and open calls of this node.
         now
-            The present time, in seconds.
+            The current time, in seconds.
         """
-        view = StartupState(
+        state = StartupState(
             self.index.table.version,
             self.latest_version,
             self.eras.is_first_start,
             contacts,
         )
-        self.gate.update(view, now)
+        self.gate.update(state, now)
 
     def confirm_routes(self, asked_at: float) -> None:
-        """Note that the version in force was the newest at a moment.
+        """Record that the version in force was the newest at a given time.
 
-        Nothing confirms a version while a later one is known.
+        A version is not confirmed while a newer one is known.
 
         Parameters
         ----------
         asked_at
-            When the question was sent whose answer said so, in seconds.
+            Time at which the confirming query was sent, in seconds.
         """
         if self.latest_version <= self.index.table.version:
-            self._confirmed_at = max(self._confirmed_at, asked_at)
+            self._routes_confirmed_at = max(
+                self._routes_confirmed_at, asked_at
+            )
 
     def begin_recovery(self, now: float) -> None:
-        """Hold what is known of boxes against a store that has come back."""
+        """Prefer known boxes over outdated entries of a restored store."""
         self.restored.begin(now)
 
     def update_fleet(self, fleet: Fleet, asked_at: float, now: float) -> bool:
-        """Put a box list in force, or confirm the one that is.
+        """Put a box list in force, or confirm the one in force.
+
+        Outdated entries of a restored store are corrected first. A list that
+        differs is ignored unless it is newer.
 
         Parameters
         ----------
         fleet
-            The list.
+            Boxes as the store or another node lists them.
         asked_at
-            When it was asked for, in seconds.
+            Time at which the list was requested, in seconds.
         now
-            The present time, in seconds.
+            The current time, in seconds.
 
         Returns
         -------
         bool
-            Whether the list is a new one, and in force.
+            Whether a different list was put in force.
         """
         known = self.fleet.boxes
         boxes = self.restored.resolve(fleet.boxes, known, self.lives, now)
@@ -161,77 +166,81 @@
         return True
 
     def apply_fleet(self, fleet: Fleet, asked_at: float) -> None:
-        """Put a box list in force that was asked for at a moment."""
+        """Put a box list in force that was requested at a given time.
+
+        Listeners are called with the lives that the list shows to have ended.
+        """
         change = compare_fleets(self.fleet, fleet)
         note_models(self.last_models, self.fleet, change)
         ended = self.lives.update(fleet, change, asked_at)
         self.fleet = fleet
         self.fleet_serial += 1
-        self._boxes_at = max(self._boxes_at, asked_at)
+        self._boxes_confirmed_at = max(self._boxes_confirmed_at, asked_at)
         self._replicas.clear()
         if ended:
-            self._tell_ended(ended)
+            self._report_ended(ended)
 
     def add_end_listener(self, listener: EndListener) -> None:
-        """Call a listener with the lives that a new list shows to be over."""
+        """Register a listener for lives that a new box list shows as ended."""
         self._end_listeners.append(listener)
 
     def is_newer_fleet(self, asked_at: float) -> bool:
-        """Answer whether a list of a moment is newer than the one in force."""
-        return asked_at > self._boxes_at
+        """Return whether a box list of that time is newer than the current."""
+        return asked_at > self._boxes_confirmed_at
 
     def confirm_fleet(self, asked_at: float) -> None:
-        """Note that the box list was the newest at a moment."""
-        self._boxes_at = max(self._boxes_at, asked_at)
+        """Record that the box list was the newest at a given time."""
+        self._boxes_confirmed_at = max(self._boxes_confirmed_at, asked_at)
 
     def get_routes_age(self, now: float) -> float:
-        """Return for how long the routes are not confirmed, in seconds."""
-        return round(now - self._confirmed_at, 3)
+        """Return the seconds since the routes were last confirmed."""
+        return round(now - self._routes_confirmed_at, 3)
 
     def get_boxes_age(self, now: float) -> float:
-        """Return for how long the box list is not confirmed, in seconds."""
-        return round(now - self._boxes_at, 3)
+        """Return the seconds since the box list was last confirmed."""
+        return round(now - self._boxes_confirmed_at, 3)
 
     def check_routes(self, now: float) -> None:
-        """Refuse while nothing sure enough is known.
+        """Refuse a request unless the routes in force are usable.
 
         Raises
         ------
         Refusal
-            Before the first version, or when the one in force may be old.
+            If the node has no routes or is not ready, or if a key may have
+            been removed since the routes were confirmed.
         """
         if not self.has_routes:
             raise Refusal(Code.NODE_STARTING, retry_after=ROUTES_RETRY_SECONDS)
         self.check_keys(now)
 
     def check_keys(self, now: float) -> None:
-        """Refuse when a key may have been removed unnoticed.
+        """Refuse a request if its key may have been removed since.
 
         Raises
         ------
         Refusal
-            When the routes are not confirmed within the promised bound.
+            If the routes were not confirmed within the promised bound.
         """
         if not self.are_keys_fresh(now):
             raise Refusal(Code.ROUTES_STALE, retry_after=ROUTES_RETRY_SECONDS)
 
     def are_keys_fresh(self, now: float) -> bool:
-        """Answer whether a key that is known here can be relied on.
+        """Return whether the known keys may be accepted.
 
-        Where removed keys need not be refused at any price, the last known
-        routes serve through an outage of the platform.
+        Unless ``keys_strict`` is set, the last known routes remain valid
+        during an outage of the platform.
         """
         if not self._promises.keys_strict:
             return True
         bound = self._promises.keys_refused_within - KEY_MARGIN
-        return now - self._confirmed_at < bound
+        return now - self._routes_confirmed_at < bound
 
     def list_replicas(
         self,
         service: ServiceName,
         model: ModelName,
     ) -> list[Replica]:
-        """Return the replicas that may get a request."""
+        """Return the replicas of a model that may receive requests."""
         key = (service, model)
         found = self._replicas.get(key)
         if found is None:
@@ -240,7 +249,7 @@
         return found
 
     def count_serving(self) -> dict[str, int]:
-        """Return how many replicas may get requests, by service and model."""
+        """Count the replicas that may receive requests per service/model."""
         counts = {}
         for service in self.index.table.services:
             models = service.engine.models if service.engine else ()
@@ -251,11 +260,14 @@
         return counts
 
     def list_replica_keys(self) -> set[ReplicaKey]:
-        """Return the identities of all boxes with their present epochs."""
+        """Return the replica keys of all boxes in their current epochs."""
         return {make_key(box) for box in self.fleet.boxes.values()}
 
     def may_send_to(self, replica: Replica) -> bool:
-        """Answer whether a replica that was chosen is still in force."""
+        """Return whether a chosen replica may still receive a request.
+
+        It may not once its box leaves or restarts, or its group changes.
+        """
         box = self.fleet.boxes.get(replica.key.box)
         if box is None or box.leaving or box.life != replica.key.life:
             return False
@@ -264,18 +276,21 @@
         return box.standing.epoch == replica.key.epoch
 
     def exclude_replica(self, replica: Replica) -> None:
-        """Take a replica out that disowns its group; a new list clears it."""
+        """Exclude a replica that has denied its group membership.
+
+        The next box list put in force clears the exclusion.
+        """
         for found in self._replicas.values():
             if replica in found:
                 found.remove(replica)
 
-    def _tell_ended(self, ended: tuple[EndedLife, ...]) -> None:
-        for one in ended:
+    def _report_ended(self, ended: tuple[EndedLife, ...]) -> None:
+        for former in ended:
             log_event(
                 'box_restarted',
-                box=one.life.box,
-                ended=one.life.incarnation,
-                group=one.standing.group if one.standing else '',
+                box=former.life.box,
+                ended=former.life.incarnation,
+                group=former.standing.group if former.standing else '',
             )
         for listener in self._end_listeners:
             listener(ended)
@@ -285,8 +300,8 @@
         service: ServiceName,
         name: ModelName,
     ) -> list[Replica]:
-        known = self.index.find_service(service)
-        engine = known.engine if known else None
+        routed = self.index.find_service(service)
+        engine = routed.engine if routed else None
         if engine is None or not engine.models:
             return self.fleet.list_plain(service)
         model = engine.find_model(name)
@@ -301,5 +316,5 @@
     promises: PromiseSettings,
     eras: EraTracker,
 ) -> ClusterView:
-    """Return the cluster view of a node whose readiness gate may be closed."""
+    """Return the view of a starting node, gated if keys are strict."""
     return ClusterView(promises, eras, ReadinessGate(promises.keys_strict))
--- a/waywell/knowledge/fleet_watch.py
+++ b/waywell/knowledge/fleet_watch.py
@@ -1,4 +1,4 @@
-"""The task that keeps this node's box list the newest."""
+"""The actor that reads the box list from the platform."""
 
 from __future__ import annotations
 
@@ -18,35 +18,37 @@
     from waywell.knowledge.poll_intervals import PollIntervals
 
 FORMING_INTERVAL = 0.15
-"""Seconds between two looks of the node that forms groups, as between its
-plans; a look that finds no change waits as long as others."""
+"""Seconds between two polls of the node that forms groups, equal to its
+planning interval; a poll without changes waits as long as on other nodes."""
 
 RETURN_RETENTION_SECONDS = 2.2
-"""After its return, for which boxes that vanished around an outage of the
-platform are kept: they are back within two seconds if they live."""
-
+"""Seconds after an outage of the platform for which missing boxes are
+retained; boxes that live are listed again within two seconds."""
 
 MEMBER_RETENTION_SECONDS = 6.0
-"""For which a member of a serving group is kept whose entry has gone.
-Requests go to the head alone, and a member that is lost is noticed by the
-silence of its group; one that is cut off from the platform serves on.  Of 222
-boxes 26 were cut off for 5 s: without this four of five groups of sixteen were
-broken up, though each of their boxes lived (one day's log)."""
+"""Seconds for which a member of a serving group is retained without an entry.
+
+Only the head receives requests, and the loss of a member shows in the silence
+of its group, while a member that is cut off from the platform keeps serving.
+When 26 of 222 boxes were cut off for 5 s, four of five groups of sixteen were
+broken up without this, although all of their boxes were alive."""
 
 
 class FleetWatch(PlatformWatch):
-    """Watches the box list.
+    """Polls the box list and puts it in force.
+
+    The list is polled at intervals since boxes change constantly and each call
+    to the platform has a cost.
 
     Parameters
     ----------
-    parts
-        What it works with.
+    context
+        Platform, cluster view and other collaborators.
     intervals
-        How often to look: boxes change all the time, and each call has a
-        price.
-    is_quick
-        Answers whether this node forms groups: each step of a group is seen
-        on the list before the next one.
+        Poll interval and the time for which missing heads are retained.
+    is_forming
+        Returns whether this node forms groups. It then polls more often, since
+        each step of a group must be listed before the next one is ordered.
     """
 
     def __init__(
@@ -55,11 +57,11 @@
         intervals: PollIntervals,
         is_forming: Callable[[], bool],
     ) -> None:
-        """Know nothing yet."""
+        """Create a watch that has read nothing."""
         self._is_forming = is_forming
         self._head_retention = intervals.vanished_retention
         interval = intervals.box_interval
-        # The list must be confirmed as often as it is asked for.
+        # The list must be confirmed once per poll interval.
         scope = WatchScope(
             'boxes', Kind.BOX, watch_seconds=interval, interval=interval
         )
@@ -81,7 +83,7 @@
         }
 
     def get_interval(self) -> float:
-        """Return the seconds between two looks, less while groups form."""
+        """Return the seconds between polls, fewer on the forming node."""
         interval = super().get_interval()
         return (
             min(interval, FORMING_INTERVAL) if self._is_forming() else interval
@@ -90,7 +92,7 @@
     def apply_changes(
         self, changes: Changes, asked_at: float, now: float
     ) -> None:
-        """Put what changed in force, if it matters."""
+        """Update the box list in force, with missing boxes retained."""
         if self._has_outage:
             self._has_outage = False
             self._returned_at = now
@@ -102,21 +104,23 @@
             else:
                 listed[name] = stored.body
         for foreign in changes.unreadable:
-            # What another writer wrote names no box to use.
+            # An entry by another writer does not describe a usable box.
             listed.pop(BoxId(foreign), None)
             self._retained.pop(BoxId(foreign), None)
         self.advance(changes)
         if changes.nameless and not changes.complete:
-            # It may have been any box.
+            # The change may concern any box, so read the whole list.
             self.forget_revision()
         self._retain_vanished(listed, set(changes.unreadable), now)
         self._drop_retained(listed, now)
         self._listed = listed
         known = self._cluster.fleet.boxes
-        kept = {name: known[name] for name in self._retained if name in known}
-        boxes = {**kept, **listed}
-        # A reader's later list may have come first: what this answer has
-        # beyond that list is taken with the next look.
+        retained = {
+            name: known[name] for name in self._retained if name in known
+        }
+        boxes = {**retained, **listed}
+        # A newer list from the reader may already be in force; any entries
+        # that only this answer has are applied with the next poll.
         is_new = self._cluster.update_fleet(Fleet(boxes), asked_at, now)
         in_force = self._cluster.fleet.boxes
         self._cluster.retained_boxes = frozenset(
@@ -126,7 +130,7 @@
             self._log_changes(in_force, known)
 
     def handle_fault(self, fault: PlatformFault, now: float) -> None:
-        """Note when boxes may have vanished; read anew unless refused."""
+        """Record an outage; read the whole list again unless refused."""
         if fault is not PlatformFault.HISTORY_GONE:
             self._has_outage = True
         if fault is not PlatformFault.REFUSED:
@@ -138,22 +142,23 @@
         foreign: Set[str],
         now: float,
     ) -> None:
-        """Keep boxes for a while that vanished, but may well serve.
+        """Retain boxes that are no longer listed but may still serve.
 
-        They do around an outage, and in groups that serve.
+        This applies after an outage of the platform and to the boxes of
+        serving groups.
         """
-        until_back = self._returned_at + RETURN_RETENTION_SECONDS
+        until_returned = self._returned_at + RETURN_RETENTION_SECONDS
         known = self._cluster.fleet.boxes
         for name in self._listed.keys() - listed.keys() - foreign:
             box = known.get(name)
             if box is None or box.leaving:
                 continue
-            until = max(until_back, now + self._choose_retention(box))
+            until = max(until_returned, now + self._choose_retention(box))
             if until > now:
                 self._retained[name] = until
 
     def _choose_retention(self, box: FleetBox) -> float:
-        """Return for how long a box is kept that vanished, in seconds."""
+        """Return the seconds for which a missing box is retained."""
         standing = box.standing
         if standing is None:
             return 0.0
@@ -170,7 +175,7 @@
     def _drop_retained(
         self, listed: dict[BoxId, FleetBox], now: float
     ) -> None:
-        """Give up kept boxes that are back, or that stay away."""
+        """Drop retained boxes that are listed again or have expired."""
         for name, until in tuple(self._retained.items()):
             if name in listed or now > until:
                 self._retained.pop(name)
--- a/waywell/knowledge/poll_intervals.py
+++ b/waywell/knowledge/poll_intervals.py
@@ -1,8 +1,8 @@
-"""How often a node looks at what it must know in time.
+"""Intervals at which a node polls the platform and its reader.
 
-Each pace is a part of the bound that the operators were promised, so that a
-deployment with tighter bounds is looked after more often, and one with wider
-bounds costs fewer calls to the platform.
+Each interval is a fraction of a time bound promised to the operators, so that
+tighter bounds lead to more frequent polls and wider bounds to fewer calls to
+the platform.
 """
 
 from __future__ import annotations
@@ -16,63 +16,70 @@
     from waywell.process.front_settings import PromiseSettings
 
 BOX_INTERVAL_FRACTION = 0.2
-"""Part of the bound for leaving boxes between two looks at the box list."""
+"""Interval between two polls of the box list, as a fraction of the bound for
+leaving boxes."""
 
 MAX_BOX_INTERVAL = 0.4
-"""Longest time between two looks at the box list, in seconds: a group that
-lost a box is patched in about a second."""
+"""Longest interval between two polls of the box list, in seconds; a group that
+has lost a box is repaired in about a second."""
 
 ASK_INTERVAL_FRACTION = 0.175
-"""Part of the bound for leaving boxes between two questions to the reader;
-with the look before it, both take less than half of the bound."""
+"""Interval between two queries to the reader, as a fraction of the bound for
+leaving boxes. Together with the poll before it, it takes less than half of the
+bound."""
 
 MAX_ASK_INTERVAL = 0.35
-"""Longest time between two questions to the reader, in seconds: half the
-length of a stream, as the answers tell other nodes' requests in flight."""
+"""Longest interval between two queries to the reader, in seconds. It is half
+the length of a stream, since the answers also carry requests in flight."""
 
 SEND_MARGIN = 0.4
-"""Seconds from the choice of a box until its request may reach it: a process
-may stand still, and packets may be sent again."""
+"""Seconds from the choice of a box until the request may reach it, as the
+process may be suspended and packets may be retransmitted."""
 
 BOX_MAX_AGE_FRACTION = 0.7
-"""Part of the bound for leaving boxes after which a node reads the box list
-itself; the rest is for the call and for requests on their way."""
+"""Age at which a node reads the box list itself, as a fraction of the bound
+for leaving boxes. The rest is left for the call and for requests in
+transit."""
 
 ROUTE_MAX_AGE_FRACTION = 0.7
-"""Part of the bound for new routes after which a node reads them itself: its
-reader may be cut off from the platform while this node is not."""
+"""Age at which a node reads the routes itself, as a fraction of the bound for
+new routes. Its reader may be cut off from the platform while the node is
+not."""
 
 ROUTE_WATCH_FRACTION = 0.4
-"""Part of that time for which a reader's watch waits: each answer confirms the
-version in force, and one more question must fit."""
+"""Duration of a watch of the routes, as a fraction of their maximum age. Each
+answer confirms the version in force, and there must be time for another
+query."""
 
 MAX_DOUBLINGS = 6
-"""Failures in a row that double the wait; it is at its longest before."""
+"""Most doublings of the retry delay. With up to 160 nodes it reaches its
+maximum before."""
 
 KEY_BOUND_FRACTION = 0.5
-"""Part of the bound for removed keys within which routes must be confirmed
-again; a second reading fits before keys are refused."""
+"""Time within which routes must be confirmed again, as a fraction of the bound
+for removed keys. It allows a second read before keys are refused."""
 
 FIRST_RETRY_DELAY = 0.25
-"""Seconds until a call that failed is made again for the first time."""
+"""Seconds before the first retry of a failed call."""
 
 MAX_RETRY_DELAY = 2.0
-"""Longest wait of a node for which others read: it hears from its reader once
-the platform is back, or, cut off from that one as well, is back by itself
-within the 4 s and more that nodes have to catch up."""
+"""Longest retry delay, in seconds, of a node that has a reader. Once the
+platform is back it is updated by its reader or, if cut off from that as well,
+by its own retry within the 4 s or more that nodes have to catch up."""
 
 MAX_RETRY_DELAY_PER_NODE = 0.1
-"""Seconds of the longest wait for each node that would hear from this one: of
-hundreds the first one that reaches the platform tells the others, so all of
-them together call some ten times a second and not each every other second."""
+"""Seconds of the longest retry delay per node that would be updated by this
+one, if that is more than ``MAX_RETRY_DELAY``. The first of hundreds of nodes
+to reach the platform updates the others, so all of them together call about
+ten times a second rather than each every two seconds."""
 
 MAX_READER_RETRY_DELAY = 0.5
-"""Longest wait of a node that reads for others; the whole system is as late as
-it is."""
+"""Longest retry delay of a reader, in seconds; it delays all nodes that depend
+on the reader."""
 
 RETRY_JITTER = 0.5
-"""Part of a wait by which it is drawn longer or shorter, so that nodes which
-failed at one moment do not all call at another."""
+"""Fraction by which a retry delay is randomly lengthened or shortened, so that
+nodes whose calls failed together do not retry together."""
 
 
 def choose_retry_delay(
@@ -82,66 +89,66 @@
     nodes: int,
     draw: float,
 ) -> float:
-    """Return for how long a node waits after calls that failed, in seconds.
+    """Return the delay before a failed call is retried, in seconds.
 
-    Answers the load of a store that turns calls away: at 195 nodes, each of
-    which called again four times a second for routes and for boxes, that was
-    1,560 calls a second (worked out), each with its price, and the first ones
-    of the store's return were turned away for them.
+    The delay grows exponentially, with jitter, to limit the load on a store
+    that rejects calls. With 195 nodes that each retried routes and boxes four
+    times a second, the store would receive 1,560 calls a second, each at a
+    cost, and would reject the first calls after its return because of them.
 
     Parameters
     ----------
     failures
-        Calls that failed in a row, this one counted.
+        Number of consecutive failed calls, including this one.
     reads_for_others
-        Whether others hear from this node what it reads.
+        Whether other nodes depend on the data that this node reads.
     nodes
-        Nodes that hear from each other, this one counted.
+        Number of nodes that update each other, including this one.
     draw
-        A number from 0 up to 1, drawn anew for each call.
+        Random number from 0 up to 1, drawn for each call.
     """
-    longest = max(MAX_RETRY_DELAY, MAX_RETRY_DELAY_PER_NODE * nodes)
+    max_delay = max(MAX_RETRY_DELAY, MAX_RETRY_DELAY_PER_NODE * nodes)
     if reads_for_others:
-        longest = MAX_READER_RETRY_DELAY
-    doubled = math.ldexp(FIRST_RETRY_DELAY, min(failures - 1, MAX_DOUBLINGS))
-    wait = min(longest, doubled)
-    return wait * (1 + RETRY_JITTER * (2 * draw - 1))
+        max_delay = MAX_READER_RETRY_DELAY
+    delay = math.ldexp(FIRST_RETRY_DELAY, min(failures - 1, MAX_DOUBLINGS))
+    limited = min(max_delay, delay)
+    return limited * (1 + RETRY_JITTER * (2 * draw - 1))
 
 
 @attrs.frozen
 class PollIntervals:
-    """Times between looks, in seconds."""
+    """Poll intervals and maximum ages, in seconds."""
 
     box_interval: float
-    """Between two looks of a reader at the box list."""
+    """Interval between two polls of the box list by a reader."""
 
     box_max_age: float
-    """Age of the box list up to which a node does not read it itself."""
+    """Age of the box list above which a node reads it itself."""
 
     route_watch_seconds: float
-    """For which a reader's watch of the routes waits."""
+    """Duration of a reader's watch of the routes without changes."""
 
     route_max_age: float
-    """Age of the routes up to which a node does not read them itself."""
+    """Age of the routes above which a node reads them itself."""
 
     ask_interval: float
-    """Between two questions to the reader."""
+    """Interval between two queries to the reader."""
 
     vanished_retention: float
-    """For which a box whose entry has gone may get requests still."""
+    """Time for which a box without an entry may still receive requests."""
 
     @property
     def max_age_difference(self) -> float:
-        """Return by how much two nodes' knowledge differs in age at the most.
+        """Return the largest normal age difference between two box lists.
 
-        As long as both get it from readers that reach the platform, or that
-        have lost it at one moment.
+        It holds while the readers of both nodes reach the platform, or if they
+        lost it at the same time.
         """
         return self.box_interval + self.ask_interval
 
 
 def make_poll_intervals(promises: PromiseSettings) -> PollIntervals:
-    """Return the paces that keep some promises."""
+    """Return the intervals that meet the promised bounds."""
     leaving = promises.leaving_within
     route_max_age = min(
         ROUTE_MAX_AGE_FRACTION * promises.applied_within,
@@ -155,7 +162,7 @@
         route_watch_seconds=ROUTE_WATCH_FRACTION * route_max_age,
         route_max_age=route_max_age,
         ask_interval=ask_interval,
-        # The list tells of it one look late, and followers one question later.
+        # The list shows it one poll late, and followers one query later still.
         vanished_retention=max(
             0.0, leaving - box_interval - ask_interval - SEND_MARGIN
         ),
