--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -141,7 +141,7 @@
 
     def is_reader(self) -> bool:
         """Return whether this node is the reader of its hall."""
-        return self._readers.own in {None, self._own_record.node}
+        return self._readers.own_reader in {None, self._own_record.node}
 
     def needs_routes(self, now: float) -> bool:
         """Return whether this node has to read the routes itself."""
@@ -200,7 +200,7 @@
         """Return the state as plain values."""
         return {
             **super().dump(),
-            'reader': self._readers.own,
+            'reader': self._readers.own_reader,
             'followed': self._peer_list,
             'serial': self._cluster.fleet_serial,
         }
@@ -248,7 +248,7 @@
         self._serial += 1
         # Ask the reader for newer routes in every query, so that followers
         # need not call the platform for each version.
-        is_own_reader = peer == self._readers.own
+        is_own_reader = peer == self._readers.own_reader
         base = (
             self._peer_list if self._peer_list.node == peer else _PeerBoxList()
         )
@@ -339,7 +339,7 @@
         if open_ask is None:
             return
         self._apply_routes(peer, answer, open_ask.at)
-        if peer == self._readers.own:
+        if peer == self._readers.own_reader:
             loads = _decode_loads(answer.loads)
             self._loads.take(peer, loads, self._clock.read())
         if open_ask.wants_boxes:
--- a/waywell/knowledge/platform_watch.py
+++ b/waywell/knowledge/platform_watch.py
@@ -1,4 +1,4 @@
-"""A task that keeps what one part of the platform holds the newest here."""
+"""The base class of actors that follow one kind of objects in the platform."""
 
 from __future__ import annotations
 
@@ -26,58 +26,58 @@
 
 @attrs.frozen
 class WatchContext:
-    """What a watch works with."""
+    """Collaborators of a watch."""
 
     platform: Platform
-    """The platform."""
+    """Store from which objects are read."""
 
     cluster: ClusterView
-    """Where what was read is put in force."""
+    """View in which the objects that were read are put in force."""
 
     clock: Clock
-    """Where the time is read."""
+    """Source of the monotonic and the wall-clock time."""
 
     is_needed: Callable[[float], bool]
-    """Answers whether no other node reads for this one at a time."""
+    """Returns whether this node must read the platform itself at a time."""
 
     reads_for_others: Callable[[], bool]
-    """Answers whether others hear from this node what it reads."""
+    """Returns whether other nodes depend on the data this node reads."""
 
     count_nodes: Callable[[], int]
-    """Returns the nodes that hear from each other, this one counted."""
+    """Returns the number of nodes that update each other, with this one."""
 
     draw: Callable[[], float]
-    """Draws a number from 0 up to 1."""
+    """Returns a random number from 0 up to 1."""
 
 
 @attrs.frozen
 class WatchScope:
-    """What a watch reads, and how often."""
+    """Kind of objects that a watch reads, and its timing."""
 
     part: str
-    """Name of what is read, as the log has it."""
+    """Name of the kind in the log."""
 
     kind: Kind
-    """Kind of the objects."""
+    """Kind of the objects in the platform."""
 
     watch_seconds: float
-    """Seconds for which a look waits when nothing changes."""
+    """Seconds after which a watch without changes is answered."""
 
     interval: float = 0.0
-    """Least seconds between two looks."""
+    """Minimum seconds between two calls."""
 
 
 class PlatformWatch(Actor, abc.ABC):
-    """Reads objects of one kind, and then what changes, again and again.
+    """Reads all objects of one kind, then repeatedly their changes.
 
     Parameters
     ----------
     name
-        Name of the task.
+        Name of the actor.
     scope
-        What is read.
-    parts
-        What it works with.
+        Kind of objects and timing.
+    context
+        Platform, cluster view and other collaborators.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         scope: WatchScope,
         context: WatchContext,
     ) -> None:
-        """Know nothing yet."""
+        """Create a watch that has read nothing."""
         super().__init__(name)
         self._scope = scope
         self._context = context
@@ -96,13 +96,13 @@
         self._foreign: set[str] = set()
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start the task that reads the platform."""
         super().start()
         self.spawn(self._watch())
 
     @property
     def foreign(self) -> list[str]:
-        """Return the objects that another writer has written."""
+        """Return the names of objects that another writer has written."""
         return sorted(self._foreign)
 
     def dump(self) -> dict[str, object]:
@@ -115,54 +115,57 @@
         }
 
     def get_interval(self) -> float:
-        """Return the least seconds between two looks."""
+        """Return the minimum seconds between two calls."""
         return self._scope.interval
 
     @abc.abstractmethod
     def apply_changes(
         self, changes: Changes, asked_at: float, now: float
     ) -> None:
-        """Put what was read in force.
+        """Put objects that were read in force.
 
         Parameters
         ----------
         changes
             All objects, or those that changed.
         asked_at
-            When the question was sent, in seconds.
+            Time at which the call was sent, in seconds.
         now
-            The present time, in seconds.
+            The current time, in seconds.
         """
 
     @abc.abstractmethod
     def handle_fault(self, fault: PlatformFault, now: float) -> None:
-        """Take in that a call failed."""
+        """React to a failed call."""
 
     async def read(self) -> Result[Changes, PlatformFault]:
-        """Read all, or what has changed since."""
+        """Read all objects, or the changes since the last revision.
+
+        All objects are read if the era of the store has changed.
+        """
         platform = self._context.platform
         kind = self._scope.kind
         cursor = self._cursor
-        if not cursor.is_in(self._get_era()):
+        if not cursor.is_in(self._get_store_era()):
             return await platform.fetch_all(kind)
         answer = await platform.watch(
             (kind,), cursor.number, self._scope.watch_seconds
         )
-        if not cursor.is_in(self._get_era()):
-            # Revisions of another era name other changes.
+        if not cursor.is_in(self._get_store_era()):
+            # Revisions of different eras are not comparable.
             return Failure(PlatformFault.HISTORY_GONE)
         return answer
 
     def advance(self, changes: Changes) -> None:
-        """Let the next look go on after some changes."""
-        self._cursor = Revision(self._get_era(), changes.revision)
+        """Set the revision from which the next call continues."""
+        self._cursor = Revision(self._get_store_era(), changes.revision)
 
     def forget_revision(self) -> None:
-        """Read all anew at the next look: changes may have been missed."""
+        """Make the next call read all objects, as changes may be missing."""
         self._cursor = Revision()
 
     def resume_reading(self, now: float) -> None:
-        """Begin to read where no other node reads for this one."""
+        """Resume reading if no other node reads for this one."""
         if self._context.is_needed(now):
             self._wake_up.set()
 
@@ -177,7 +180,7 @@
                 await self._wake_up.wait()
 
     async def _poll(self, asked_at: float) -> None:
-        """Read once, then wait until the next look is due."""
+        """Read once, then sleep until the next call is due."""
         answer = await self.read()
         now = self._context.clock.read()
         if isinstance(answer, Failure):
@@ -192,7 +195,7 @@
         self.apply_changes(changes, asked_at, now)
         await asyncio.sleep(max(0.0, asked_at + self.get_interval() - now))
 
-    def _get_era(self) -> StoreEra:
+    def _get_store_era(self) -> StoreEra:
         return self._context.cluster.eras.current
 
     def _choose_retry_delay(self) -> float:
@@ -205,7 +208,7 @@
         )
 
     def _update_foreign(self, changes: Changes) -> None:
-        """Remember which objects are another writer's."""
+        """Update the set of objects written by another writer."""
         if changes.complete:
             self._foreign.clear()
         self._foreign -= {stored.name for stored in changes.objects}
--- a/waywell/knowledge/poll_intervals.py
+++ b/waywell/knowledge/poll_intervals.py
@@ -52,8 +52,8 @@
 query."""
 
 MAX_DOUBLINGS = 6
-"""Most doublings of the retry delay. With up to 160 nodes it reaches its
-maximum before."""
+"""Maximum number of doublings of the retry delay. With up to 160 nodes the
+delay reaches its maximum earlier."""
 
 KEY_BOUND_FRACTION = 0.5
 """Time within which routes must be confirmed again, as a fraction of the bound
--- a/waywell/knowledge/readers.py
+++ b/waywell/knowledge/readers.py
@@ -1,4 +1,4 @@
-"""Which node of each data hall reads the platform for the others."""
+"""The choice of the node in each data hall that reads the platform."""
 
 from __future__ import annotations
 
@@ -14,33 +14,34 @@
 
 
 class HallReaders:
-    """Chooses the readers by one node's view of the membership.
+    """Chooses the reader of each hall from one node's membership table.
 
     Parameters
     ----------
     table
-        The view.
+        Membership as this node knows it.
     """
 
     def __init__(self, table: MembershipTable) -> None:
-        """Choose none yet."""
-        self.own: NodeId | None = None
+        """Start without readers; ``choose`` sets them."""
+        self.own_reader: NodeId | None = None
         self._table = table
-        self._chosen_for: int | None = None
+        self._chosen_digest: int | None = None
         self._readers: dict[HallName, NodeRecord] = {}
 
     def choose(self) -> dict[HallName, NodeRecord]:
-        """Return the reader of each hall, chosen anew where the view changed.
+        """Return the reader of each hall.
 
-        This node's own record is among those of its hall in any state.
+        Readers are chosen again if the membership has changed. This node's own
+        record is a candidate in its hall regardless of its state.
         """
-        if self._table.digest != self._chosen_for:
-            self._chosen_for = self._table.digest
-            self._readers = self._find()
-            self._note_own()
+        if self._table.digest != self._chosen_digest:
+            self._chosen_digest = self._table.digest
+            self._readers = self._choose_readers()
+            self._update_own()
         return dict(self._readers)
 
-    def _find(self) -> dict[HallName, NodeRecord]:
+    def _choose_readers(self) -> dict[HallName, NodeRecord]:
         own = self._table.own
         halls: dict[HallName, list[NodeRecord]] = defaultdict(list)
         halls[own.hall].append(own)
@@ -52,24 +53,26 @@
             hall: pick_reader(hall, records) for hall, records in halls.items()
         }
 
-    def _note_own(self) -> None:
+    def _update_own(self) -> None:
         hall = self._table.own.hall
         reader = self._readers[hall].node
-        if reader != self.own:
-            self.own = reader
+        if reader != self.own_reader:
+            self.own_reader = reader
             log_event('reader_chosen', reader=reader, hall=hall)
 
 
 def pick_reader(hall: HallName, records: list[NodeRecord]) -> NodeRecord:
-    """Return the node that reads for a hall.
+    """Return the node that reads the platform for a hall.
 
-    While groups form, the answers to a hall of two dozen nodes fill a link of
-    20 Mbit/s, so the widest link goes first, then the most processor, then a
-    hash.
+    Nodes are ranked by link bandwidth, then by processor cores, then by a
+    hash. Bandwidth comes first since the answers to a hall of two dozen nodes
+    fill a link of 20 Mbit/s while groups form.
     """
-    widest = max(record.link_mbps for record in records)
+    max_link_mbps = max(record.link_mbps for record in records)
     by_name = {
-        record.node: record for record in records if record.link_mbps == widest
+        record.node: record
+        for record in records
+        if record.link_mbps == max_link_mbps
     }
     names = rank_contenders(by_name.values(), f'reader/{hall}', 1)
     return by_name[names[0]]
--- a/waywell/knowledge/readiness_gate.py
+++ b/waywell/knowledge/readiness_gate.py
@@ -1,7 +1,8 @@
-"""When a node that has started may serve by the routes that it has read.
+"""The check that a starting node passes before it serves requests.
 
-A store that came back from an older copy may hold an earlier version of the
-routes, with keys that were removed since.  Nodes that ran before know of it.
+A store restored from an older copy may hold an earlier version of the routes,
+with keys that have been removed since.  Nodes that were already running know
+the later version, so a starting node compares its version with theirs.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
     from waywell.ids import NodeId
 
 PEER_ANSWER_TIMEOUT = 2.0
-"""Longest wait for the answers of peers that were called."""
+"""Seconds to wait for the answers of peers that were called."""
 
 RESTART_TIMEOUT = 0.5
-"""Longest wait for silent peers while most of the others start as well."""
+"""Seconds to wait for silent peers if most of the peers are starting too."""
 
 NODE_LIST_TIMEOUT = 5.0
-"""Longest wait for the list of nodes, from when routes are in force: a call
-that is not answered is repeated after 2 s."""
+"""Seconds to wait for the list of nodes once routes are in force; an
+unanswered call is repeated after 2 s."""
 
 
 class GateReason(enum.Enum):
-    """Why a node that has started may serve."""
+    """Reason for which a starting node may serve."""
 
     FIRST_START = 'first_start'
     READY_PEER = 'ready_peer'
@@ -42,66 +43,66 @@
 
 @attrs.frozen
 class StartupState:
-    """What a node that has started knows of routes and other nodes."""
+    """Routes and other nodes, as a starting node knows them."""
 
     version: int
-    """Version of the routes in force; 0 for none."""
+    """Version of the routes in force at this node; 0 for none."""
 
     latest_version: int
-    """Highest version that any node is known to have in force."""
+    """Latest version known to be in force at any node."""
 
     is_first_start: bool
-    """Whether no node has run before."""
+    """Whether the whole system starts for the first time."""
 
     contacts: PeerContacts
-    """How far this node has reached the others."""
+    """Peers and open calls of this node."""
 
 
 class ReadinessGate:
-    """Keeps a node from serving until its routes were compared with peers'.
+    """Delays serving until the routes have been compared with the peers'.
 
     Parameters
     ----------
     is_strict
-        Whether keys must not be served when they may have been removed.
+        Whether keys that may have been removed must be refused.
     """
 
     def __init__(self, is_strict: bool) -> None:
-        """Start closed where keys are bounded strictly."""
+        """Start closed if keys are strict, else open."""
         self.is_open = not is_strict
-        self._since = math.inf
+        self._routes_since = math.inf
         self._called_at = math.inf
         self._answered: dict[NodeId, bool] = {}
 
     def record_answer(self, peer: NodeId, *, is_ready: bool) -> None:
-        """Record that a peer has told its version of the routes.
+        """Record that a peer has reported its version of the routes.
 
         Parameters
         ----------
         peer
-            The peer.
+            Node that answered.
         is_ready
-            Whether it serves callers.
+            Whether that node serves requests.
         """
         if not self.is_open:
             self._answered[peer] = is_ready
 
-    def update(self, view: StartupState, now: float) -> None:
-        """Open the gate where the routes in force may be relied on.
+    def update(self, state: StartupState, now: float) -> None:
+        """Open the gate if the routes in force may be relied on.
 
         Parameters
         ----------
-        view
-            What this node knows.
+        state
+            Routes and other nodes, as this node knows them.
         now
-            The present time, in seconds.
+            The current time, in seconds.
         """
-        if self.is_open or not view.version:
+        if self.is_open or not state.version:
             return
-        self._since = min(self._since, now)
-        if view.contacts.has_looked:
+        self._routes_since = min(self._routes_since, now)
+        if state.contacts.has_looked:
             self._called_at = min(self._called_at, now)
-        reason = self._find_reason(view, now)
+        reason = self._find_reason(state, now)
         if reason is None:
             return
         self.is_open = True
@@ -111,22 +112,22 @@
         log(
             'routes_compared',
             reason=reason.value,
-            version=view.version,
+            version=state.version,
             answered=len(self._answered),
-            waited=round(now - self._since, 3),
+            waited=round(now - self._routes_since, 3),
         )
 
     def _find_reason(
-        self, view: StartupState, now: float
+        self, state: StartupState, now: float
     ) -> GateReason | None:
-        """Return why the node may serve, if it may."""
-        if view.latest_version > view.version:
+        """Return the reason to open the gate, or ``None``."""
+        if state.latest_version > state.version:
             return None
-        if view.is_first_start:
+        if state.is_first_start:
             return GateReason.FIRST_START
         if any(self._answered.values()):
             return GateReason.READY_PEER
-        contacts = view.contacts
+        contacts = state.contacts
         if contacts.has_looked and not contacts.open_calls:
             if not contacts.peers:
                 return GateReason.NO_PEERS
@@ -139,19 +140,20 @@
         peers: frozenset[NodeId],
         now: float,
     ) -> GateReason | None:
-        """Return why no peer is waited for any longer, if none is."""
-        called_for = now - self._called_at
-        is_over = now - self._since >= NODE_LIST_TIMEOUT
-        if is_over or called_for >= PEER_ANSWER_TIMEOUT:
+        """Return the reason to stop waiting for peers, or ``None``."""
+        since_call = now - self._called_at
+        has_timed_out = now - self._routes_since >= NODE_LIST_TIMEOUT
+        if has_timed_out or since_call >= PEER_ANSWER_TIMEOUT:
             return GateReason.TIMED_OUT
-        if called_for >= RESTART_TIMEOUT and self._do_most_start(peers):
+        if since_call >= RESTART_TIMEOUT and self._are_most_starting(peers):
             return GateReason.MOST_START
         return None
 
-    def _do_most_start(self, peers: frozenset[NodeId]) -> bool:
-        """Answer whether most peers have told that they start themselves.
+    def _are_most_starting(self, peers: frozenset[NodeId]) -> bool:
+        """Return whether most peers have reported that they are starting.
 
-        A stop of all nodes leaves some that never come back.
+        After a stop of all nodes some may never return, so silent peers are
+        not waited for in full.
         """
         starting = sum(not self._answered.get(peer, True) for peer in peers)
         return 2 * starting > len(peers)
--- a/waywell/knowledge/restored_entries.py
+++ b/waywell/knowledge/restored_entries.py
@@ -1,8 +1,8 @@
-"""Box entries of a store that came back from an older copy.
+"""Correction of box entries after the store was restored from an older copy.
 
-Until the boxes have written their entries again, the copy shows them as they
-were: in incarnations that have ended, not yet leaving, or not at all.  What a
-node knows is held against it meanwhile.
+Until the boxes have written their entries again, the copy lists them in ended
+incarnations, as not yet leaving, or not at all.  During this time what a node
+knows of a box takes precedence over its outdated entry.
 """
 
 from __future__ import annotations
@@ -22,24 +22,25 @@
     from waywell.version.life_tracker import LifeTracker
 
 REWRITE_SECONDS = 2.2
-"""Seconds after the store's return in which boxes that live and reach it have
-written their entries again."""
+"""Seconds after a restore within which boxes that are alive and reach the
+store have written their entries again."""
 
 COPY_SECONDS = 10.0
-"""Seconds after the store's return in which it may still show entries of the
-copy; those that no box renews lapse before."""
+"""Seconds after a restore in which the store may still list entries of the
+copy; entries that no box renews expire within this time."""
 
 
 class RestoredEntries:
-    """Holds what is known of boxes against entries of the copy."""
+    """Replaces outdated entries of a restored store by the boxes known
+    here."""
 
     def __init__(self) -> None:
-        """Start with a store that has not come back."""
+        """Start with a store that has not been restored."""
         self.restored_at = -math.inf
         self._outdated: frozenset[BoxId] = frozenset()
 
     def begin(self, now: float) -> None:
-        """Hold what is known from now on."""
+        """Correct outdated entries from now on."""
         self.restored_at = now
 
     def resolve(
@@ -49,7 +50,7 @@
         lives: LifeTracker,
         now: float,
     ) -> dict[BoxId, FleetBox]:
-        """Return a list without what it shows of the time before.
+        """Return a box list with its outdated entries corrected.
 
         Parameters
         ----------
@@ -60,19 +61,19 @@
         lives
             Incarnations that have ended.
         now
-            The present time, in seconds.
+            The current time, in seconds.
 
         Returns
         -------
         dict
-            The same object where nothing has to be held.
+            The corrected list; ``listed`` itself if no entry is outdated.
         """
         if now >= self.restored_at + COPY_SECONDS:
             return listed
         resolved = _resolve_listed(listed, known, lives)
         if now < self.restored_at + REWRITE_SECONDS:
-            resolved.update(_find_missing(listed, known))
-        outdated = _find_differing(listed, resolved)
+            resolved.update(_find_unlisted(listed, known))
+        outdated = _find_outdated(listed, resolved)
         self._log_outdated(outdated, now)
         return resolved if outdated else listed
 
@@ -99,11 +100,11 @@
     return {name: box for name, box in current.items() if box is not None}
 
 
-def _find_missing(
+def _find_unlisted(
     listed: Mapping[BoxId, FleetBox],
     known: Mapping[BoxId, FleetBox],
 ) -> dict[BoxId, FleetBox]:
-    """Return the boxes that the copy may lack though they live."""
+    """Return known boxes that may be alive though the copy lacks them."""
     return {
         name: box
         for name, box in known.items()
@@ -111,7 +112,7 @@
     }
 
 
-def _find_differing(
+def _find_outdated(
     listed: Mapping[BoxId, FleetBox],
     resolved: Mapping[BoxId, FleetBox],
 ) -> frozenset[BoxId]:
@@ -127,7 +128,7 @@
     known: FleetBox | None,
     lives: LifeTracker,
 ) -> FleetBox | None:
-    """Return what is true of a box, or ``None`` where it is gone."""
+    """Return the current entry of a box, or ``None`` if it is gone."""
     if lives.has_ended_life(box.life):
         return known
     if known is None or known.life != box.life:
@@ -135,6 +136,6 @@
     if box.entry_number < known.entry_number:
         return known
     if known.leaving and not box.leaving:
-        # A box that leaves does not come back in this incarnation.
+        # Leaving is final for an incarnation.
         return msgspec.structs.replace(box, leaving=True)
     return box
--- a/waywell/knowledge/route_watch.py
+++ b/waywell/knowledge/route_watch.py
@@ -1,4 +1,4 @@
-"""The task that keeps the routes of this node the newest."""
+"""The actor that reads the routes from the platform."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
     from waywell.knowledge.platform_watch import WatchContext
 
 ROUTES_NAME = 'main'
-"""Name of the one object that holds the routes."""
+"""Name of the only object that contains the routes."""
 
 
 class RouteWatch(PlatformWatch):
-    """Reads the routes and confirms them again and again.
+    """Reads the routes, puts them in force and confirms them.
 
-    A watch that waits tells nothing; one that was answered tells that nothing
-    had changed when it was asked.
+    A pending watch confirms nothing. Once it is answered without changes, the
+    routes are confirmed as of the time at which the watch was sent.
 
     Parameters
     ----------
-    parts
-        What it works with.
-    wait
-        Seconds for which a watch waits when nothing changes.
+    context
+        Platform, cluster view and other collaborators.
+    watch_seconds
+        Seconds after which a watch without changes is answered.
     """
 
     def __init__(self, context: WatchContext, watch_seconds: float) -> None:
-        """Know nothing yet."""
+        """Create a watch that has read no routes."""
         scope = WatchScope('routes', Kind.CONFIGURATION, watch_seconds)
         super().__init__('routes', scope, context)
         self._cluster = context.cluster
@@ -49,20 +49,21 @@
     def apply_changes(
         self, changes: Changes, asked_at: float, now: float
     ) -> None:
-        """Put a newer version in force; confirm the one that is stored."""
+        """Put a newer version in force, or confirm the stored version."""
         if changes.complete:
             self._stored_version = 0
         for stored in changes.objects:
             self._apply_stored(stored)
         self.advance(changes)
         if ROUTES_NAME in changes.unreadable:
-            # The newest version is not in force until a readable one comes.
+            # The version in force is not confirmed until the object is
+            # readable.
             self._stored_version = 0
         if self._stored_version == self._cluster.index.table.version:
             self._cluster.confirm_routes(asked_at)
 
     def handle_fault(self, fault: PlatformFault, now: float) -> None:
-        """Read anew after any fault."""
+        """Read all objects again after any fault."""
         self.forget_revision()
 
     def _apply_stored(self, stored: Stored) -> None:
@@ -71,7 +72,7 @@
         in_force = self._cluster.index.table.version
         self._stored_version = stored.body.version
         if self._stored_version < in_force:
-            # A store that came back from a copy lacks the later versions.
+            # A store restored from an older copy lacks the later versions.
             log_warning(
                 'routes_outdated',
                 stored=self._stored_version,
