--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -1,4 +1,4 @@
-"""How sure a node is of routes, keys and boxes."""
+"""Tests of the routes, keys and boxes in force at a node."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return ClusterView(PromiseSettings(keys_refused_within_ms=5000.0))
 
 
-def check(cluster: ClusterView, now: float) -> Code | None:
+def get_refusal_code(cluster: ClusterView, now: float) -> Code | None:
     try:
         cluster.check_routes(now)
     except Refusal as refusal:
@@ -36,32 +36,32 @@
     return None
 
 
-def test_a_node_without_routes_says_that_it_is_starting() -> None:
+def test_node_without_routes_refuses_as_starting() -> None:
     cluster = make_cluster()
     cluster.confirm_routes(10.0)
-    assert check(cluster, 10.0) is Code.NODE_STARTING
+    assert get_refusal_code(cluster, 10.0) is Code.NODE_STARTING
 
 
-def test_routes_that_are_not_confirmed_in_time_serve_nobody() -> None:
+def test_routes_not_confirmed_in_time_are_refused() -> None:
     cluster = make_cluster()
     cluster.apply_routes(TABLE)
     cluster.confirm_routes(10.0)
     last = 10.0 + 5.0 - KEY_MARGIN
-    assert check(cluster, last - 0.001) is None
-    assert check(cluster, last) is Code.ROUTES_STALE
+    assert get_refusal_code(cluster, last - 0.001) is None
+    assert get_refusal_code(cluster, last) is Code.ROUTES_STALE
 
 
-def test_routes_serve_on_where_removed_keys_are_not_strictly_bounded() -> None:
+def test_unconfirmed_routes_remain_valid_if_keys_are_not_strict() -> None:
     cluster = ClusterView(
         PromiseSettings(keys_refused_within_ms=5000.0, keys_strict=False)
     )
-    assert check(cluster, 10.0) is Code.NODE_STARTING
+    assert get_refusal_code(cluster, 10.0) is Code.NODE_STARTING
     cluster.apply_routes(TABLE)
     cluster.confirm_routes(10.0)
-    assert check(cluster, 100.0) is None
+    assert get_refusal_code(cluster, 100.0) is None
 
 
-def test_an_older_confirmation_takes_nothing_back() -> None:
+def test_older_confirmation_does_not_raise_the_age() -> None:
     cluster = make_cluster()
     cluster.apply_routes(TABLE)
     cluster.confirm_routes(10.0)
@@ -69,7 +69,7 @@
     assert cluster.get_routes_age(10.0) == 0
 
 
-def test_no_version_goes_back() -> None:
+def test_older_or_equal_version_is_not_applied() -> None:
     cluster = make_cluster()
     assert cluster.apply_routes(RouteTable(5))
     assert not cluster.apply_routes(RouteTable(4))
@@ -77,7 +77,7 @@
     assert cluster.index.table.version == 5
 
 
-def test_a_replica_that_left_its_group_gets_nothing_more() -> None:
+def test_replica_of_a_former_group_receives_no_requests() -> None:
     cluster = make_cluster()
     cluster.apply_routes(TABLE)
     cluster.apply_fleet(make_fleet(*make_group('notes.7', 'a', 'b')), 1.0)
@@ -87,7 +87,7 @@
     assert not cluster.may_send_to(replica)
 
 
-def test_a_doubted_replica_is_out_until_the_list_changes() -> None:
+def test_excluded_replica_returns_with_the_next_box_list() -> None:
     cluster = make_cluster()
     cluster.apply_routes(TABLE)
     fleet = make_fleet(*make_group('notes.7', 'a', 'b'))
@@ -100,7 +100,7 @@
     assert cluster.list_replicas(service, model)
 
 
-def test_an_unknown_model_has_no_replica() -> None:
+def test_unknown_model_has_no_replicas() -> None:
     cluster = make_cluster()
     cluster.apply_routes(TABLE)
     assert not cluster.list_replicas(ServiceName('llm'), ModelName('other'))
@@ -108,7 +108,7 @@
         cluster.check_keys(100.0)
 
 
-def test_an_engine_without_models_is_served_by_its_boxes_one_by_one() -> None:
+def test_engine_without_models_is_served_by_single_boxes() -> None:
     cluster = make_cluster()
     service = RoutedService(ServiceName('llm'), engine=Engine(9, ()))
     cluster.apply_routes(RouteTable(1, services=(service,)))
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Who reads the platform for a data hall."""
+"""Tests of the choice of readers and of the feed between nodes."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from waywell.version.routes import RouteTable
 
 HALL = HallName('h')
-FAR = HallName('far')
+OTHER_HALL = HallName('far')
 
 
-def test_the_reader_does_not_depend_on_the_order() -> None:
+def test_reader_choice_is_independent_of_record_order() -> None:
     records = [make_record(name) for name in 'abcdef']
     assert pick_reader(HALL, records) == pick_reader(HALL, records[::-1])
 
 
-def test_a_node_with_a_wide_link_reads_before_all_others() -> None:
+def test_node_with_the_widest_link_is_the_reader() -> None:
     records = [make_record(name) for name in 'abcdef']
     for place, record in enumerate(records):
         wide = msgspec.structs.replace(record, link_mbps=200)
@@ -41,8 +41,8 @@
     def __init__(self) -> None:
         self.sent: list[tuple[NodeId, object]] = []
 
-    def subscribe(self, *_words: object) -> None:
-        """Take no subscriber."""
+    def subscribe(self, *_args: object) -> None:
+        """Ignore subscriptions."""
 
     def list_peers(self) -> set[NodeId]:
         return {NodeId('b'), NodeId('c')}
@@ -60,11 +60,11 @@
     def keep_streams(
         self, _user: str, _records: tuple[NodeRecord, ...]
     ) -> None:
-        """Keep no stream."""
+        """Ignore requests to keep streams."""
 
 
-class Bench:
-    """A node whose hall is read by node b, or another than b's."""
+class FeedHarness:
+    """Feed of node a; node b is the reader of the given hall."""
 
     def __init__(self, read_after: float = 0.0, hall: str = HALL) -> None:
         self.clock = HeldClock()
@@ -112,190 +112,197 @@
         )
 
 
-def test_ages_count_from_the_question_however_long_its_answer_took() -> None:
-    bench = Bench()
-    bench.cluster.apply_routes(RouteTable(7))
-    ask = bench.ask()
-    # The answer lies in a buffer, or this process stands still.
-    bench.clock.now += 3.0
-    bench.answer(ask, boxes=(make_box('x'),))
-    assert bench.get_ages() == (3.5, 3.4)
-
-
-def test_an_answer_about_another_version_confirms_nothing() -> None:
-    bench = Bench()
-    bench.cluster.apply_routes(RouteTable(6))
-    bench.cluster.confirm_routes(98.0)
-    bench.answer(bench.ask())
-    assert bench.get_ages()[0] == 2.0
-    assert bench.feed.newer_version == 7
-    assert bench.ask().wants_routes
-    bench.answer(bench.ask(), routes=RouteTable(7))
-    assert bench.cluster.index.table.version == 7
-    assert bench.feed.newer_version == 0
-
-
-def test_an_older_box_list_never_replaces_a_newer_one() -> None:
-    bench = Bench()
-    late = bench.ask()
-    bench.clock.now += 1.0
-    bench.answer(bench.ask(), boxes=(make_box('new'),))
-    bench.answer(late, boxes=(make_box('old'),))
-    assert set(bench.cluster.fleet.boxes) == {'new'}
-
-
-def test_changes_are_applied_to_the_list_that_was_asked_with() -> None:
-    bench = Bench()
-    bench.answer(bench.ask(), boxes=(make_box('x'), make_box('y')))
-    bench.clock.now += 0.3
-    bench.answer(
-        bench.ask(),
+def test_ages_count_from_the_time_the_query_was_sent() -> None:
+    harness = FeedHarness()
+    harness.cluster.apply_routes(RouteTable(7))
+    ask = harness.ask()
+    # The answer waits in a buffer, or this process is suspended.
+    harness.clock.now += 3.0
+    harness.answer(ask, boxes=(make_box('x'),))
+    assert harness.get_ages() == (3.5, 3.4)
+
+
+def test_answer_with_another_version_does_not_confirm_routes() -> None:
+    harness = FeedHarness()
+    harness.cluster.apply_routes(RouteTable(6))
+    harness.cluster.confirm_routes(98.0)
+    harness.answer(harness.ask())
+    assert harness.get_ages()[0] == 2.0
+    assert harness.feed.newer_version == 7
+    assert harness.ask().wants_routes
+    harness.answer(harness.ask(), routes=RouteTable(7))
+    assert harness.cluster.index.table.version == 7
+    assert harness.feed.newer_version == 0
+
+
+def test_older_box_list_does_not_replace_a_newer_one() -> None:
+    harness = FeedHarness()
+    early_ask = harness.ask()
+    harness.clock.now += 1.0
+    harness.answer(harness.ask(), boxes=(make_box('new'),))
+    harness.answer(early_ask, boxes=(make_box('old'),))
+    assert set(harness.cluster.fleet.boxes) == {'new'}
+
+
+def test_changes_apply_to_the_list_named_in_the_query() -> None:
+    harness = FeedHarness()
+    harness.answer(harness.ask(), boxes=(make_box('x'), make_box('y')))
+    harness.clock.now += 0.3
+    harness.answer(
+        harness.ask(),
         serial=4,
         is_whole=False,
         boxes=(make_box('z'),),
         gone=('x',),
     )
-    assert set(bench.cluster.fleet.boxes) == {'y', 'z'}
-    # The answerer was restarted: its changes are to a list never seen here.
-    bench.clock.now += 0.3
-    bench.answer(bench.ask(), run=2, is_whole=False, gone=('y',))
-    assert set(bench.cluster.fleet.boxes) == {'y', 'z'}
-
-
-def test_a_question_is_answered_once_only() -> None:
-    bench = Bench()
-    bench.cluster.apply_routes(RouteTable(7))
-    ask = bench.ask()
-    bench.answer(ask)
-    bench.clock.now += 2.0
-    bench.answer(ask, routes_age=0.0)
-    assert bench.get_ages()[0] == 2.5
-
-
-def test_a_node_reads_by_itself_when_its_reader_tells_old_news() -> None:
-    bench = Bench()
-    bench.cluster.apply_routes(RouteTable(7))
-    bench.answer(bench.ask(), boxes=(make_box('x'),))
-    now = bench.clock.now
-    assert not bench.feed.needs_routes(now)
-    assert not bench.feed.needs_boxes(now)
-    bench.clock.now = now = now + 1.5
-    assert bench.feed.needs_routes(now)
-    assert bench.feed.needs_boxes(now)
-    bench.links.sent.clear()
-    bench.feed.on_tick(Feed.Tick())
-    assert {node for node, _ask in bench.links.sent} == {'b', 'c'}
-
-
-def test_at_the_first_start_a_node_lets_others_read_for_a_while() -> None:
-    bench = Bench(read_after=102.0)
-    assert not bench.feed.needs_boxes(101.9)
-    assert not bench.feed.needs_routes(101.9)
-    assert bench.feed.needs_boxes(102.0)
-    assert bench.feed.needs_routes(102.0)
-
-
-def test_a_reader_that_reaches_the_platform_asks_for_no_boxes() -> None:
-    bench = Bench(hall=FAR)
-    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
-    bench.cluster.confirm_routes(bench.clock.now)
-    ask = bench.ask()
+    assert set(harness.cluster.fleet.boxes) == {'y', 'z'}
+    # The peer has restarted: its changes apply to a list unknown here.
+    harness.clock.now += 0.3
+    harness.answer(harness.ask(), run=2, is_whole=False, gone=('y',))
+    assert set(harness.cluster.fleet.boxes) == {'y', 'z'}
+
+
+def test_second_answer_to_a_query_is_ignored() -> None:
+    harness = FeedHarness()
+    harness.cluster.apply_routes(RouteTable(7))
+    ask = harness.ask()
+    harness.answer(ask)
+    harness.clock.now += 2.0
+    harness.answer(ask, routes_age=0.0)
+    assert harness.get_ages()[0] == 2.5
+
+
+def test_node_reads_the_platform_if_its_reader_sends_old_data() -> None:
+    harness = FeedHarness()
+    harness.cluster.apply_routes(RouteTable(7))
+    harness.answer(harness.ask(), boxes=(make_box('x'),))
+    now = harness.clock.now
+    assert not harness.feed.needs_routes(now)
+    assert not harness.feed.needs_boxes(now)
+    harness.clock.now = now = now + 1.5
+    assert harness.feed.needs_routes(now)
+    assert harness.feed.needs_boxes(now)
+    harness.links.sent.clear()
+    harness.feed.on_tick(Feed.Tick())
+    assert {node for node, _ask in harness.links.sent} == {'b', 'c'}
+
+
+def test_node_reads_nothing_itself_until_read_after() -> None:
+    harness = FeedHarness(read_after=102.0)
+    assert not harness.feed.needs_boxes(101.9)
+    assert not harness.feed.needs_routes(101.9)
+    assert harness.feed.needs_boxes(102.0)
+    assert harness.feed.needs_routes(102.0)
+
+
+def test_reader_that_reaches_the_platform_requests_no_boxes() -> None:
+    harness = FeedHarness(hall=OTHER_HALL)
+    harness.cluster.apply_fleet(make_fleet(make_box('x')), harness.clock.now)
+    harness.cluster.confirm_routes(harness.clock.now)
+    ask = harness.ask()
     assert not ask.wants_boxes
-    bench.answer(ask, boxes=(make_box('y'),), boxes_age=0.0)
-    assert set(bench.cluster.fleet.boxes) == {'x'}
+    harness.answer(ask, boxes=(make_box('y'),), boxes_age=0.0)
+    assert set(harness.cluster.fleet.boxes) == {'x'}
 
 
-def test_a_reader_that_is_cut_off_takes_the_boxes_of_others() -> None:
-    bench = Bench(hall=FAR)
-    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
-    bench.clock.now += 1.5
-    ask = bench.ask()
-    # Ages first: only one of those that know more is asked for its list.
+def test_reader_that_is_cut_off_requests_boxes_from_peers() -> None:
+    harness = FeedHarness(hall=OTHER_HALL)
+    harness.cluster.apply_fleet(make_fleet(make_box('x')), harness.clock.now)
+    harness.clock.now += 1.5
+    ask = harness.ask()
+    # Ages are queried first; only one peer with a newer list is asked for it.
     assert not ask.wants_boxes
-    bench.links.sent.clear()
-    bench.answer(ask, is_whole=False)
-    (peer, fetch) = bench.links.sent[0]
-    assert (peer, fetch.wants_boxes) == ('b', True)
-    bench.answer(fetch, boxes=(make_box('y'),))
-    assert set(bench.cluster.fleet.boxes) == {'y'}
+    harness.links.sent.clear()
+    harness.answer(ask, is_whole=False)
+    (peer, list_ask) = harness.links.sent[0]
+    assert (peer, list_ask.wants_boxes) == ('b', True)
+    harness.answer(list_ask, boxes=(make_box('y'),))
+    assert set(harness.cluster.fleet.boxes) == {'y'}
 
 
-def test_no_box_lists_are_asked_for_while_all_lost_the_platform() -> None:
-    """The store is away for all; each node's list is old by the same.
+def test_no_box_lists_are_requested_if_all_lost_the_platform() -> None:
+    """All nodes lose the store, so that their lists are equally old.
 
-    Every node asked all its peers for whole lists three times a second: at 760
-    boxes 2.8 MB/s from seven peers, over links of 2.5 MB/s.
+    Guards against each node requesting full lists from all peers three times a
+    second: with 760 boxes and seven peers that is 2.8 MB/s on links of 2.5
+    MB/s.
     """
-    bench = Bench(hall=FAR)
-    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
+    harness = FeedHarness(hall=OTHER_HALL)
+    harness.cluster.apply_fleet(make_fleet(make_box('x')), harness.clock.now)
     for _ in range(10):
-        bench.clock.now += 0.7
-        ask = bench.ask()
-        age = bench.cluster.get_boxes_age(bench.clock.now)
-        bench.answer(ask, is_whole=False, boxes_age=age - 0.6)
-        asks = [message for _node, message in bench.links.sent]
-        assert not any(one.wants_boxes for one in asks)
-
-
-def test_one_peer_is_asked_for_its_newer_list_at_a_time() -> None:
-    bench = Bench(hall=FAR)
-    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
-    bench.clock.now += 1.5
-    first = bench.ask()
-    (other,) = (ask for node, ask in bench.links.sent if node == 'c')
-    bench.links.sent.clear()
-    bench.answer(first, is_whole=False)
-    bench.answer(other, is_whole=False)
-    assert len(bench.links.sent) == 1
-
-
-def test_only_readers_are_told_of_requests_in_flight() -> None:
-    bench = Bench()
-    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
-    bench.clock.now += 1.5
-    assert bench.ask().loads is not None
-    (other,) = (ask for node, ask in bench.links.sent if node == 'c')
-    assert other.loads is None
-    bench.feed.on_received(PeerLinks.Received(NodeId('c'), other))
-    assert not bench.feed._loads.list_nodes()
-
-
-def test_boxes_and_loads_are_told_only_to_those_who_want_them() -> None:
-    bench = Bench(hall=FAR)
-    bench.cluster.apply_fleet(make_fleet(make_box('x')), bench.clock.now)
-    ask = FeedAsk(1, 0, 0, 0, hall=FAR, wants_boxes=False)
-    bench.feed.on_received(PeerLinks.Received(NodeId('b'), ask))
-    asked = msgspec.structs.replace(ask, wants_boxes=True)
-    bench.feed.on_received(PeerLinks.Received(NodeId('b'), asked))
-    lean, full = (message for _node, message in bench.links.sent)
-    assert (lean.boxes, lean.gone, lean.is_whole) == ((), (), False)
-    assert [box.box for box in full.boxes] == ['x']
-
-
-def test_a_node_takes_newer_routes_from_its_reader() -> None:
-    """Load: 71 nodes and eleven versions of the routes within ten seconds.
-
-    Each node read each version from the platform as soon as it heard of it.
+        harness.clock.now += 0.7
+        ask = harness.ask()
+        age = harness.cluster.get_boxes_age(harness.clock.now)
+        harness.answer(ask, is_whole=False, boxes_age=age - 0.6)
+        asks = [message for _node, message in harness.links.sent]
+        assert not any(message.wants_boxes for message in asks)
+
+
+def test_newer_box_list_is_requested_from_one_peer_at_a_time() -> None:
+    harness = FeedHarness(hall=OTHER_HALL)
+    harness.cluster.apply_fleet(make_fleet(make_box('x')), harness.clock.now)
+    harness.clock.now += 1.5
+    first = harness.ask()
+    (other_ask,) = (ask for node, ask in harness.links.sent if node == 'c')
+    harness.links.sent.clear()
+    harness.answer(first, is_whole=False)
+    harness.answer(other_ask, is_whole=False)
+    assert len(harness.links.sent) == 1
+
+
+def test_requests_in_flight_are_reported_to_readers_only() -> None:
+    harness = FeedHarness()
+    harness.cluster.apply_fleet(make_fleet(make_box('x')), harness.clock.now)
+    harness.clock.now += 1.5
+    assert harness.ask().loads is not None
+    (other_ask,) = (ask for node, ask in harness.links.sent if node == 'c')
+    assert other_ask.loads is None
+    harness.feed.on_received(PeerLinks.Received(NodeId('c'), other_ask))
+    assert not harness.feed._loads.list_nodes()
+
+
+def test_boxes_and_loads_are_sent_only_on_request() -> None:
+    harness = FeedHarness(hall=OTHER_HALL)
+    harness.cluster.apply_fleet(make_fleet(make_box('x')), harness.clock.now)
+    ask = FeedAsk(1, 0, 0, 0, hall=OTHER_HALL, wants_boxes=False)
+    harness.feed.on_received(PeerLinks.Received(NodeId('b'), ask))
+    ask_for_boxes = msgspec.structs.replace(ask, wants_boxes=True)
+    harness.feed.on_received(PeerLinks.Received(NodeId('b'), ask_for_boxes))
+    without_boxes, with_boxes = (
+        message for _node, message in harness.links.sent
+    )
+    assert (
+        without_boxes.boxes,
+        without_boxes.gone,
+        without_boxes.is_whole,
+    ) == ((), (), False)
+    assert [box.box for box in with_boxes.boxes] == ['x']
+
+
+def test_node_gets_newer_routes_from_its_reader() -> None:
+    """Guards against each node reading every new version from the platform.
+
+    Load: 71 nodes and eleven versions of the routes within ten seconds.
     """
-    bench = Bench()
-    bench.cluster.apply_routes(RouteTable(6))
-    bench.cluster.confirm_routes(bench.clock.now)
-    ask = bench.ask()
+    harness = FeedHarness()
+    harness.cluster.apply_routes(RouteTable(6))
+    harness.cluster.confirm_routes(harness.clock.now)
+    ask = harness.ask()
     assert ask.wants_routes
-    bench.answer(ask, routes=RouteTable(7))
-    assert bench.cluster.index.table.version == 7
-    assert not bench.feed.needs_routes(bench.clock.now)
-
-
-def test_a_node_whose_reader_sends_no_newer_routes_reads_them() -> None:
-    """The reader lives and answers, and its routes are not the newest."""
-    bench = Bench()
-    bench.cluster.apply_routes(RouteTable(6))
-    bench.cluster.confirm_routes(bench.clock.now)
-    bench.answer(bench.ask())
-    assert not bench.feed.needs_routes(bench.clock.now)
-    bench.clock.now += 0.8
-    bench.cluster.confirm_routes(bench.clock.now)
-    assert bench.feed.needs_routes(bench.clock.now)
-    bench.answer(bench.ask(), routes=RouteTable(7))
-    assert not bench.feed.needs_routes(bench.clock.now)
+    harness.answer(ask, routes=RouteTable(7))
+    assert harness.cluster.index.table.version == 7
+    assert not harness.feed.needs_routes(harness.clock.now)
+
+
+def test_node_reads_newer_routes_that_its_reader_does_not_send() -> None:
+    """The reader answers, but its routes are not the newest."""
+    harness = FeedHarness()
+    harness.cluster.apply_routes(RouteTable(6))
+    harness.cluster.confirm_routes(harness.clock.now)
+    harness.answer(harness.ask())
+    assert not harness.feed.needs_routes(harness.clock.now)
+    harness.clock.now += 0.8
+    harness.cluster.confirm_routes(harness.clock.now)
+    assert harness.feed.needs_routes(harness.clock.now)
+    harness.answer(harness.ask(), routes=RouteTable(7))
+    assert not harness.feed.needs_routes(harness.clock.now)
--- a/tests/test_poll_intervals.py
+++ b/tests/test_poll_intervals.py
@@ -1,4 +1,4 @@
-"""How often a node looks, by what was promised."""
+"""Tests of poll intervals and retry delays."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @given(BOUNDS, BOUNDS, BOUNDS)
-def test_two_looks_and_a_question_fit_into_each_bound(
+def test_intervals_fit_into_the_promised_bounds(
     leaving_ms: float,
     applied_ms: float,
     refused_ms: float,
@@ -28,9 +28,9 @@
         applied_within_ms=applied_ms,
     )
     intervals = make_poll_intervals(promises)
-    told = intervals.box_interval + intervals.ask_interval
-    assert told < promises.leaving_within / 2
-    assert told < intervals.box_max_age < promises.leaving_within
+    update_seconds = intervals.box_interval + intervals.ask_interval
+    assert update_seconds < promises.leaving_within / 2
+    assert update_seconds < intervals.box_max_age < promises.leaving_within
     assert (
         intervals.route_watch_seconds
         < intervals.route_max_age
@@ -39,20 +39,20 @@
     assert 2 * intervals.route_max_age <= promises.keys_refused_within
 
 
-def test_a_tighter_bound_is_looked_after_more_often() -> None:
-    usual = make_poll_intervals(PromiseSettings())
+def test_tighter_bounds_give_shorter_intervals() -> None:
+    default = make_poll_intervals(PromiseSettings())
     tight = make_poll_intervals(
         PromiseSettings(leaving_within_ms=600.0, applied_within_ms=600.0),
     )
-    assert tight.box_interval < usual.box_interval
-    assert tight.ask_interval < usual.ask_interval
-    assert tight.route_watch_seconds < usual.route_watch_seconds
+    assert tight.box_interval < default.box_interval
+    assert tight.ask_interval < default.ask_interval
+    assert tight.route_watch_seconds < default.route_watch_seconds
 
 
 def count_calls(
     seconds: float, *, reads_for_others: bool, seed: int, nodes: int = 1
 ) -> int:
-    """Return the calls of one node while the platform refuses all of them."""
+    """Count the calls of one node while the platform rejects all of them."""
     random = Random(seed)
     now, failures = 0.0, 0
     while now < seconds:
@@ -66,26 +66,24 @@
     return failures
 
 
-def test_a_platform_that_refuses_is_asked_ever_less_by_all_together() -> None:
-    """Load: 195 nodes, 5 of them readers, the store away for 9 s.
+def test_retries_of_all_nodes_back_off_during_an_outage() -> None:
+    """Load: 195 nodes, 5 of them readers, an outage of the store of 9 s.
 
-    Each node called four times a second for routes and for boxes: 7,020 calls
-    for each of the two.
+    Guards against each node calling four times a second for routes and for
+    boxes, which makes 7,020 calls for each of the two.
     """
-    others = sum(
+    follower_calls = sum(
         count_calls(9.0, reads_for_others=False, seed=seed)
         for seed in range(190)
     )
-    readers = sum(
+    reader_calls = sum(
         count_calls(9.0, reads_for_others=True, seed=seed) for seed in range(5)
     )
-    assert others < 190 * 8
-    assert 5 * 15 < readers < 5 * 30
+    assert follower_calls < 190 * 8
+    assert 5 * 15 < reader_calls < 5 * 30
 
 
-def test_a_reader_is_never_late_by_more_than_three_quarters_of_a_second() -> (
-    None
-):
+def test_retry_delay_of_a_reader_is_below_three_quarters_of_a_second() -> None:
     waits = [
         choose_retry_delay(
             failures, reads_for_others=True, nodes=195, draw=0.999
@@ -99,7 +97,7 @@
     )
 
 
-def test_nodes_that_failed_at_one_moment_call_again_at_others() -> None:
+def test_retry_delays_of_simultaneous_failures_are_spread() -> None:
     random = Random(7)
     waits = {
         round(
@@ -115,13 +113,12 @@
     assert max(waits) <= 1.5
 
 
-def test_hundreds_of_nodes_share_the_calls_to_a_platform_that_refuses() -> (
-    None
-):
-    """Load: 71 nodes, the store turning all of them away for 30 s.
+def test_retry_rate_of_all_nodes_is_bounded_in_large_fleets() -> None:
+    """Load: 71 nodes, all rejected by the store for 30 s.
 
-    Each of them called every other second at last: 71 calls for each of routes
-    and boxes every two seconds, each with its price.
+    Guards against a maximum delay of two seconds per node regardless of their
+    number: 71 calls each for routes and boxes every two seconds, each at a
+    cost.
     """
     alone, together = (
         sum(
@@ -134,7 +131,7 @@
     assert together < 71 * 9
 
 
-def test_a_node_that_hears_from_nobody_calls_as_often_as_ever() -> None:
+def test_retry_delay_of_a_single_node_is_at_most_two_seconds() -> None:
     waits = [
         choose_retry_delay(9, reads_for_others=False, nodes=1, draw=0.5)
         for _ in range(3)
--- a/tests/test_readiness_gate.py
+++ b/tests/test_readiness_gate.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.test_feed import Bench
+from tests.test_feed import FeedHarness as Bench
 from tests.test_membership import make_record
 from waywell.codes import Code, Refusal
 from waywell.connection.peer import FeedAsk
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from tests.boxes import make_box, make_fleet, make_group
-from tests.test_feed import Bench as FeedBench
+from tests.test_feed import FeedHarness as FeedBench
 from tests.test_fleet_watch import Bench as WatchBench
 from waywell.connection.store_era import StoreEra
 from waywell.ids import GroupId, Incarnation
