--- a/tests/test_era_history.py
+++ b/tests/test_era_history.py
@@ -1,4 +1,4 @@
-"""What status and log tell of a store that came back from an older copy."""
+"""Tests of the status and the log after a restore of the store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Node:
-    """Routes and boxes in force at a node, and what it logs."""
+    """Node with routes and boxes in force, whose log lines are captured."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clock = HeldClock()
@@ -36,7 +36,7 @@
     return Node(monkeypatch)
 
 
-def test_the_first_era_has_no_beginning(node: Node) -> None:
+def test_first_era_has_no_change_time(node: Node) -> None:
     node.cluster.eras.observe(StoreEra(4))
     assert node.history.show() == {
         'store_era': 4,
@@ -46,7 +46,7 @@
     assert not node.lines
 
 
-def test_status_tells_since_when_the_era_is(node: Node) -> None:
+def test_status_shows_the_time_of_the_era_change(node: Node) -> None:
     node.cluster.eras.observe(StoreEra(4))
     node.clock.now = 86400.5
     node.cluster.eras.observe(StoreEra(5))
@@ -63,7 +63,7 @@
     ('is_holder', 'dropped'),
     [(True, 'revisions,lease_term'), (False, 'revisions')],
 )
-def test_one_line_tells_what_is_dropped_and_kept(
+def test_era_change_logs_the_dropped_and_kept_state(
     node: Node,
     *,
     is_holder: bool,
--- a/tests/test_readiness_gate.py
+++ b/tests/test_readiness_gate.py
@@ -1,10 +1,10 @@
-"""When a node that has started may serve by the routes that it has read."""
+"""Tests of the check that a starting node passes before it serves."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.test_feed import FeedHarness as Bench
+from tests.test_feed import FeedHarness
 from tests.test_membership import make_record
 from waywell.codes import Code, Refusal
 from waywell.connection.peer import FeedAsk
@@ -28,7 +28,7 @@
 NOW = 100.0
 
 
-def view(
+def make_state(
     *peers: NodeId,
     version: int = 1,
     latest: int = 1,
@@ -44,106 +44,108 @@
     )
 
 
-def is_open(gate: ReadinessGate, seen: StartupState, now: float = NOW) -> bool:
-    gate.update(seen, now)
+def is_open(
+    gate: ReadinessGate, state: StartupState, now: float = NOW
+) -> bool:
+    gate.update(state, now)
     return gate.is_open
 
 
-def test_a_node_alone_serves_once_it_has_routes_and_has_looked() -> None:
+def test_single_node_serves_once_it_has_routes_and_the_node_list() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert not is_open(gate, view(version=0, latest=0))
-    assert not is_open(gate, view(has_looked=False))
-    assert is_open(gate, view())
+    assert not is_open(gate, make_state(version=0, latest=0))
+    assert not is_open(gate, make_state(has_looked=False))
+    assert is_open(gate, make_state())
 
 
-def test_a_node_waits_for_nobody_where_keys_are_not_strict() -> None:
+def test_gate_is_open_if_keys_are_not_strict() -> None:
     assert ReadinessGate(is_strict=False).is_open
 
 
-def test_at_the_first_start_of_all_a_node_waits_for_nobody() -> None:
+def test_gate_opens_at_once_at_the_first_start_of_the_system() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert is_open(gate, view(B, is_first_start=True, has_looked=False))
+    assert is_open(gate, make_state(B, is_first_start=True, has_looked=False))
 
 
-def test_a_later_version_keeps_a_node_from_serving_until_it_is_here() -> None:
+def test_gate_stays_closed_until_the_latest_version_is_in_force() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=True)
-    behind = view(B, version=1, latest=2)
+    behind = make_state(B, version=1, latest=2)
     assert not is_open(gate, behind)
     assert not is_open(gate, behind, NOW + 100 * PEER_ANSWER_TIMEOUT)
-    assert is_open(gate, view(B, version=2, latest=2))
+    assert is_open(gate, make_state(B, version=2, latest=2))
 
 
-def test_the_same_version_of_a_peer_that_serves_is_enough() -> None:
+def test_same_version_at_one_serving_peer_opens_the_gate() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=True)
-    assert is_open(gate, view(B, C, open_calls=3))
+    assert is_open(gate, make_state(B, C, open_calls=3))
 
 
-def test_nodes_that_all_start_serve_once_each_has_answered() -> None:
+def test_gate_opens_once_all_starting_peers_have_answered() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
-    assert not is_open(gate, view(B, C))
+    assert not is_open(gate, make_state(B, C))
     gate.record_answer(C, is_ready=False)
-    assert not is_open(gate, view(B, C, open_calls=1))
-    assert is_open(gate, view(B, C))
+    assert not is_open(gate, make_state(B, C, open_calls=1))
+    assert is_open(gate, make_state(B, C))
 
 
-def test_silent_peers_are_waited_for_no_longer_than_the_bound() -> None:
+def test_silent_peers_delay_the_gate_until_the_timeout() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert not is_open(gate, view(version=0, latest=0), NOW - 50)
-    silent = view(B, open_calls=1)
+    assert not is_open(gate, make_state(version=0, latest=0), NOW - 50)
+    silent = make_state(B, open_calls=1)
     assert not is_open(gate, silent)
     assert not is_open(gate, silent, NOW + PEER_ANSWER_TIMEOUT - 0.01)
     assert is_open(gate, silent, NOW + PEER_ANSWER_TIMEOUT)
 
 
-def test_after_a_stop_of_all_a_node_that_is_gone_holds_up_nobody() -> None:
+def test_missing_node_does_not_delay_a_restart_of_all_nodes() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
     gate.record_answer(C, is_ready=False)
-    most_start = view(B, C, D, open_calls=1)
+    most_start = make_state(B, C, D, open_calls=1)
     assert not is_open(gate, most_start)
     assert not is_open(gate, most_start, NOW + RESTART_TIMEOUT - 0.01)
     assert is_open(gate, most_start, NOW + RESTART_TIMEOUT)
 
 
-def test_half_of_the_peers_starting_is_no_stop_of_all() -> None:
+def test_half_of_the_peers_starting_is_not_a_restart_of_all() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
-    half = view(B, C, open_calls=1)
+    half = make_state(B, C, open_calls=1)
     assert not is_open(gate, half)
     assert not is_open(gate, half, NOW + PEER_ANSWER_TIMEOUT - 0.01)
 
 
-def test_a_later_version_keeps_a_node_closed_while_most_start() -> None:
+def test_later_version_keeps_the_gate_closed_while_most_start() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
     gate.record_answer(C, is_ready=False)
-    behind = view(B, C, D, latest=2, open_calls=1)
+    behind = make_state(B, C, D, latest=2, open_calls=1)
     assert not is_open(gate, behind)
     assert not is_open(gate, behind, NOW + RESTART_TIMEOUT)
 
 
-def test_the_list_of_nodes_is_waited_for_no_longer_than_the_bound() -> None:
+def test_missing_node_list_delays_the_gate_until_the_timeout() -> None:
     gate = ReadinessGate(is_strict=True)
-    unknown = view(has_looked=False)
+    unknown = make_state(has_looked=False)
     assert not is_open(gate, unknown)
     assert not is_open(gate, unknown, NOW + NODE_LIST_TIMEOUT - 0.01)
     assert is_open(gate, unknown, NOW + NODE_LIST_TIMEOUT)
 
 
-def test_peers_have_their_time_though_the_list_came_late() -> None:
+def test_peers_have_their_full_timeout_after_a_late_node_list() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert not is_open(gate, view(has_looked=False))
+    assert not is_open(gate, make_state(has_looked=False))
     called_at = NOW + PEER_ANSWER_TIMEOUT
-    silent = view(B, open_calls=1)
+    silent = make_state(B, open_calls=1)
     assert not is_open(gate, silent, called_at)
     assert not is_open(gate, silent, called_at + PEER_ANSWER_TIMEOUT - 0.01)
     assert is_open(gate, silent, called_at + PEER_ANSWER_TIMEOUT)
 
 
-def test_a_node_that_is_not_ready_refuses_as_one_that_starts() -> None:
+def test_node_with_a_closed_gate_refuses_as_starting() -> None:
     gate = ReadinessGate(is_strict=True)
     cluster = ClusterView(PromiseSettings(), gate=gate)
     cluster.apply_routes(RouteTable(1))
@@ -151,11 +153,11 @@
     with pytest.raises(Refusal) as refused:
         cluster.check_routes(NOW)
     assert refused.value.code is Code.NODE_STARTING
-    gate.update(view(), NOW)
+    gate.update(make_state(), NOW)
     cluster.check_routes(NOW)
 
 
-def test_nothing_confirms_a_version_while_a_later_one_is_known() -> None:
+def test_version_is_not_confirmed_while_a_later_one_is_known() -> None:
     cluster = ClusterView(PromiseSettings())
     cluster.apply_routes(RouteTable(1))
     cluster.confirm_routes(NOW)
@@ -168,27 +170,29 @@
     assert cluster.are_keys_fresh(NOW + 5)
 
 
-def test_a_new_peer_is_asked_at_once_for_the_later_routes_it_tells() -> None:
-    bench = Bench()
-    bench.cluster.gate = ReadinessGate(is_strict=True)
-    bench.cluster.apply_routes(RouteTable(6))
-    bench.feed.on_opened(PeerLinks.Opened(make_record('b')))
-    (ask,) = list_asks(bench)
+def test_later_routes_of_a_new_peer_are_requested_at_once() -> None:
+    harness = FeedHarness()
+    harness.cluster.gate = ReadinessGate(is_strict=True)
+    harness.cluster.apply_routes(RouteTable(6))
+    harness.feed.on_opened(PeerLinks.Opened(make_record('b')))
+    (ask,) = list_asks(harness)
     assert not ask.wants_boxes
-    bench.answer(ask, is_whole=False)
-    (_ask, fetch) = list_asks(bench)
-    assert fetch.wants_newer(7)
-    bench.answer(fetch, is_whole=False, routes=RouteTable(7))
-    assert bench.cluster.index.table.version == 7
-    assert len(list_asks(bench)) == 2
+    harness.answer(ask, is_whole=False)
+    (_ask, routes_ask) = list_asks(harness)
+    assert routes_ask.wants_newer(7)
+    harness.answer(routes_ask, is_whole=False, routes=RouteTable(7))
+    assert harness.cluster.index.table.version == 7
+    assert len(list_asks(harness)) == 2
 
 
-def test_a_node_that_is_ready_asks_new_peers_nothing() -> None:
-    bench = Bench()
-    bench.feed.on_opened(PeerLinks.Opened(make_record('b')))
-    assert not list_asks(bench)
+def test_ready_node_sends_no_query_to_new_peers() -> None:
+    harness = FeedHarness()
+    harness.feed.on_opened(PeerLinks.Opened(make_record('b')))
+    assert not list_asks(harness)
 
 
-def list_asks(bench: Bench) -> list[FeedAsk]:
-    """Return the questions that were sent."""
-    return [ask for _node, ask in bench.links.sent if isinstance(ask, FeedAsk)]
+def list_asks(harness: FeedHarness) -> list[FeedAsk]:
+    """Return the queries that were sent."""
+    return [
+        ask for _node, ask in harness.links.sent if isinstance(ask, FeedAsk)
+    ]
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -14,7 +14,7 @@
 
 from tests.boxes import make_box, make_fleet, make_group
 from tests.test_feed import FeedHarness as FeedBench
-from tests.test_fleet_watch import Bench as WatchBench
+from tests.test_fleet_watch import FleetWatchHarness as WatchBench
 from waywell.connection.store_era import StoreEra
 from waywell.ids import GroupId, Incarnation
 from waywell.knowledge.cluster_view import ClusterView
