--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,15 +1,12 @@
-"""Objects of the platform's store that another writer has written.
+"""Tests of objects in the platform's store that another writer has written.
 
-Symptom: no node knew any box, although all of them lived; or a box went on being
-used under whose name something else was written.
+One object of a page cannot be decoded: it has bytes that are not UTF-8, no
+name, ``null``, a revision that is a word, a number that JSON lacks, or a state
+or address without a meaning. The tests guard against three faults:
 
-Sequence: one object of a page does not decode: bytes that are no text, no name,
-``null``, a revision that is a word, a number that JSON does not have, a state
-or an address that means nothing.
-
-Cause: a page was decoded as a whole; an object that was not understood was left
-out, but what was known under its name stayed; and values that name no box came
-through.
+- A page is decoded as a whole, so that one such object hides all boxes.
+- Such an object is skipped, but the box known under its name stays in use.
+- An object whose values describe no usable box is accepted.
 """
 
 from __future__ import annotations
@@ -61,17 +58,17 @@
 
 
 def change(**fields: Any) -> bytes:
-    """Return the object of a box some of whose fields are changed."""
+    """Return the object of a box with some fields changed."""
     return encode('x', {**ENTRY, **fields})
 
 
 def drop(field: str) -> bytes:
-    """Return the object of a box that lacks a field."""
+    """Return the object of a box without a field."""
     entry = {name: ENTRY[name] for name in ENTRY if name != field}
     return encode('x', entry)
 
 
-SOUND = encode('sound', ENTRY)
+VALID = encode('sound', ENTRY)
 NAMELESS = {
     'not_text': b'{"metadata": {"name": "\xff\xfe", "revision": 5}}',
     'no_metadata': b'{"spec": {}}',
@@ -81,7 +78,7 @@
     'a_list': b'[1, 2]',
     'a_word': b'"x"',
 }
-"""Objects that don't even tell whose they are."""
+"""Objects without a readable name."""
 
 NAMED = {
     'bytes_that_are_no_text': change(zone='ZONE').replace(b'ZONE', b'\xff'),
@@ -121,20 +118,20 @@
     'group_state_unknown': change(group={**ENTRY['group'], 'state': 'odd'}),
     'staged_a_word': change(staged='big'),
 }
-"""Objects that tell whose they are, and name no box to use."""
+"""Objects with a readable name that describe no usable box."""
 
 
 class Pages:
-    """Answers the calls of a store with pages made by hand."""
+    """Answers the calls of a store with pages that the test adds."""
 
     def __init__(self) -> None:
         self.pages: list[bytes] = []
-        self.asked: list[str] = []
+        self.paths: list[str] = []
 
     async def call(
-        self, _method: str, path: str, *_more: Any, **_: Any
+        self, _method: str, path: str, *_args: Any, **_: Any
     ) -> Any:
-        self.asked.append(path)
+        self.paths.append(path)
         return Success(CallAnswer(200, self.pages.pop(0)))
 
     def add_list(self, *objects: bytes, has_more: bool = False) -> None:
@@ -145,9 +142,10 @@
         )
 
     def add_events(self, *objects: bytes, removed: bool = False) -> None:
-        word = b'true' if removed else b'false'
+        flag = b'true' if removed else b'false'
         events = [
-            b'{"object": %b, "removed": %b}' % (one, word) for one in objects
+            b'{"object": %b, "removed": %b}' % (encoded, flag)
+            for encoded in objects
         ]
         self.pages.append(
             b'{"events": [%b], "current_rev": 12}' % b', '.join(events),
@@ -156,22 +154,22 @@
 
 @contextmanager
 def answer_by_pages() -> Iterator[Pages]:
-    """Let stores answer with pages, for examples that share a test."""
-    made = Pages()
+    """Make stores answer with pages; for tests with many examples."""
+    pages = Pages()
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
             HttpCalls,
             'call',
-            lambda _calls, *words, **named: made.call(*words, **named),
+            lambda _calls, *args, **kwargs: pages.call(*args, **kwargs),
         )
-        yield made
+        yield pages
 
 
 @pytest.fixture
 def pages() -> Iterator[Pages]:
-    """Return pages that stores answer with."""
-    with answer_by_pages() as made:
-        yield made
+    """Return the pages with which stores answer."""
+    with answer_by_pages() as pages:
+        yield pages
 
 
 def read_list(kind: Kind = Kind.BOX) -> Changes:
@@ -189,58 +187,58 @@
 
 
 @pytest.mark.parametrize('case', [*NAMED, *NAMELESS])
-def test_a_foreign_object_costs_none_of_its_neighbours(
+def test_other_objects_of_a_list_are_read_beside_a_foreign_one(
     pages: Pages, case: str
 ) -> None:
     foreign = {**NAMED, **NAMELESS}[case]
-    pages.add_list(SOUND, foreign, encode('other', ENTRY))
+    pages.add_list(VALID, foreign, encode('other', ENTRY))
     changes = read_list()
     assert list_names(changes) == {'sound', 'other'}
     assert changes.revision == 9
 
 
 @pytest.mark.parametrize('case', [*NAMED, *NAMELESS])
-def test_a_foreign_event_costs_none_of_its_neighbours(
+def test_other_events_are_read_beside_a_foreign_one(
     pages: Pages, case: str
 ) -> None:
     foreign = {**NAMED, **NAMELESS}[case]
-    pages.add_events(SOUND, foreign, encode('other', ENTRY))
+    pages.add_events(VALID, foreign, encode('other', ENTRY))
     changes = read_events()
     assert list_names(changes) == {'sound', 'other'}
     assert changes.revision == 12
 
 
 @pytest.mark.parametrize('case', NAMED)
-def test_a_foreign_object_is_told_by_its_name(pages: Pages, case: str) -> None:
+def test_foreign_object_is_reported_by_name(pages: Pages, case: str) -> None:
     pages.add_events(NAMED[case])
     assert read_events().unreadable == ('x',)
 
 
-def test_a_foreign_object_that_was_removed_is_gone(pages: Pages) -> None:
+def test_removed_foreign_object_is_reported_as_removed(pages: Pages) -> None:
     pages.add_events(NAMED['unknown_state'], removed=True)
     (stored,) = read_events().objects
     assert (stored.name, stored.body) == ('x', None)
 
 
-def test_a_list_goes_on_behind_a_foreign_object(pages: Pages) -> None:
-    pages.add_list(SOUND, NAMED['unknown_state'], has_more=True)
+def test_next_page_starts_after_a_foreign_object(pages: Pages) -> None:
+    pages.add_list(VALID, NAMED['unknown_state'], has_more=True)
     pages.add_list(encode('y', ENTRY))
     assert list_names(read_list()) == {'sound', 'y'}
-    assert 'since_rev=x' in pages.asked[1]
+    assert 'since_rev=x' in pages.paths[1]
 
 
-def test_a_list_goes_on_behind_an_object_without_a_name(pages: Pages) -> None:
-    pages.add_list(SOUND, NAMELESS['null'], has_more=True)
+def test_next_page_starts_after_the_last_named_object(pages: Pages) -> None:
+    pages.add_list(VALID, NAMELESS['null'], has_more=True)
     pages.add_list(encode('y', ENTRY))
     assert list_names(read_list()) == {'sound', 'y'}
-    assert 'since_rev=sound' in pages.asked[1]
+    assert 'since_rev=sound' in pages.paths[1]
 
 
 @pytest.mark.parametrize(
     'kind', [Kind.CONFIGURATION, Kind.LEASE, Kind.PRESENCE]
 )
 @pytest.mark.parametrize('case', ['not_text', 'no_name', 'null', 'a_list'])
-def test_objects_of_every_kind_are_read_one_by_one(
+def test_objects_of_every_kind_are_decoded_one_by_one(
     pages: Pages, kind: Kind, case: str
 ) -> None:
     pages.add_list(NAMELESS[case], encode('own', {'host': '10.0.0.1'}))
@@ -265,11 +263,11 @@
 
 
 @pytest.mark.parametrize('case', NAMED)
-def test_a_box_is_not_used_once_its_entry_is_foreign(
+def test_box_is_not_used_while_its_entry_is_foreign(
     pages: Pages, case: str
 ) -> None:
     watch, cluster = make_watch()
-    pages.add_list(SOUND, encode('x', ENTRY))
+    pages.add_list(VALID, encode('x', ENTRY))
     watch.apply_changes(read_list(), 100.0, 100.0)
     assert BoxId('x') in cluster.fleet.boxes
     pages.add_events(NAMED[case])
@@ -280,11 +278,11 @@
     assert BoxId('x') in cluster.fleet.boxes
 
 
-def test_an_event_that_tells_no_name_lets_all_be_read_anew(
+def test_event_without_a_name_makes_the_watch_read_all_objects(
     pages: Pages,
 ) -> None:
     watch, _cluster = make_watch()
-    pages.add_list(SOUND)
+    pages.add_list(VALID)
     watch.apply_changes(read_list(), 100.0, 100.0)
     assert watch.dump()['revision'] == 9
     pages.add_events(NAMELESS['null'])
@@ -293,8 +291,8 @@
 
 
 @given(junk=st.binary(max_size=60))
-def test_any_page_is_read_or_refused(junk: bytes) -> None:
-    """No answer ends the task that reads it."""
+def test_any_page_is_read_or_rejected(junk: bytes) -> None:
+    """No answer may end the task that reads it."""
     store = ObjectStore('127.0.0.1:1', 1.0)
     with answer_by_pages() as pages:
         for raw in (
@@ -308,17 +306,17 @@
             asyncio.run(store.fetch(Kind.LEASE, 'forming'))
 
 
-PLACES = st.integers(0, len(SOUND) - 1)
-CUTS = st.tuples(PLACES, st.integers(0, 4), st.binary(max_size=3))
+POSITIONS = st.integers(0, len(VALID) - 1)
+DAMAGES = st.tuples(POSITIONS, st.integers(0, 4), st.binary(max_size=3))
 
 
-@given(cut=CUTS)
-def test_a_sound_object_that_is_damaged_is_read_or_left_out(
-    cut: tuple[int, int, bytes],
+@given(damage=DAMAGES)
+def test_damaged_object_is_read_or_skipped(
+    damage: tuple[int, int, bytes],
 ) -> None:
-    """Where the page is still one, its other objects are there."""
-    start, length, put = cut
-    damaged = SOUND[:start] + put + SOUND[start + length :]
+    """If the page can still be parsed, its other objects are read."""
+    start, length, replacement = damage
+    damaged = VALID[:start] + replacement + VALID[start + length :]
     with answer_by_pages() as pages:
         pages.add_list(encode('other', ENTRY), damaged)
         read = asyncio.run(ObjectStore('127.0.0.1:1', 1.0).fetch_all(Kind.BOX))
--- a/tests/test_restored_machine.py
+++ b/tests/test_restored_machine.py
@@ -1,7 +1,7 @@
-"""A store that comes back from copies at any moment: boxes and routes.
+"""State machines of a store that is restored from copies at any time.
 
-One node looks at a store whose boxes restart, write and leave, and whose
-operators write, beside returns from copies, late answers and news from peers.
+One node reads a store while boxes restart, write and leave, operators write
+routes, the store is restored, answers arrive late and peers report eras.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
     from waywell.version.fleet import FleetBox
 
 NAMES = tuple(BoxId(name) for name in 'abc')
-NUMBERLESS = BoxId('b')
-"""A box that tells no numbers of its entries."""
+UNNUMBERED = BoxId('b')
+"""A box whose entries carry no numbers."""
 
 OLDEST_COPY = 10.0
-"""Seconds for which a copy may be come back from."""
+"""Maximum age in seconds of a copy that is restored."""
 
 Entries = dict[BoxId, 'FleetBox']
 
 
 class _Copy(NamedTuple):
-    """Box entries as they were."""
+    """Box entries at a given time."""
 
     at: float
     entries: Entries
 
 
 class BoxMachine(RuleBasedStateMachine):
-    """Boxes write entries to a store that comes back from copies of them."""
+    """Boxes write entries to a store that is restored from copies."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -64,7 +64,7 @@
         for name in NAMES[:2]:
             self.boxes[name] = make_box(name)
             self._write(name, incarnation=Incarnation(1))
-        self.look()
+        self.poll()
 
     @rule(seconds=st.sampled_from([0.1, 0.7, 2.0, 4.0]))
     def wait(self, seconds: float) -> None:
@@ -92,8 +92,8 @@
             self._write(name, incarnation=later, entry_number=0, leaving=False)
 
     @rule(name=st.sampled_from(NAMES))
-    def go(self, name: BoxId) -> None:
-        """Let a box that leaves take its entry off the list."""
+    def remove_entry(self, name: BoxId) -> None:
+        """Remove the entry of a leaving box."""
         if name in self.boxes and self.boxes[name].leaving:
             self._copy()
             self.boxes.pop(name)
@@ -105,9 +105,9 @@
         if name in self.boxes:
             self._write(name, leaving=True)
 
-    @rule(back=st.integers(1, 3), looks=st.booleans())
-    def go_back(self, back: int, looks: bool) -> None:
-        """Come back as it was some writes ago."""
+    @rule(back=st.integers(1, 3), polls=st.booleans())
+    def restore(self, back: int, polls: bool) -> None:
+        """Restore the entries as they were some writes ago."""
         kept = [
             copy for copy in self.copies if self.now - copy.at < OLDEST_COPY
         ]
@@ -116,40 +116,48 @@
             self.entries = dict(self.copies[-1].entries)
             self.cluster.begin_recovery(self.now)
             self.rewrite_at = self.now + REWRITE_SECONDS
-        if looks:
-            self.look()
+        if polls:
+            self.poll()
 
     @rule()
-    def look(self) -> None:
+    def poll(self) -> None:
         self.now += 0.001
         self.cluster.update_fleet(
             make_fleet(*self.entries.values()), self.now, self.now
         )
         listed = self.cluster.fleet.boxes
         for name in listed.keys() - self.entries.keys():
-            assert not listed[name].leaving, 'a box that left is held'
+            assert not listed[name].leaving, (
+                'a removed leaving box is retained'
+            )
 
     @rule()
-    def become_quiet(self) -> None:
-        """Let boxes write again; then the node believes what is stored."""
+    def settle(self) -> None:
+        """Let all boxes write again; the node must then follow the store."""
         self._write_all()
         self.now += REWRITE_SECONDS
-        self.look()
+        self.poll()
         assert self.cluster.fleet.boxes == self.boxes
 
     @invariant()
-    def nothing_known_of_a_box_goes_back(self) -> None:
+    def known_state_of_a_box_never_reverts(self) -> None:
         for name, box in self.cluster.fleet.boxes.items():
             shown = (box.incarnation, box.entry_number, box.leaving)
             before = self.shown.get(name, shown)
-            assert shown[0] >= before[0], 'an ended incarnation is back'
+            assert shown[0] >= before[0], (
+                'an ended incarnation is listed again'
+            )
             if shown[0] == before[0]:
-                assert shown[1] >= before[1], 'an earlier entry is back'
-                assert shown[2] >= before[2], 'leaving was taken back'
+                assert shown[1] >= before[1], (
+                    'an earlier entry is listed again'
+                )
+                assert shown[2] >= before[2], (
+                    'a leaving box is no longer leaving'
+                )
             self.shown[name] = shown
 
     @invariant()
-    def boxes_that_live_stay(self) -> None:
+    def live_boxes_stay_listed(self) -> None:
         for name in self.shown.keys() & self.boxes.keys():
             is_listed = name in self.cluster.fleet.boxes
             assert is_listed or self.shown[name][2]
@@ -160,7 +168,7 @@
     def _write(self, name: BoxId, **changes: Any) -> None:
         self._copy()
         box = msgspec.structs.replace(self.boxes[name], **changes)
-        number = 0 if name == NUMBERLESS else box.entry_number + 1
+        number = 0 if name == UNNUMBERED else box.entry_number + 1
         self.boxes[name] = msgspec.structs.replace(box, entry_number=number)
         self.entries[name] = self.boxes[name]
 
@@ -170,7 +178,7 @@
 
 
 class _Content(NamedTuple):
-    """What the store holds: its counter, and the routes."""
+    """Content of the store: its counter and the routes."""
 
     counter: int
     version: int
@@ -178,13 +186,13 @@
 
 
 class RouteStore:
-    """Holds the routes, and comes back from copies of them."""
+    """Stores the routes; can be restored from copies."""
 
     def __init__(self, eras: EraTracker) -> None:
         self.eras = eras
         self.era = StoreEra(1)
         self.content = _Content(1, 1, 1)
-        self.meanwhile: Callable[[], object] = lambda: None
+        self.run_during_call: Callable[[], object] = lambda: None
         self.answered_version = 0
 
     def put(self, version: int) -> None:
@@ -195,7 +203,7 @@
         counter = self.content.counter + 1
         self.content = self.content._replace(counter=counter)
 
-    async def fetch_all(self, *_words: Any) -> Result[Changes, PlatformFault]:
+    async def fetch_all(self, *_args: Any) -> Result[Changes, PlatformFault]:
         return self._answer(after=0, complete=True)
 
     async def watch(
@@ -218,14 +226,14 @@
         )
         objects = (stored,) if complete or content.written > after else ()
         self.answered_version = content.version
-        self.meanwhile()
+        self.run_during_call()
         if not self.eras.observe(era):
             return Failure(PlatformFault.FORMER_ERA)
         return Success(Changes(content.counter, objects, complete))
 
 
 class RouteMachine(RuleBasedStateMachine):
-    """Operators write routes to a store that comes back from copies."""
+    """Operators write routes to a store that is restored from copies."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -266,17 +274,17 @@
         self.copies.append(self.store.content)
 
     @rule(back=st.integers(1, 3))
-    def go_back(self, back: int) -> None:
+    def restore(self, back: int) -> None:
         self.copies = self.copies[: max(1, len(self.copies) - back + 1)]
         self.store.content = self.copies[-1]
         self.store.era = StoreEra(self.store.era + 1)
 
     @rule()
-    def hear_of_the_era(self) -> None:
+    def observe_era(self) -> None:
         self.cluster.eras.observe_peer(self.store.era)
 
     @rule()
-    def look(self) -> None:
+    def poll(self) -> None:
         self.clock.now += 0.1
         asked_at = self.clock.now
         answer = asyncio.run(self.watch.read())
@@ -289,26 +297,26 @@
             assert version == self.store.answered_version
 
     @rule(back=st.integers(1, 3))
-    def look_as_it_goes_back(self, back: int) -> None:
-        def meanwhile() -> None:
-            self.go_back(back)
-            self.hear_of_the_era()
+    def poll_during_restore(self, back: int) -> None:
+        def run_during_call() -> None:
+            self.restore(back)
+            self.observe_era()
 
-        self.store.meanwhile = meanwhile
-        self.look()
-        self.store.meanwhile = lambda: None
+        self.store.run_during_call = run_during_call
+        self.poll()
+        self.store.run_during_call = lambda: None
 
     @rule()
-    def become_quiet(self) -> None:
-        """Let operators write again; then the node goes by what is stored."""
+    def settle(self) -> None:
+        """Let operators write again; the node must then follow the store."""
         self.write_again()
-        self.look()
-        self.look()
+        self.poll()
+        self.poll()
         assert self.cluster.index.table.version == self.latest
         assert self.cluster.get_routes_age(self.clock.now) <= 0
 
     @invariant()
-    def no_version_goes_back(self) -> None:
+    def version_never_decreases(self) -> None:
         version = self.cluster.index.table.version
         assert version >= self.in_force
         self.in_force = version
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -1,7 +1,8 @@
-"""What entry boxes have written is written again after the store's return.
+"""Tests that entry boxes write their objects again after a restore.
 
-A copy may lack a node's own entry, and the record of a request that crashes
-replicas: nodes that started did not find it, and sent the request on again.
+The restored copy may lack a node's own entry or the record of a request that
+crashes replicas. Nodes that start later would not find the record and would
+forward the request again.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class Store:
-    """Keeps objects, and may come back without them."""
+    """Stores objects; ``restore_empty`` restores it without them."""
 
     def __init__(self) -> None:
         self.objects: dict[str, Stored] = {}
@@ -53,7 +54,7 @@
         return Success(self.objects[name])
 
 
-def come_back(store: Store, eras: EraTracker) -> None:
+def restore_empty(store: Store, eras: EraTracker) -> None:
     store.objects.clear()
     eras.observe(StoreEra(2))
 
@@ -63,7 +64,7 @@
     held: dict[Fingerprint, Hold],
     cluster: ClusterView | None = None,
 ) -> HeldRecords:
-    """Return what writes the records of requests that are held back."""
+    """Return the actor that writes records of requests held back."""
     quarantine = SimpleNamespace(
         tell=lambda _listener: None,
         book=SimpleNamespace(held=held),
@@ -82,8 +83,8 @@
 
 
 @in_loop
-async def test_a_listed_node_lists_itself_again_without_a_look() -> None:
-    """Of many nodes only few look at the list at a time."""
+async def test_node_writes_its_entry_again_without_reading_the_list() -> None:
+    """In a large fleet only a few nodes read the list at a time."""
     store, eras = Store(), EraTracker()
     eras.observe(StoreEra(1))
     table = MembershipTable(make_record('n0'), 2.0)
@@ -95,13 +96,13 @@
     presence._may_look = lambda: False  # type: ignore[method-assign]
     task = asyncio.create_task(presence.run())
     await wait_until(lambda: 'n0' in store.objects)
-    come_back(store, eras)
+    restore_empty(store, eras)
     await wait_until(lambda: 'n0' in store.objects)
     task.cancel()
 
 
 @in_loop
-async def test_a_record_of_a_crashing_request_is_written_again() -> None:
+async def test_record_of_a_crashing_request_is_written_again() -> None:
     store = Store()
     cluster = ClusterView(PromiseSettings())
     cluster.eras.observe(StoreEra(1))
@@ -109,24 +110,24 @@
     records = make_records(store, {Fingerprint('f'): hold}, cluster)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
     await wait_until(lambda: 'f' in store.objects)
-    come_back(store, cluster.eras)
+    restore_empty(store, cluster.eras)
     await wait_until(lambda: 'f' in store.objects)
     await records.stop()
 
 
 class SlowStore(Store):
-    """Carries out writes only once it is let to."""
+    """Delays writes until the test releases them."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked = asyncio.Event()
-        self.goes_on = asyncio.Event()
+        self.write_started = asyncio.Event()
+        self.may_write = asyncio.Event()
 
     async def write(
         self, kind: Kind, name: str, body: Any, expected: int
     ) -> Result[Stored, PlatformFault]:
-        self.asked.set()
-        await self.goes_on.wait()
+        self.write_started.set()
+        await self.may_write.wait()
         return await super().write(kind, name, body, expected)
 
     async def delete(
@@ -138,18 +139,18 @@
 
 
 @in_loop
-async def test_no_record_stays_of_a_request_that_is_freed_meanwhile() -> None:
-    """A node that starts later would hold it back for ten minutes."""
+async def test_no_record_remains_of_a_request_freed_during_the_write() -> None:
+    """Otherwise a node that starts later holds it back for ten minutes."""
     store, held = SlowStore(), {}
     hold = Hold(CRASHES_HELD, HeldClock.now)
     held[Fingerprint('f')] = hold
     records = make_records(store, held)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
-    await store.asked.wait()
+    await store.write_started.wait()
     held.clear()
     records.on_freed(Quarantine.Freed(Fingerprint('f')))
     await asyncio.sleep(0)
-    store.goes_on.set()
+    store.may_write.set()
     await wait_until(lambda: not records._tasks)
     assert not store.objects
     await records.stop()
--- a/tests/test_started_after_return.py
+++ b/tests/test_started_after_return.py
@@ -1,7 +1,7 @@
-"""A node that starts just after the store came back from an older copy.
+"""Test of a node that starts just after the store was restored from a copy.
 
-It reads the earlier version of the routes and serves keys by it, though other
-nodes know a later version from which they were removed.
+It guards against the node serving keys by the earlier version of the routes
+that it reads, although other nodes know a later version without these keys.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 ) -> None:
     first = front.start()
     front.wait_serving(first)
-    copy = front.store.take_copy()
+    snapshot = front.store.take_copy()
     tenants = [{'name': 'shop', 'api_keys': ['another']}]
     front.store.put('config', 'main', make_manifest(2, tenants=tenants))
 
-    def has_removed() -> bool:
-        _status, raw = front.get(first, 'metrics_port', '/v1/status')
-        return bool(json.loads(raw)['routes_version'] == 2)
+    def has_later_version() -> bool:
+        _status, body = front.get(first, 'metrics_port', '/v1/status')
+        return bool(json.loads(body)['routes_version'] == 2)
 
-    wait_until(has_removed, 'the version without the key')
-    front.store.go_back(copy)
+    wait_until(has_later_version, 'the version without the key')
+    front.store.go_back(snapshot)
     second = front.start('front-2')
     wait_until(lambda: front.is_ready(second), 'the second node')
     assert front.ask(second, '/stock/1', key=KEY)[0] != 200
--- a/tests/test_watch_eras.py
+++ b/tests/test_watch_eras.py
@@ -1,8 +1,8 @@
-"""What a watch makes of a store that comes back from an older copy.
+"""Tests of watches of a store that is restored from an older copy.
 
-A watch went on from a revision of the former era and lacked what was written
-below it; an answer with an older version of the routes confirmed the later one
-that was in force.
+They guard against two faults: a watch that continues from a revision of the
+former era misses changes with lower revisions, and an answer with an older
+version of the routes confirms the later version in force.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 
 
 class Store:
-    """Notes the calls; a step may run while one is under way."""
+    """Records calls; the test may run a step during a call."""
 
     def __init__(self) -> None:
-        self.asked: list[int] = []
+        self.revisions: list[int] = []
         self.version = 5
-        self.meanwhile: Callable[[], object] = lambda: None
+        self.run_during_call: Callable[[], object] = lambda: None
 
     async def fetch_all(self, *_words: Any) -> Result[Changes, PlatformFault]:
-        self.asked.append(0)
-        self.meanwhile()
+        self.revisions.append(0)
+        self.run_during_call()
         stored = Stored('configuration', 'main', 9, RouteTable(self.version))
         return Success(Changes(9, (stored,), complete=True))
 
     async def watch(
         self, _kinds: Sequence[Kind], after: int, _seconds: float
     ) -> Result[Changes, PlatformFault]:
-        self.asked.append(after)
-        self.meanwhile()
+        self.revisions.append(after)
+        self.run_during_call()
         return Success(Changes(after + 1))
 
 
-class Bench:
-    """A watch of the routes that is driven by hand."""
+class RouteWatchHarness:
+    """Route watch whose calls are made by the test."""
 
     def __init__(self) -> None:
         self.store = Store()
@@ -66,7 +66,7 @@
         )
         self.watch = RouteWatch(parts, 0.1)
 
-    def look(self) -> Result[Changes, PlatformFault]:
+    def poll(self) -> Result[Changes, PlatformFault]:
         answer = asyncio.run(self.watch.read())
         if isinstance(answer, Failure):
             self.watch.handle_fault(answer.failure(), self.clock.now)
@@ -76,7 +76,7 @@
             )
         return answer
 
-    def go_back(self) -> None:
+    def start_new_era(self) -> None:
         self.cluster.eras.observe(
             StoreEra(max(0, self.cluster.eras.current) + 1)
         )
@@ -85,39 +85,39 @@
         return self.cluster.get_routes_age(self.clock.now)
 
 
-def test_no_watch_goes_on_from_a_revision_of_a_former_era() -> None:
-    bench = Bench()
-    bench.look()
-    bench.look()
-    assert bench.store.asked == [0, 9]
-    bench.go_back()
-    bench.look()
-    assert bench.store.asked == [0, 9, 0]
-
-
-def test_a_watch_that_an_era_ends_tells_nothing() -> None:
-    bench = Bench()
-    bench.look()
-    bench.store.meanwhile = bench.go_back
-    assert bench.look() == Failure(PlatformFault.HISTORY_GONE)
-    bench.store.meanwhile = lambda: None
-    bench.look()
-    assert bench.store.asked == [0, 9, 0]
-
-
-def test_an_earlier_version_confirms_no_later_one() -> None:
-    bench = Bench()
-    bench.look()
-    assert bench.get_age() == 0
-    bench.go_back()
-    bench.store.version = 4
-    bench.clock.now += 1
-    bench.look()
-    bench.look()
-    assert bench.cluster.index.table.version == 5
-    assert bench.get_age() == 1
-    # The operators write it again.
-    bench.watch.forget_revision()
-    bench.store.version = 5
-    bench.look()
-    assert bench.get_age() == 0
+def test_watch_does_not_continue_from_a_former_era() -> None:
+    harness = RouteWatchHarness()
+    harness.poll()
+    harness.poll()
+    assert harness.store.revisions == [0, 9]
+    harness.start_new_era()
+    harness.poll()
+    assert harness.store.revisions == [0, 9, 0]
+
+
+def test_answer_is_discarded_if_the_era_changes_during_the_call() -> None:
+    harness = RouteWatchHarness()
+    harness.poll()
+    harness.store.run_during_call = harness.start_new_era
+    assert harness.poll() == Failure(PlatformFault.HISTORY_GONE)
+    harness.store.run_during_call = lambda: None
+    harness.poll()
+    assert harness.store.revisions == [0, 9, 0]
+
+
+def test_earlier_version_does_not_confirm_a_later_one() -> None:
+    harness = RouteWatchHarness()
+    harness.poll()
+    assert harness.get_age() == 0
+    harness.start_new_era()
+    harness.store.version = 4
+    harness.clock.now += 1
+    harness.poll()
+    harness.poll()
+    assert harness.cluster.index.table.version == 5
+    assert harness.get_age() == 1
+    # The operators write the later version again.
+    harness.watch.forget_revision()
+    harness.store.version = 5
+    harness.poll()
+    assert harness.get_age() == 0
