--- a/tests/test_fleet_watch.py
+++ b/tests/test_fleet_watch.py
@@ -28,7 +28,7 @@
     ) -> None:
         promises = promises or PromiseSettings()
         self.cluster = ClusterView(promises)
-        parts = WatchContext(
+        context = WatchContext(
             None,
             self.cluster,
             None,
@@ -39,7 +39,7 @@
         )
         self.is_forming = False
         self.watch = FleetWatch(
-            parts, make_poll_intervals(promises), lambda: self.is_forming
+            context, make_poll_intervals(promises), lambda: self.is_forming
         )
         self.list(1.0, *boxes)
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -70,22 +70,22 @@
 
 VALID = encode('sound', ENTRY)
 NAMELESS = {
-    'not_text': b'{"metadata": {"name": "\xff\xfe", "revision": 5}}',
+    'name_not_utf8': b'{"metadata": {"name": "\xff\xfe", "revision": 5}}',
     'no_metadata': b'{"spec": {}}',
     'no_name': b'{"metadata": {"revision": 5}, "spec": {}}',
     'name_of_another_type': encode(7, ENTRY),  # type: ignore[arg-type]
     'null': b'null',
     'a_list': b'[1, 2]',
-    'a_word': b'"x"',
+    'a_string': b'"x"',
 }
 """Objects without a readable name."""
 
 NAMED = {
-    'bytes_that_are_no_text': change(zone='ZONE').replace(b'ZONE', b'\xff'),
-    'half_a_pair': change(zone='ZONE').replace(b'ZONE', rb'\ud800'),
-    'revision_a_word': encode('x', ENTRY, 'new'),
+    'zone_not_utf8': change(zone='ZONE').replace(b'ZONE', b'\xff'),
+    'lone_surrogate': change(zone='ZONE').replace(b'ZONE', rb'\ud800'),
+    'revision_a_string': encode('x', ENTRY, 'new'),
     'revision_missing': b'{"metadata": {"name": "x"}, "spec": {}}',
-    'no_such_number': change(slots='N').replace(b'"N"', b'NaN'),
+    'not_a_number': change(slots='N').replace(b'"N"', b'NaN'),
     'infinite': change(slots='N').replace(b'"N"', b'Infinity'),
     'no_spec': b'{"metadata": {"name": "x", "revision": 5}}',
     'spec_a_list': encode('x', [1]),
@@ -94,10 +94,10 @@
     'no_slots': drop('slots'),
     'slots_zero': change(slots=0),
     'slots_negative': change(slots=-4),
-    'slots_a_word': change(slots='many'),
-    'slots_as_text': change(slots='9'),
+    'slots_a_string': change(slots='many'),
+    'slots_a_numeric_string': change(slots='9'),
     'no_service': drop('service'),
-    'service_a_table': change(service={}),
+    'service_an_object': change(service={}),
     'service_empty': change(service=''),
     'no_state': drop('state'),
     'no_address': drop('address'),
@@ -105,18 +105,18 @@
     'port_zero': change(address='10.0.0.1:0'),
     'port_negative': change(address='10.0.0.1:-80'),
     'no_host': change(address=':8080'),
-    'host_a_name': change(address='example.org:8080'),
-    'born_as_text': change(born='1790000000000'),
-    'born_in_part': change(born=1.5),
+    'host_a_domain_name': change(address='example.org:8080'),
+    'born_a_string': change(born='1790000000000'),
+    'born_a_fraction': change(born=1.5),
     'born_null': change(born=None),
     'born_negative': change(born=-1),
-    'born_a_truth': change(born=True),
-    'group_a_word': change(group='big.7'),
-    'group_of_an_odd_name': change(group={**ENTRY['group'], 'name': 'g'}),
+    'born_a_boolean': change(born=True),
+    'group_a_string': change(group='big.7'),
+    'group_name_without_epoch': change(group={**ENTRY['group'], 'name': 'g'}),
     'group_of_another_epoch': change(group={**ENTRY['group'], 'epoch': 8}),
     'group_rank_negative': change(group={**ENTRY['group'], 'rank': -1}),
     'group_state_unknown': change(group={**ENTRY['group'], 'state': 'odd'}),
-    'staged_a_word': change(staged='big'),
+    'staged_a_string': change(staged='big'),
 }
 """Objects with a readable name that describe no usable box."""
 
@@ -237,7 +237,9 @@
 @pytest.mark.parametrize(
     'kind', [Kind.CONFIGURATION, Kind.LEASE, Kind.PRESENCE]
 )
-@pytest.mark.parametrize('case', ['not_text', 'no_name', 'null', 'a_list'])
+@pytest.mark.parametrize(
+    'case', ['name_not_utf8', 'no_name', 'null', 'a_list']
+)
 def test_objects_of_every_kind_are_decoded_one_by_one(
     pages: Pages, kind: Kind, case: str
 ) -> None:
@@ -248,7 +250,7 @@
 
 def make_watch() -> tuple[FleetWatch, ClusterView]:
     cluster = ClusterView(PromiseSettings())
-    parts = WatchContext(
+    context = WatchContext(
         None,  # type: ignore[arg-type]
         cluster,
         HeldClock(),
@@ -258,7 +260,7 @@
         lambda: 0.5,
     )
     return FleetWatch(
-        parts, make_poll_intervals(PromiseSettings()), lambda: False
+        context, make_poll_intervals(PromiseSettings()), lambda: False
     ), cluster
 
 
--- a/tests/test_restored_entries.py
+++ b/tests/test_restored_entries.py
@@ -20,7 +20,10 @@
 from waywell.connection.store_era import StoreEra
 from waywell.ids import GroupId, Incarnation
 from waywell.knowledge.cluster_view import ClusterView
-from waywell.knowledge.restored_entries import COPY_SECONDS, REWRITE_SECONDS
+from waywell.knowledge.restored_entries import (
+    CORRECTION_SECONDS,
+    REWRITE_SECONDS,
+)
 from waywell.process.front_settings import PromiseSettings
 from waywell.version.fleet import FleetBox
 from waywell.version.life_tracker import EndedLife
@@ -59,7 +62,7 @@
     harness.cluster.begin_recovery(3.0)
     assert harness.list(3.1, make_incarnation('a', 1))['a'].incarnation == 2
     # The box may be cut off from the store until its entry expires.
-    later = 3.0 + COPY_SECONDS - 0.1
+    later = 3.0 + CORRECTION_SECONDS - 0.1
     assert harness.list(later, make_incarnation('a', 1))['a'].incarnation == 2
     assert not harness.ended
 
@@ -68,7 +71,7 @@
     harness = make_harness_with_restarted_box()
     harness.cluster.begin_recovery(3.0)
     harness.cluster.begin_recovery(9.0)
-    later = 9.0 + COPY_SECONDS - 0.1
+    later = 9.0 + CORRECTION_SECONDS - 0.1
     assert harness.list(later, make_incarnation('a', 1))['a'].incarnation == 2
 
 
--- a/tests/test_restored_machine.py
+++ b/tests/test_restored_machine.py
@@ -243,7 +243,7 @@
         self.latest = 1
         self.copies = [self.store.content]
         self.in_force = 0
-        parts = WatchContext(
+        context = WatchContext(
             self.store,  # type: ignore[arg-type]
             self.cluster,
             self.clock,
@@ -252,7 +252,7 @@
             lambda: 1,
             lambda: 0.5,
         )
-        self.watch = RouteWatch(parts, 0.1)
+        self.watch = RouteWatch(context, 0.1)
 
     @rule()
     def write(self) -> None:
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -68,9 +68,9 @@
     quarantine = SimpleNamespace(
         tell=lambda _listener: None,
         book=SimpleNamespace(held=held),
-        take_stored=lambda *_words: None,
+        take_stored=lambda *_args: None,
     )
-    parts = WatchContext(
+    context = WatchContext(
         store,  # type: ignore[arg-type]
         cluster or ClusterView(PromiseSettings()),
         HeldClock(),
@@ -79,7 +79,7 @@
         lambda: 1,
         lambda: 0.0,
     )
-    return HeldRecords(parts, quarantine, lambda: False)  # type: ignore[arg-type]
+    return HeldRecords(context, quarantine, lambda: False)  # type: ignore[arg-type]
 
 
 @in_loop
--- a/tests/test_watch_eras.py
+++ b/tests/test_watch_eras.py
@@ -33,7 +33,7 @@
         self.version = 5
         self.run_during_call: Callable[[], object] = lambda: None
 
-    async def fetch_all(self, *_words: Any) -> Result[Changes, PlatformFault]:
+    async def fetch_all(self, *_args: Any) -> Result[Changes, PlatformFault]:
         self.revisions.append(0)
         self.run_during_call()
         stored = Stored('configuration', 'main', 9, RouteTable(self.version))
@@ -55,7 +55,7 @@
         self.clock = HeldClock()
         self.cluster = ClusterView(PromiseSettings())
         self.cluster.eras.observe(StoreEra(1))
-        parts = WatchContext(
+        context = WatchContext(
             self.store,  # type: ignore[arg-type]
             self.cluster,
             self.clock,
@@ -64,7 +64,7 @@
             lambda: 1,
             lambda: 0.5,
         )
-        self.watch = RouteWatch(parts, 0.1)
+        self.watch = RouteWatch(context, 0.1)
 
     def poll(self) -> Result[Changes, PlatformFault]:
         answer = asyncio.run(self.watch.read())
--- a/waywell/knowledge/cluster_view.py
+++ b/waywell/knowledge/cluster_view.py
@@ -278,7 +278,7 @@
     def exclude_replica(self, replica: Replica) -> None:
         """Exclude a replica that has denied its group membership.
 
-        The next box list put in force clears the exclusion.
+        The next box list or routes put in force end the exclusion.
         """
         for found in self._replicas.values():
             if replica in found:
--- a/waywell/knowledge/restored_entries.py
+++ b/waywell/knowledge/restored_entries.py
@@ -25,14 +25,13 @@
 """Seconds after a restore within which boxes that are alive and reach the
 store have written their entries again."""
 
-COPY_SECONDS = 10.0
+CORRECTION_SECONDS = 10.0
 """Seconds after a restore in which the store may still list entries of the
 copy; entries that no box renews expire within this time."""
 
 
 class RestoredEntries:
-    """Replaces outdated entries of a restored store by the boxes known
-    here."""
+    """Overrides outdated entries of a restored store with known boxes."""
 
     def __init__(self) -> None:
         """Start with a store that has not been restored."""
@@ -68,7 +67,7 @@
         dict
             The corrected list; ``listed`` itself if no entry is outdated.
         """
-        if now >= self.restored_at + COPY_SECONDS:
+        if now >= self.restored_at + CORRECTION_SECONDS:
             return listed
         resolved = _resolve_listed(listed, known, lives)
         if now < self.restored_at + REWRITE_SECONDS:
--- a/waywell/knowledge/route_watch.py
+++ b/waywell/knowledge/route_watch.py
@@ -19,8 +19,9 @@
 class RouteWatch(PlatformWatch):
     """Reads the routes, puts them in force and confirms them.
 
-    A pending watch confirms nothing. Once it is answered without changes, the
-    routes are confirmed as of the time at which the watch was sent.
+    A pending watch confirms nothing. Once it is answered, the version in force
+    is confirmed as of the time at which the watch was sent, if it is the one
+    stored.
 
     Parameters
     ----------
