--- a/tests/test_era_history.py
+++ b/tests/test_era_history.py
@@ -1,4 +1,4 @@
-"""What status and log tell of a store that came back from an older copy."""
+"""Tests of the status and the log after a restore of the store."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from tests.held_clock import HeldClock
 from waywell.connection.store_era import StoreEra
 from waywell.knowledge import era_history
+from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.era_history import EraHistory
-from waywell.knowledge.outlook import Outlook
 from waywell.process.front_settings import PromiseSettings
 
 
 class Node:
-    """Routes and boxes in force at a node, and what it logs."""
+    """Node with routes and boxes in force, whose log lines are captured."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clock = HeldClock()
         self.is_holder = True
         self.lines: list[dict[str, object]] = []
-        self.outlook = Outlook(PromiseSettings())
-        self.outlook.fleet = make_fleet(*make_group('small.7', 'a', 'b'))
+        self.cluster = ClusterView(PromiseSettings())
+        self.cluster.fleet = make_fleet(*make_group('small.7', 'a', 'b'))
         self.history = EraHistory(
-            self.outlook, self.clock, lambda: self.is_holder, lambda: 3
+            self.cluster, self.clock, lambda: self.is_holder, lambda: 3
         )
         monkeypatch.setattr(era_history, 'log_warning', self._log)
 
@@ -36,8 +36,8 @@
     return Node(monkeypatch)
 
 
-def test_the_first_era_has_no_beginning(node: Node) -> None:
-    node.outlook.eras.observe(StoreEra(4))
+def test_first_era_has_no_change_time(node: Node) -> None:
+    node.cluster.eras.observe(StoreEra(4))
     assert node.history.show() == {
         'store_era': 4,
         'store_era_changes': 0,
@@ -46,12 +46,12 @@
     assert not node.lines
 
 
-def test_status_tells_since_when_the_era_is(node: Node) -> None:
-    node.outlook.eras.observe(StoreEra(4))
+def test_status_shows_the_time_of_the_era_change(node: Node) -> None:
+    node.cluster.eras.observe(StoreEra(4))
     node.clock.now = 86400.5
-    node.outlook.eras.observe(StoreEra(5))
+    node.cluster.eras.observe(StoreEra(5))
     node.clock.now += 9
-    node.outlook.eras.observe(StoreEra(5))
+    node.cluster.eras.observe(StoreEra(5))
     assert node.history.show() == {
         'store_era': 5,
         'store_era_changes': 1,
@@ -63,15 +63,15 @@
     ('is_holder', 'dropped'),
     [(True, 'revisions,lease_term'), (False, 'revisions')],
 )
-def test_one_line_tells_what_is_dropped_and_kept(
+def test_era_change_logs_the_dropped_and_kept_state(
     node: Node,
     *,
     is_holder: bool,
     dropped: str,
 ) -> None:
     node.is_holder = is_holder
-    node.outlook.eras.observe(StoreEra(4))
-    node.outlook.eras.observe(StoreEra(5))
+    node.cluster.eras.observe(StoreEra(4))
+    node.cluster.eras.observe(StoreEra(5))
     assert node.lines == [
         {
             'event': 'store_era_changed',
--- a/waywell/knowledge/box_lists.py
+++ b/waywell/knowledge/box_list_history.py
@@ -1,4 +1,4 @@
-"""Box lists that a reader keeps, to tell others only what has changed."""
+"""Recent versions of a node's box list, from which changes are computed."""
 
 from __future__ import annotations
 
@@ -13,48 +13,50 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MOST_SERIALS = 64
-"""Versions of the box list that changes can be told from."""
+MAX_KEPT_LISTS = 64
+"""Versions of the box list that are kept as bases for changes."""
 
 
-class Delta(msgspec.Struct, frozen=True):
-    """What differs between two box lists."""
+class BoxListDelta(msgspec.Struct, frozen=True):
+    """Difference between two box lists."""
 
     boxes: tuple[FleetBox, ...]
-    """Boxes that are new or have changed."""
+    """Boxes that were added or changed."""
 
     gone: tuple[BoxId, ...]
-    """Boxes that are not on the list any more."""
+    """Boxes that were removed."""
 
 
-class BoxLists:
-    """Keeps the last versions of a node's box list."""
+class BoxListHistory:
+    """Keeps the most recent versions of a node's box list."""
 
     def __init__(self) -> None:
-        """Keep none."""
+        """Create an empty history."""
         self._fleets: OrderedDict[int, Fleet] = OrderedDict()
         self._newest = Fleet({})
-        self._deltas: dict[int | None, Delta] = {}
+        self._deltas: dict[int | None, BoxListDelta] = {}
 
-    def remember(self, fleet: Fleet, serial: int) -> None:
-        """Keep a version as the newest."""
+    def add(self, fleet: Fleet, serial: int) -> None:
+        """Store a version as the newest unless its number is known.
+
+        The oldest versions beyond ``MAX_KEPT_LISTS`` are dropped.
+        """
         if serial in self._fleets:
             return
         self._newest = fleet
         self._deltas.clear()
         self._fleets[serial] = fleet
-        while len(self._fleets) > MOST_SERIALS:
+        while len(self._fleets) > MAX_KEPT_LISTS:
             self._fleets.popitem(last=False)
 
     def __contains__(self, serial: int) -> bool:
-        """Answer whether a version is kept."""
+        """Return whether a version is kept."""
         return serial in self._fleets
 
-    def find_delta(self, base: int | None) -> Delta:
-        """Return what differs between a version and the newest.
+    def find_delta(self, base: int | None) -> BoxListDelta:
+        """Return the changes from a version to the newest.
 
-        Most followers hold the same version, so it is worked out once for
-        all of them.
+        The result is cached, since most followers hold the same version.
 
         Parameters
         ----------
@@ -64,16 +66,16 @@
         delta = self._deltas.get(base)
         if delta is None:
             known = {} if base is None else self._fleets[base].boxes
-            delta = _find_delta(known, self._newest.boxes)
+            delta = _compute_delta(known, self._newest.boxes)
             self._deltas[base] = delta
         return delta
 
 
-def _find_delta(
+def _compute_delta(
     known: Mapping[BoxId, FleetBox],
     boxes: Mapping[BoxId, FleetBox],
-) -> Delta:
-    return Delta(
+) -> BoxListDelta:
+    return BoxListDelta(
         tuple(box for name, box in boxes.items() if known.get(name) != box),
         tuple(known.keys() - boxes.keys()),
     )
--- a/waywell/knowledge/era_history.py
+++ b/waywell/knowledge/era_history.py
@@ -1,4 +1,7 @@
-"""When the store came back from an older copy, and what this node keeps."""
+"""The latest change of the store's era, for the status report and the log.
+
+The era changes when the store is restored from an older copy.
+"""
 
 from __future__ import annotations
 
@@ -11,46 +14,46 @@
     from collections.abc import Callable
 
     from waywell.connection.store_era import EraChange
-    from waywell.knowledge.outlook import Outlook
+    from waywell.knowledge.cluster_view import ClusterView
     from waywell.process.clock import Clock
 
 
 class EraHistory:
-    """Records the latest change of the store's era.
+    """Records and logs the latest change of the store's era.
 
     Parameters
     ----------
-    outlook
+    cluster
         Routes and boxes in force, and the era.
     clock
-        Where the time is read.
+        Source of the wall-clock time.
     is_holder
         Returns whether this node holds the duty of forming groups.
     count_held
-        Returns how many requests are held back.
+        Returns the number of requests held back.
     """
 
     def __init__(
         self,
-        outlook: Outlook,
+        cluster: ClusterView,
         clock: Clock,
         is_holder: Callable[[], bool],
         count_held: Callable[[], int],
     ) -> None:
-        """Listen to changes of the era."""
-        self._outlook = outlook
+        """Subscribe to changes of the era."""
+        self._cluster = cluster
         self._clock = clock
         self._is_holder = is_holder
         self._count_held = count_held
         self._changed_at: float | None = None
-        outlook.eras.listen(self._record)
+        cluster.eras.listen(self._record)
 
     def show(self) -> dict[str, int | str | None]:
-        """Return the era and since when, as plain values.
+        """Return the era and the time of its change as plain values.
 
-        The time is ``None`` where this node saw no change of the era.
+        The time is ``None`` if this node has not seen the era change.
         """
-        eras = self._outlook.eras
+        eras = self._cluster.eras
         return {
             'store_era': eras.current,
             'store_era_changes': eras.changes,
@@ -58,12 +61,12 @@
         }
 
     def _record(self, change: EraChange) -> None:
-        """Record a change; log what is dropped for it and what is kept."""
+        """Record a change and log which state is dropped and kept."""
         self._changed_at = self._clock.read_wall()
         dropped = ['revisions']
         if self._is_holder():
             dropped.append('lease_term')
-        fleet = self._outlook.fleet
+        fleet = self._cluster.fleet
         log_warning(
             'store_era_changed',
             former=change.former,
@@ -71,7 +74,7 @@
             dropped=','.join(dropped),
             boxes_kept=len(fleet.boxes),
             groups_kept=len(fleet.groups),
-            routes_kept=self._outlook.index.table.version,
+            routes_kept=self._cluster.index.table.version,
             holds_kept=self._count_held(),
         )
 
--- a/waywell/knowledge/platform_watch.py
+++ b/waywell/knowledge/platform_watch.py
@@ -1,4 +1,4 @@
-"""A task that keeps what one part of the platform holds the newest here."""
+"""The base class of actors that follow one kind of objects in the platform."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from waywell.connection.platform import Kind, Platform, PlatformFault
 from waywell.connection.store_era import Revision, StoreEra
-from waywell.knowledge.outlook import Outlook
-from waywell.knowledge.paces import choose_failed_wait
+from waywell.knowledge.cluster_view import ClusterView
+from waywell.knowledge.poll_intervals import choose_retry_delay
 from waywell.process.actor import Actor
 from waywell.process.clock import Clock
 from waywell.telemetry.events import log_event, log_warning
@@ -25,84 +25,84 @@
 
 
 @attrs.frozen
-class WatchParts:
-    """What a watch works with."""
+class WatchContext:
+    """Collaborators of a watch."""
 
     platform: Platform
-    """The platform."""
+    """Store from which objects are read."""
 
-    outlook: Outlook
-    """Where what was read is put in force."""
+    cluster: ClusterView
+    """View in which the objects that were read are put in force."""
 
     clock: Clock
-    """Where the time is read."""
+    """Source of the monotonic and the wall-clock time."""
 
     is_needed: Callable[[float], bool]
-    """Answers whether no other node reads for this one at a time."""
+    """Returns whether this node must read the platform itself at a time."""
 
     reads_for_others: Callable[[], bool]
-    """Answers whether others hear from this node what it reads."""
+    """Returns whether other nodes depend on the data this node reads."""
 
     count_nodes: Callable[[], int]
-    """Returns the nodes that hear from each other, this one counted."""
+    """Returns the number of nodes that update each other, with this one."""
 
     draw: Callable[[], float]
-    """Draws a number from 0 up to 1."""
+    """Returns a random number from 0 up to 1."""
 
 
 @attrs.frozen
 class WatchScope:
-    """What a watch reads, and how often."""
+    """Kind of objects that a watch reads, and its timing."""
 
     part: str
-    """Name of what is read, as the log has it."""
+    """Name of the kind in the log."""
 
     kind: Kind
-    """Kind of the objects."""
+    """Kind of the objects in the platform."""
 
-    wait: float
-    """Seconds for which a look waits when nothing changes."""
+    watch_seconds: float
+    """Seconds after which a watch without changes is answered."""
 
-    pace: float = 0.0
-    """Least seconds between two looks."""
+    interval: float = 0.0
+    """Minimum seconds between two calls."""
 
 
 class PlatformWatch(Actor, abc.ABC):
-    """Reads objects of one kind, and then what changes, again and again.
+    """Reads all objects of one kind, then repeatedly their changes.
 
     Parameters
     ----------
     name
-        Name of the task.
+        Name of the actor.
     scope
-        What is read.
-    parts
-        What it works with.
+        Kind of objects and timing.
+    context
+        Platform, cluster view and other collaborators.
     """
 
     def __init__(
         self,
         name: str,
         scope: WatchScope,
-        parts: WatchParts,
+        context: WatchContext,
     ) -> None:
-        """Know nothing yet."""
+        """Create a watch that has read nothing."""
         super().__init__(name)
         self._scope = scope
-        self._parts = parts
+        self._context = context
         self._cursor = Revision()
         self._failures = 0
-        self._wanted = asyncio.Event()
+        self._wake_up = asyncio.Event()
         self._foreign: set[str] = set()
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start the task that reads the platform."""
         super().start()
         self.spawn(self._watch())
 
     @property
     def foreign(self) -> list[str]:
-        """Return the objects that another writer has written."""
+        """Return the names of objects that another writer has written."""
         return sorted(self._foreign)
 
     def dump(self) -> dict[str, object]:
@@ -114,107 +114,114 @@
             'foreign': self.foreign,
         }
 
-    def get_pace(self) -> float:
-        """Return the least seconds between two looks."""
-        return self._scope.pace
+    def get_interval(self) -> float:
+        """Return the minimum seconds between two calls."""
+        return self._scope.interval
 
     @abc.abstractmethod
-    def take(self, changes: Changes, asked_at: float, now: float) -> None:
-        """Put what was read in force.
+    def apply_changes(
+        self, changes: Changes, asked_at: float, now: float
+    ) -> None:
+        """Put objects that were read in force.
 
         Parameters
         ----------
         changes
             All objects, or those that changed.
         asked_at
-            When the question was sent, in seconds.
+            Time at which the call was sent, in seconds.
         now
-            The present time, in seconds.
+            The current time, in seconds.
         """
 
     @abc.abstractmethod
-    def take_fault(self, fault: PlatformFault, now: float) -> None:
-        """Take in that a call failed."""
+    def handle_fault(self, fault: PlatformFault, now: float) -> None:
+        """React to a failed call."""
 
     async def read(self) -> Result[Changes, PlatformFault]:
-        """Read all, or what has changed since."""
-        platform = self._parts.platform
+        """Read all objects, or the changes since the last revision.
+
+        All objects are read if the era of the store has changed.
+        """
+        platform = self._context.platform
         kind = self._scope.kind
         cursor = self._cursor
-        if not cursor.is_in(self._get_era()):
+        if not cursor.is_in(self._get_store_era()):
             return await platform.fetch_all(kind)
-        answer = await platform.watch((kind,), cursor.number, self._scope.wait)
-        if not cursor.is_in(self._get_era()):
-            # Revisions of another era name other changes.
+        answer = await platform.watch(
+            (kind,), cursor.number, self._scope.watch_seconds
+        )
+        if not cursor.is_in(self._get_store_era()):
+            # Revisions of different eras are not comparable.
             return Failure(PlatformFault.HISTORY_GONE)
         return answer
 
     def advance(self, changes: Changes) -> None:
-        """Let the next look go on after some changes."""
-        self._cursor = Revision(self._get_era(), changes.revision)
+        """Set the revision from which the next call continues."""
+        self._cursor = Revision(self._get_store_era(), changes.revision)
 
     def forget_revision(self) -> None:
-        """Read all anew at the next look: changes may have been missed."""
+        """Make the next call read all objects, as changes may be missing."""
         self._cursor = Revision()
 
-    def look_again(self, now: float) -> None:
-        """Begin to read where no other node reads for this one."""
-        if self._parts.is_needed(now):
-            self._wanted.set()
+    def resume_reading(self, now: float) -> None:
+        """Resume reading if no other node reads for this one."""
+        if self._context.is_needed(now):
+            self._wake_up.set()
 
     async def _watch(self) -> None:
         while True:
-            asked_at = self._parts.clock.read()
-            if self._parts.is_needed(asked_at):
-                await self._look(asked_at)
+            asked_at = self._context.clock.read()
+            if self._context.is_needed(asked_at):
+                await self._poll(asked_at)
             else:
                 self.forget_revision()
-                self._wanted.clear()
-                await self._wanted.wait()
+                self._wake_up.clear()
+                await self._wake_up.wait()
 
-    async def _look(self, asked_at: float) -> None:
-        """Read once, then wait until the next look is due."""
+    async def _poll(self, asked_at: float) -> None:
+        """Read once, then sleep until the next call is due."""
         answer = await self.read()
-        now = self._parts.clock.read()
+        now = self._context.clock.read()
         if isinstance(answer, Failure):
             fault: PlatformFault = answer.failure()
-            self.take_fault(fault, now)
-            self._note_lost(fault)
-            await asyncio.sleep(self._choose_wait())
+            self.handle_fault(fault, now)
+            self._record_failure(fault)
+            await asyncio.sleep(self._choose_retry_delay())
             return
-        self._note_reached()
+        self._record_success()
         changes = answer.unwrap()
-        self._note_foreign(changes)
-        self.take(changes, asked_at, now)
-        await asyncio.sleep(max(0.0, asked_at + self.get_pace() - now))
+        self._update_foreign(changes)
+        self.apply_changes(changes, asked_at, now)
+        await asyncio.sleep(max(0.0, asked_at + self.get_interval() - now))
 
-    def _get_era(self) -> StoreEra:
-        return self._parts.outlook.eras.current
+    def _get_store_era(self) -> StoreEra:
+        return self._context.cluster.eras.current
 
-    def _choose_wait(self) -> float:
-        parts = self._parts
-        return choose_failed_wait(
+    def _choose_retry_delay(self) -> float:
+        context = self._context
+        return choose_retry_delay(
             self._failures,
-            reads_for_others=parts.reads_for_others(),
-            nodes=parts.count_nodes(),
-            draw=parts.draw(),
+            reads_for_others=context.reads_for_others(),
+            nodes=context.count_nodes(),
+            draw=context.draw(),
         )
 
-    def _note_foreign(self, changes: Changes) -> None:
-        """Remember which objects are another writer's."""
+    def _update_foreign(self, changes: Changes) -> None:
+        """Update the set of objects written by another writer."""
         if changes.complete:
             self._foreign.clear()
         self._foreign -= {stored.name for stored in changes.objects}
         self._foreign.update(changes.unreadable)
 
-    def _note_lost(self, fault: PlatformFault) -> None:
+    def _record_failure(self, fault: PlatformFault) -> None:
         self._failures += 1
         if self._failures == 1:
             log_warning(
                 'platform_lost', part=self._scope.part, fault=fault.value
             )
 
-    def _note_reached(self) -> None:
+    def _record_success(self) -> None:
         if self._failures:
             self._failures = 0
             log_event('platform_regained', part=self._scope.part)
