--- a/tests/lone_quarantine.py
+++ b/tests/lone_quarantine.py
@@ -13,12 +13,12 @@
     from waywell.version.fleet import FleetBox
 
 
-class NotedLinks:
+class RecordingLinks:
     """Streams that only note what is sent."""
 
     def __init__(self) -> None:
         """Send nothing yet."""
-        self.spread_words: list[Any] = []
+        self.broadcasts: list[Any] = []
         self.passed: list[Any] = []
         self.sent: list[tuple[NodeId, Any]] = []
 
@@ -31,7 +31,7 @@
 
     def spread(self, word: Any) -> None:
         """Note a word to all."""
-        self.spread_words.append(word)
+        self.broadcasts.append(word)
 
     def pass_on(self, word: Any, _source: NodeId) -> None:
         """Note a word that is passed on."""
@@ -47,7 +47,7 @@
 
     def __init__(self, clock: Clock) -> None:
         """Know of no end."""
-        self.noted = NotedLinks()
+        self.noted = RecordingLinks()
         self.ended: set[str] = set()
         self.is_prober = True
         super().__init__(
--- a/tests/lone_turns.py
+++ b/tests/lone_turns.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from tests.lone_gossip import LoneGossip
-from tests.lone_quarantine import NotedLinks
+from tests.lone_quarantine import RecordingLinks
 from waywell.limits.turns import START_SECONDS, Turns
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     def __init__(self, clock: HeldClock) -> None:
         """Know of no limit."""
-        self.noted = NotedLinks()
+        self.noted = RecordingLinks()
         started = clock.now
         clock.now = started - START_SECONDS
         super().__init__(
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -247,7 +247,7 @@
     """Let three replicas end under the request that is played."""
     fingerprint = stage.attempts[0].traits.fingerprint
     for number in (1, 2, 3):
-        stage.quarantine.book.note_crash(
+        stage.quarantine.history.record_crash(
             ReplicaKey(BoxId(f'x{number}')),
             {fingerprint: False},
             stage.clock.now + number,
@@ -270,7 +270,7 @@
         await stage.settle()
 
     asyncio.run(play())
-    ends = stage.quarantine.book.crashes
+    ends = stage.quarantine.history.crashes
     assert [list(end.runs.values()) for end in ends] == [[True], [False]]
 
 
@@ -356,7 +356,8 @@
         first.tell(Attempt.Fault(first, SendFault.BROKEN))
         await stage.settle()
         assert (
-            stage.quarantine.book.count_crashes(first.traits.fingerprint) == 1
+            stage.quarantine.history.count_crashes(first.traits.fingerprint)
+            == 1
         )
         second = stage.attempts[1]
         await stage.head(second)
@@ -365,7 +366,7 @@
 
     asyncio.run(play())
     fingerprint = stage.attempts[0].traits.fingerprint
-    assert not stage.quarantine.book.count_crashes(fingerprint)
+    assert not stage.quarantine.history.count_crashes(fingerprint)
 
 
 def test_events_without_numbers_are_never_passed_on_twice(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -32,7 +32,11 @@
     Trait,
 )
 from waywell.membership.links import PeerLinks
-from waywell.quarantine.crash_book import CRASHES_HELD, HOLD_SECONDS, Hold
+from waywell.quarantine.crash_history import (
+    CRASHES_TO_HOLD,
+    HOLD_SECONDS,
+    Hold,
+)
 from waywell.request.attempt import Attempt, Inbox
 from waywell.request.traits import RequestTraits
 from waywell.version.fleet import Replica, ReplicaKey
@@ -92,9 +96,9 @@
     def carry_words(self) -> None:
         """Let the words of the other nodes reach the first one."""
         for node in self.nodes[1:]:
-            for word in node.noted.spread_words:
+            for word in node.noted.broadcasts:
                 self.receive(word)
-            node.noted.spread_words.clear()
+            node.noted.broadcasts.clear()
 
 
 @in_loop
@@ -122,8 +126,8 @@
     bench = Bench()
     for number in range(9):
         await bench.end(f'b{number}', 'deadly', end=False)
-    assert not bench.node.book.crashes
-    assert not bench.node.noted.spread_words
+    assert not bench.node.history.crashes
+    assert not bench.node.noted.broadcasts
     assert bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
 
 
@@ -139,7 +143,7 @@
     )
     for _repeat in range(5):
         bench.receive(word)
-    held = RequestHeld(OTHER, CRASHES_HELD, 1.0)
+    held = RequestHeld(OTHER, CRASHES_TO_HOLD, 1.0)
     bench.receive(held)
     bench.receive(held)
     cleared = RequestCleared(OTHER)
@@ -154,13 +158,13 @@
     for number in (1, 2, 3):
         await bench.end(f'b{number}', 'deadly', node=1)
     knowing = bench.nodes[1]
-    knowing.take_stored(OTHER, Hold(CRASHES_HELD, bench.clock.now))
+    knowing.add_stored_hold(OTHER, Hold(CRASHES_TO_HOLD, bench.clock.now))
     knowing.on_opened(PeerLinks.Opened(_Record()))
     ((node, word),) = knowing.noted.sent
     assert node == _Record.node
     assert isinstance(word, KnownCrashes)
     bench.receive(word)
-    assert set(bench.node.book.held) == {DEADLY, OTHER}
+    assert set(bench.node.history.holds) == {DEADLY, OTHER}
     # What it knew already is passed on no further.
     passed = len(bench.node.noted.passed)
     bench.receive(word)
@@ -234,7 +238,7 @@
     ]
     for number in (1, 2, 3):
         await bench.break_off(f'b{number}', requests[number])
-    assert set(bench.node.book.held) == {part}
+    assert set(bench.node.history.holds) == {part}
     bench.clock.now += HOLD_SECONDS
     bench.node.is_prober = False
     assert not bench.node.may_send(requests[0], 0, bench.clock.now)
@@ -267,8 +271,8 @@
     for number in (1, 2, 3):
         await bench.break_off(f'b{number}', requests[number], node=1)
         bench.carry_words()
-    assert len(bench.node.book.crashes) == 3
-    assert not bench.node.book.held
+    assert len(bench.node.history.crashes) == 3
+    assert not bench.node.history.holds
 
 
 @in_loop
@@ -306,10 +310,10 @@
         await bench.end(f'b{number}', 'caught', node=1)
     bench.carry_words()
     caught = Fingerprint('caught')
-    assert bench.node.book.count_crashes(caught) == 2
+    assert bench.node.history.count_crashes(caught) == 2
     bench.nodes[1].note_served(RequestTraits(caught))
     bench.carry_words()
-    assert not bench.node.book.count_crashes(caught)
+    assert not bench.node.history.count_crashes(caught)
 
 
 @in_loop
@@ -336,10 +340,10 @@
 async def test_one_end_is_cleared_without_a_word() -> None:
     bench = Bench()
     await bench.end('b1', 'caught')
-    bench.node.noted.spread_words.clear()
+    bench.node.noted.broadcasts.clear()
     bench.node.note_served(RequestTraits(Fingerprint('caught')))
-    assert not bench.node.noted.spread_words
-    assert not bench.node.book.count_crashes(Fingerprint('caught'))
+    assert not bench.node.noted.broadcasts
+    assert not bench.node.history.count_crashes(Fingerprint('caught'))
 
 
 @in_loop
@@ -348,7 +352,7 @@
 ):
     bench = Bench(nodes=2)
     told: list[str] = []
-    bench.node.watch_ends(lambda key: told.append(key.box))
+    bench.node.watch_crashes(lambda key: told.append(key.box))
     await bench.end('b1', 'deadly', node=1)
     bench.carry_words()
     assert told == ['b1']
@@ -363,4 +367,4 @@
     bench.node.note_broken(
         make_replica('b1'), DEADLY_REQUEST, has_begun=False, is_over=True
     )
-    assert bench.node.book.count_crashes(DEADLY) == 1
+    assert bench.node.history.count_crashes(DEADLY) == 1
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -24,7 +24,7 @@
 from waywell.membership.membership import MembershipTable
 from waywell.membership.presence import Presence
 from waywell.process.front_settings import PromiseSettings
-from waywell.quarantine.crash_book import CRASHES_HELD, Hold
+from waywell.quarantine.crash_history import CRASHES_TO_HOLD, Hold
 from waywell.quarantine.held_records import HeldRecords
 from waywell.quarantine.quarantine import Quarantine
 
@@ -65,9 +65,9 @@
 ) -> HeldRecords:
     """Return what writes the records of requests that are held back."""
     quarantine = SimpleNamespace(
-        tell=lambda _listener: None,
-        book=SimpleNamespace(held=held),
-        take_stored=lambda *_words: None,
+        subscribe=lambda _listener: None,
+        history=SimpleNamespace(holds=held),
+        add_stored_hold=lambda *_words: None,
     )
     parts = WatchParts(
         store,  # type: ignore[arg-type]
@@ -105,7 +105,7 @@
     store = Store()
     outlook = Outlook(PromiseSettings())
     outlook.eras.observe(StoreEra(1))
-    hold = Hold(CRASHES_HELD, HeldClock.now)
+    hold = Hold(CRASHES_TO_HOLD, HeldClock.now)
     records = make_records(store, {Fingerprint('f'): hold}, outlook)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
     await wait_until(lambda: 'f' in store.objects)
@@ -141,7 +141,7 @@
 async def test_no_record_stays_of_a_request_that_is_freed_meanwhile() -> None:
     """A node that starts later would hold it back for ten minutes."""
     store, held = SlowStore(), {}
-    hold = Hold(CRASHES_HELD, HeldClock.now)
+    hold = Hold(CRASHES_TO_HOLD, HeldClock.now)
     held[Fingerprint('f')] = hold
     records = make_records(store, held)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -74,10 +74,10 @@
 ) -> None:
     now = turns._clock.read()
     turns.note_answer(LIFE, HALL, 1.0, now - 0.1)
-    (told,) = turns.noted.spread_words
+    (told,) = turns.noted.broadcasts
     assert told.limit == 1.0
     turns.note_answer(LIFE, HALL, 1.0, now - 0.1)
-    assert len(turns.noted.spread_words) == 1
+    assert len(turns.noted.broadcasts) == 1
     tell(turns, make_told(0.5, 0.1, 0.0))
     assert turns.get_limit(LIFE) == 0.5
     assert len(turns.noted.passed) == 1
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -36,7 +36,7 @@
 from waywell.process.ports import Ports
 from waywell.process.release import may_route_unfenced
 from waywell.process.watch import HallDuty
-from waywell.quarantine.tasks import make_lone_quarantine
+from waywell.quarantine.tasks import make_unstored_quarantine
 from waywell.request.admission import Admission
 from waywell.request.balance import Balance
 from waywell.request.claim import ClaimTable, issue_prefix
@@ -279,10 +279,10 @@
                 self._paths,
             )
         )
-        self.quarantine = make_lone_quarantine(
+        self.quarantine = make_unstored_quarantine(
             self.links, self.clock, self._is_first_node
         )
-        self.quarantine.watch_ends(self._let_rest)
+        self.quarantine.watch_crashes(self._let_rest)
         self._joiner = Joiner(
             self.platform,
             self.gossip,
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -46,7 +46,7 @@
             node.outlook,
             node.clock,
             lambda: node.forming.is_held(),
-            lambda: len(node.quarantine.quarantine.book.held),
+            lambda: len(node.quarantine.quarantine.history.holds),
         )
 
     def list_handlers(self) -> dict[str, DeskHandler]:
@@ -91,7 +91,7 @@
                 },
                 'backpressure': node.backpressure.dump(now),
                 'limits': node.turns.limits.dump(now),
-                'held_requests': node.quarantine.quarantine.list_held(),
+                'held_requests': node.quarantine.quarantine.list_holds(),
                 'forms_groups': node.forming.is_held(),
                 'reads_platform': node.feed.is_reader(),
             },
--- a/waywell/quarantine/crash_book.py
+++ b/waywell/quarantine/crash_history.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-CRASHES_HELD = 3
+CRASHES_TO_HOLD = 3
 """Replicas that end under a request until it is held back.  Two ends can be
 chance: where few groups are left, retries pile up there; of 32 requests that
 were cut at one end, three had been cut at the end before."""
@@ -34,17 +34,17 @@
 """For which a request is held back after the third end: the replicas may have
 got another version meanwhile.  Each further end doubles it."""
 
-LONGEST_HOLD = 3600.0
+MAX_HOLD_SECONDS = 3600.0
 """Longest hold, in seconds."""
 
-MOST_DOUBLED = 8
+MAX_DOUBLINGS = 8
 """Doublings that are worked out; the hold is at its longest before."""
 
-MEMORY_SECONDS = 2 * LONGEST_HOLD
+MEMORY_SECONDS = 2 * MAX_HOLD_SECONDS
 """For which an end is remembered, so that one more end after a hold is enough
 for the next one."""
 
-MERGE_SECONDS = 1.0
+SAME_CRASH_SECONDS = 1.0
 """Between two words about one end at the most: nodes notice the end of their
 connections at once, and words go round in some 10 ms."""
 
@@ -52,22 +52,22 @@
 """For which a request that was served is not suspected; a later version of the
 replicas may crash under what an earlier one served."""
 
-MOST_CRASHES = 256
+MAX_CRASHES = 256
 """Maximum number of crashes that are remembered."""
 
-MOST_SUSPECTS = 128
+MAX_SUSPECTS = 128
 """Maximum number of traits recorded for one crash."""
 
 NO_DOMAIN = DomainName('')
 """Fabric domain of a replica that stands in none."""
 
-INSTANT_SECONDS = 0.25
+SAME_CAUSE_SECONDS = 0.25
 """Seconds within which crashes in one fabric domain may have one cause."""
 
-MOST_SERVED = 2048
+MAX_SERVED = 2048
 """Maximum number of traits served of late that are remembered."""
 
-MOST_TOLD = 128
+MAX_REPORTED_HOLDS = 128
 """Holds of others that are remembered without the ends behind them."""
 
 
@@ -81,11 +81,11 @@
     """When the last of them did, in seconds."""
 
     @property
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """Return when it may be sent on again, in seconds."""
-        doubled = min(MOST_DOUBLED, self.crashes - CRASHES_HELD)
+        doubled = min(MAX_DOUBLINGS, self.crashes - CRASHES_TO_HOLD)
         longer = math.ldexp(HOLD_SECONDS, doubled)
-        return self.ended_at + min(LONGEST_HOLD, longer)
+        return self.ended_at + min(MAX_HOLD_SECONDS, longer)
 
 
 @attrs.frozen
@@ -105,19 +105,19 @@
     """Traits of the requests, each with whether a piece of an answer came."""
 
 
-class CrashBook:
+class CrashHistory:
     """Remembers ends of replicas, and which requests explain them."""
 
     def __init__(self) -> None:
         """Know of no end."""
         self.crashes: list[Crash] = []
-        self.told: OrderedDict[Trait, Hold] = OrderedDict()
-        self.held: dict[Trait, Hold] = {}
+        self.reported_holds: OrderedDict[Trait, Hold] = OrderedDict()
+        self.holds: dict[Trait, Hold] = {}
         self._unexplained: Counter[Trait] = Counter()
         self._totals: Counter[Trait] = Counter()
         self._served: OrderedDict[Trait, float] = OrderedDict()
 
-    def note_crash(
+    def record_crash(
         self,
         replica: ReplicaKey,
         runs: Mapping[Trait, bool],
@@ -141,38 +141,38 @@
         suspects = {
             trait: has_begun
             for trait, has_begun in runs.items()
-            if not self.was_served(trait, ended_at)
+            if not self.was_recently_served(trait, ended_at)
         }
         if not suspects:
             return False
         crash = self._find_or_add(Crash(replica, ended_at, domain))
         news = suspects.keys() - crash.runs.keys()
-        room = MOST_SUSPECTS - len(crash.runs)
+        room = MAX_SUSPECTS - len(crash.runs)
         # Those that brought nothing are the likelier ones.
         ranked = sorted(
             (one for one in suspects if one in news), key=suspects.__getitem__
         )
         added = {one: suspects[one] for one in ranked[:room]}
         crash.runs.update(added)
-        self._raise_told(added, ended_at)
+        self._extend_reported_holds(added, ended_at)
         if added:
             self._judge()
         return bool(added)
 
-    def note_told(self, trait: Trait, hold: Hold) -> bool:
+    def add_reported_hold(self, trait: Trait, hold: Hold) -> bool:
         """Take in that others hold a request; answer whether that is news."""
-        if self.was_served(trait, hold.ended_at):
+        if self.was_recently_served(trait, hold.ended_at):
             return False
-        known = self.held.get(trait) or self.told.get(trait)
+        known = self.holds.get(trait) or self.reported_holds.get(trait)
         if known is not None and known.crashes >= hold.crashes:
             return False
-        self.told[trait] = hold
-        while len(self.told) > MOST_TOLD:
-            self.told.popitem(last=False)
+        self.reported_holds[trait] = hold
+        while len(self.reported_holds) > MAX_REPORTED_HOLDS:
+            self.reported_holds.popitem(last=False)
         self._judge()
         return True
 
-    def note_served(self, trait: Trait, now: float) -> int:
+    def record_served(self, trait: Trait, now: float) -> int:
         """Take in that a request was served whole; it explains no end.
 
         Returns
@@ -182,9 +182,9 @@
         """
         self._served[trait] = now
         self._served.move_to_end(trait)
-        while len(self._served) > MOST_SERVED:
+        while len(self._served) > MAX_SERVED:
             self._served.popitem(last=False)
-        told = self.told.pop(trait, None)
+        told = self.reported_holds.pop(trait, None)
         total = self._totals.get(trait, 0)
         if total:
             for crash in self.crashes:
@@ -195,21 +195,21 @@
 
     def count_crashes(self, trait: Trait) -> int:
         """Return the ends that no other request explains."""
-        hold = self.held.get(trait)
+        hold = self.holds.get(trait)
         return hold.crashes if hold else self._unexplained.get(trait, 0)
 
     def find_hold(self, trait: Trait, now: float) -> Hold | None:
         """Return why a request must not be sent on now, if it must not."""
-        hold = self.held.get(trait)
-        return hold if hold and now < hold.until else None
+        hold = self.holds.get(trait)
+        return hold if hold and now < hold.expires_at else None
 
-    def list_boxes(self, trait: Trait) -> list[str]:
+    def list_crashed_boxes(self, trait: Trait) -> list[str]:
         """Return the boxes of the replicas that crashed under a trait."""
         return [
             crash.replica.box for crash in self.crashes if trait in crash.runs
         ]
 
-    def was_served(self, trait: Trait, now: float) -> bool:
+    def was_recently_served(self, trait: Trait, now: float) -> bool:
         """Answer whether a request was served of late.
 
         One key can get much of the traffic: it runs at every replica that
@@ -218,7 +218,7 @@
         served_at = self._served.get(trait)
         return served_at is not None and now < served_at + SERVED_SECONDS
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop what happened long ago."""
         kept = [
             crash
@@ -227,35 +227,35 @@
         ]
         lapsed = [
             trait
-            for trait, hold in self.told.items()
+            for trait, hold in self.reported_holds.items()
             if now - hold.ended_at > MEMORY_SECONDS
         ]
         if len(kept) == len(self.crashes) and not lapsed:
             return
         self.crashes = kept
         for trait in lapsed:
-            self.told.pop(trait)
+            self.reported_holds.pop(trait)
         self._judge()
 
-    def _raise_told(
+    def _extend_reported_holds(
         self,
         traits: Iterable[Trait],
         ended_at: float,
     ) -> None:
         """Count an end that came after a hold which others told of."""
         for trait in traits:
-            hold = self.told.get(trait)
-            if hold and ended_at > hold.ended_at + MERGE_SECONDS:
+            hold = self.reported_holds.get(trait)
+            if hold and ended_at > hold.ended_at + SAME_CRASH_SECONDS:
                 raised = Hold(hold.crashes + 1, ended_at)
-                self.told[trait] = raised
+                self.reported_holds[trait] = raised
 
     def _find_or_add(self, crash: Crash) -> Crash:
         for known in reversed(self.crashes):
             apart = abs(known.ended_at - crash.ended_at)
-            if known.replica == crash.replica and apart < MERGE_SECONDS:
+            if known.replica == crash.replica and apart < SAME_CRASH_SECONDS:
                 return known
         self.crashes.append(crash)
-        if len(self.crashes) > MOST_CRASHES:
+        if len(self.crashes) > MAX_CRASHES:
             self.crashes.remove(self._find_least_needed())
         return crash
 
@@ -264,7 +264,7 @@
         free = (
             crash
             for crash in self.crashes
-            if not crash.runs.keys() & self.held.keys()
+            if not crash.runs.keys() & self.holds.keys()
         )
         return next(free, self.crashes[0])
 
@@ -274,7 +274,7 @@
         # Who knows as many ends as those who told judges by itself.
         held = {
             trait: hold
-            for trait, hold in self.told.items()
+            for trait, hold in self.reported_holds.items()
             if totals[trait] < hold.crashes
         }
         guilty = _find_guilty(self.crashes, totals)
@@ -284,7 +284,7 @@
             )
             hold = Hold(totals[trait], last)
             held[trait] = max(hold, held.get(trait, hold))
-        self.held = held
+        self.holds = held
         self._totals = totals
         self._unexplained = _count_runs(
             _list_unexplained(self.crashes, guilty)
@@ -314,7 +314,7 @@
     lost_at: dict[DomainName, float] = {}
     for crash in sorted(crashes, key=lambda one: one.ended_at):
         last = lost_at.get(crash.domain, -math.inf)
-        if not crash.domain or crash.ended_at >= last + INSTANT_SECONDS:
+        if not crash.domain or crash.ended_at >= last + SAME_CAUSE_SECONDS:
             count += 1
             lost_at[crash.domain] = crash.ended_at
     return count
@@ -338,7 +338,7 @@
     Those of which each end is explained by the others are taken out,
     unlikeliest first.
     """
-    candidates = {one for one in counts if counts[one] >= CRASHES_HELD}
+    candidates = {one for one in counts if counts[one] >= CRASHES_TO_HOLD}
     if not candidates:
         return []
     guilty = _rank_candidates(candidates, crashes, counts)
--- a/waywell/quarantine/held_records.py
+++ b/waywell/quarantine/held_records.py
@@ -16,7 +16,11 @@
 from waywell.connection.platform import Kind, PlatformFault
 from waywell.ids import Trait
 from waywell.knowledge.platform_watch import PlatformWatch, WatchScope
-from waywell.quarantine.crash_book import CRASHES_HELD, MEMORY_SECONDS, Hold
+from waywell.quarantine.crash_history import (
+    CRASHES_TO_HOLD,
+    MEMORY_SECONDS,
+    Hold,
+)
 from waywell.request.prompt_parts import describe_trait
 from waywell.telemetry.events import log_event, log_warning
 
@@ -28,21 +32,21 @@
     from waywell.knowledge.platform_watch import WatchParts
     from waywell.quarantine.quarantine import Quarantine
 
-LOOK_SECONDS = 1.5
+POLL_SECONDS = 1.5
 """Seconds between two looks of a node that reads for others: half of the
 shortest time in which nodes that can reach each other are to agree.  Such a
 look may show what is seconds old, and costs a tenth of a call."""
 
-WRITE_AGAIN_SECONDS = 1.0
+WRITE_RETRY_SECONDS = 1.0
 """Seconds until a write that failed is tried again, doubled each time."""
 
-SPREAD_SECONDS = 1.0
+REWRITE_SPREAD_SECONDS = 1.0
 """Seconds over which nodes spread writes after the store's return."""
 
-MOST_WRITE_WAIT = 10.0
+MAX_WRITE_RETRY_SECONDS = 10.0
 """Longest wait between two tries, in seconds."""
 
-MOST_RECORDS = 128
+MAX_RECORDS = 128
 """Records that are kept in the platform; with more, something other than
 single requests is wrong."""
 
@@ -50,7 +54,7 @@
 class HeldRecord(msgspec.Struct, frozen=True):
     """A held trait of requests as the platform keeps it, under its name."""
 
-    ends: Annotated[int, msgspec.Meta(ge=CRASHES_HELD)]
+    ends: Annotated[int, msgspec.Meta(ge=CRASHES_TO_HOLD)]
     """Replicas that ended under it."""
 
     ended_at: float
@@ -78,7 +82,7 @@
     ) -> None:
         """Know of no record."""
         scope = WatchScope(
-            'held_requests', Kind.HELD_REQUEST, wait=0.0, pace=LOOK_SECONDS
+            'held_requests', Kind.HELD_REQUEST, wait=0.0, pace=POLL_SECONDS
         )
         super().__init__('held_records', scope, parts)
         self._quarantine = quarantine
@@ -86,7 +90,7 @@
         self._listed: set[str] = set()
         self._written: set[Trait] = set()
         self._has_read = False
-        quarantine.tell(self)
+        quarantine.subscribe(self)
         parts.outlook.eras.listen(self._write_again)
 
     def take(self, changes: Changes, asked_at: float, now: float) -> None:
@@ -120,12 +124,12 @@
         """Write what a copy of the store may lack, unless it is over."""
         self._has_read = False
         for trait in self._written:
-            hold = self._quarantine.book.held.get(trait)
+            hold = self._quarantine.history.holds.get(trait)
             if hold is not None:
                 self.spawn(self._write_later(trait, hold))
 
     async def _write_later(self, trait: Trait, hold: Hold) -> None:
-        await asyncio.sleep(self._parts.draw() * SPREAD_SECONDS)
+        await asyncio.sleep(self._parts.draw() * REWRITE_SPREAD_SECONDS)
         await self._write(trait, hold)
 
     def _take_record(self, stored: Stored, now: float) -> None:
@@ -139,7 +143,7 @@
         age = max(0.0, self._parts.clock.read_wall() - record.ended_at)
         if age <= MEMORY_SECONDS:
             hold = Hold(record.ends, now - age)
-            self._quarantine.take_stored(Trait(stored.name), hold)
+            self._quarantine.add_stored_hold(Trait(stored.name), hold)
         elif self._is_cleaner():
             self.spawn(self._remove(Trait(stored.name)))
 
@@ -149,7 +153,7 @@
         A removal may reach the platform before the write that it follows.
         """
         await self._write_until_done(trait, hold)
-        if trait not in self._quarantine.book.held:
+        if trait not in self._quarantine.history.holds:
             await self._remove(trait)
 
     async def _write_until_done(
@@ -158,8 +162,8 @@
         hold: Hold,
     ) -> None:
         """Write a record, again and again while the platform is away."""
-        wait = WRITE_AGAIN_SECONDS
-        while self._quarantine.book.held.get(trait) == hold:
+        wait = WRITE_RETRY_SECONDS
+        while self._quarantine.history.holds.get(trait) == hold:
             fault = await self._try_write(trait, hold)
             if fault is None:
                 return
@@ -169,7 +173,7 @@
                 fault=fault.value,
             )
             await asyncio.sleep(wait)
-            wait = min(2 * wait, MOST_WRITE_WAIT)
+            wait = min(2 * wait, MAX_WRITE_RETRY_SECONDS)
 
     async def _try_write(
         self,
@@ -177,7 +181,7 @@
         hold: Hold,
     ) -> PlatformFault | None:
         """Write a record once; return why it is not there, if it is not."""
-        if len(self._listed) >= MOST_RECORDS:
+        if len(self._listed) >= MAX_RECORDS:
             return PlatformFault.TOO_LARGE
         platform = self._parts.platform
         found = await platform.fetch(Kind.HELD_REQUEST, trait)
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -25,10 +25,10 @@
 from waywell.ids import Trait
 from waywell.membership.links import PeerLinks
 from waywell.process.actor import Actor, Message
-from waywell.quarantine.crash_book import (
-    CRASHES_HELD,
+from waywell.quarantine.crash_history import (
+    CRASHES_TO_HOLD,
     Crash,
-    CrashBook,
+    CrashHistory,
     Hold,
 )
 from waywell.request.guard import RequestGuard
@@ -46,7 +46,7 @@
     from waywell.request.traits import RequestTraits
     from waywell.version.fleet import FleetBox, Replica
 
-CLEARED_ALOUD = 2
+BROADCAST_CLEARED_CRASHES = 2
 """Ends that spoke against a request from which on all are told that it was
 served: at one end some ten requests are cut, and nearly all of them are served
 right after."""
@@ -54,10 +54,10 @@
 PROBE_WAIT_SECONDS = 2.0
 """Seconds until callers ask again while one node tries a trait anew."""
 
-MOST_WITNESSED = 2048
+MAX_WITNESSED = 2048
 """Maximum number of traits that were cut at this node and are remembered."""
 
-MOST_LOGGED = 8
+MAX_LOGGED_BOXES = 8
 """Maximum number of crashed boxes on a log line."""
 
 
@@ -106,7 +106,7 @@
     ) -> None:
         """Hold nothing back."""
         super().__init__('quarantine')
-        self.book = CrashBook()
+        self.history = CrashHistory()
         self._links = links
         self._running = running
         self._clock = clock
@@ -126,19 +126,19 @@
             KnownCrashes,
         )
 
-    def tell(self, listener: Actor) -> None:
+    def subscribe(self, listener: Actor) -> None:
         """Tell a task of the requests that this node has witnessed."""
         self._listeners.append(listener)
 
-    def watch_ends(self, watcher: Callable[[ReplicaKey], None]) -> None:
+    def watch_crashes(self, watcher: Callable[[ReplicaKey], None]) -> None:
         """Call a watcher with each replica that ended, whoever saw it."""
         self._watchers.append(watcher)
 
     def find_release(self, traits: RequestTraits, now: float) -> float:
         """Return in how many seconds a request may be sent on; 0 for now."""
-        held = self.book.held
+        held = self.history.holds
         holds = [held[trait] for trait in traits if trait in held]
-        seconds = max((hold.until - now for hold in holds), default=0.0)
+        seconds = max((hold.expires_at - now for hold in holds), default=0.0)
         if holds and seconds <= 0 and not self._is_prober():
             return PROBE_WAIT_SECONDS
         return max(0.0, seconds)
@@ -179,10 +179,10 @@
 
     def note_served(self, traits: RequestTraits) -> None:
         """Take in that a request was answered whole, so it crashes nothing."""
-        held = self.book.held
+        held = self.history.holds
         for trait in traits:
-            ends = self.book.note_served(trait, self._clock.read())
-            if ends >= CLEARED_ALOUD:
+            ends = self.history.record_served(trait, self._clock.read())
+            if ends >= BROADCAST_CLEARED_CRASHES:
                 log_event(
                     'request_cleared', **describe_trait(trait), ends=ends
                 )
@@ -192,15 +192,15 @@
     def on_opened(self, opened: PeerLinks.Opened) -> None:
         """Tell a peer all that is known here; it may have missed it."""
         now = self._clock.read()
-        self.book.forget_old(now)
+        self.history.drop_expired(now)
         ended = tuple(
             _describe_end(crash, now)
-            for crash in self.book.crashes
+            for crash in self.history.crashes
             if crash.runs
         )
         held = tuple(
             _describe_hold(trait, hold, now)
-            for trait, hold in self.book.told.items()
+            for trait, hold in self.history.reported_holds.items()
         )
         if ended or held:
             self._links.send(opened.record.node, KnownCrashes(ended, held))
@@ -208,61 +208,64 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Take in another node's word; pass on what is news."""
         word = received.message
-        held = self.book.held
+        held = self.history.holds
         for one in _list_words(word):
             self._speak_for_served(one, received.node)
             if self._take_word(one):
                 self._links.pass_on(one, received.node)
         self._compare(held, received.node)
 
-    def take_stored(
+    def add_stored_hold(
         self,
         trait: Trait,
         hold: Hold,
     ) -> None:
         """Take in a hold that the platform keeps."""
-        held = self.book.held
-        if self.book.note_told(trait, hold):
+        held = self.history.holds
+        if self.history.add_reported_hold(trait, hold):
             word = _describe_hold(trait, hold, self._clock.read())
             self._links.spread(word)
         self._compare(held, 'platform')
 
     def count(self) -> dict[str, float]:
         """Return how many ends are remembered, and how many requests held."""
-        return {'ends': len(self.book.crashes), 'held': len(self.book.held)}
+        return {
+            'ends': len(self.history.crashes),
+            'held': len(self.history.holds),
+        }
 
-    def list_held(self) -> dict[str, dict[str, float]]:
+    def list_holds(self) -> dict[str, dict[str, float]]:
         """Return what is held back, by request or part, as plain values."""
         now = self._clock.read()
         return {
             trait: {
                 'ends': hold.crashes,
-                'seconds_left': round(max(0.0, hold.until - now), 1),
+                'seconds_left': round(max(0.0, hold.expires_at - now), 1),
             }
-            for trait, hold in self.book.held.items()
+            for trait, hold in self.history.holds.items()
         }
 
     def dump(self) -> dict[str, object]:
         """Return the state as plain values."""
         return {
             **super().dump(),
-            'ends': len(self.book.crashes),
-            'held': self.list_held(),
+            'ends': len(self.history.crashes),
+            'held': self.list_holds(),
         }
 
     def _may_risk(self, trait: Trait, running: int, now: float) -> bool:
         """Answer whether one more replica may be put at risk by a trait."""
-        if self.book.find_hold(trait, now):
+        if self.history.find_hold(trait, now):
             return False
-        known = self.book.count_crashes(trait)
+        known = self.history.count_crashes(trait)
         known += sum(trait in runs for runs in self._checks.values())
-        if not known or self.book.was_served(trait, now):
+        if not known or self.history.was_recently_served(trait, now):
             return True
-        if trait in self.book.held:
+        if trait in self.history.holds:
             # Its hold is over; one attempt tells whether it still crashes.
             is_tried = bool(running) or self._running.has(trait)
             return self._is_prober() and not is_tried
-        return known + running < CRASHES_HELD
+        return known + running < CRASHES_TO_HOLD
 
     async def _check(self, replica: Replica) -> None:
         """Note an end where the replica takes no new connection either.
@@ -291,8 +294,8 @@
     ) -> None:
         """Note that a replica ended here, and tell all."""
         now = self._clock.read()
-        held = self.book.held
-        self.book.forget_old(now)
+        held = self.history.holds
+        self.history.drop_expired(now)
         crash = Crash(replica.key, now, replica.head.domain, dict(runs))
         if not self._note_end(crash):
             return
@@ -301,7 +304,7 @@
             box=replica.key.box,
             group=replica.group,
             requests=count_requests(runs),
-            most=max(self.book.count_crashes(one) for one in runs),
+            most=max(self.history.count_crashes(one) for one in runs),
         )
         self._links.spread(_describe_end(self._drop_served(crash), now))
         self._remember_witnessed(runs)
@@ -315,13 +318,13 @@
         runs = {
             trait: has_begun
             for trait, has_begun in crash.runs.items()
-            if not self.book.was_served(trait, crash.ended_at)
+            if not self.history.was_recently_served(trait, crash.ended_at)
         }
         return attrs.evolve(crash, runs=runs)
 
     def _note_end(self, crash: Crash) -> bool:
         """Note an end; answer whether it is news."""
-        is_news = self.book.note_crash(
+        is_news = self.history.record_crash(
             crash.replica, crash.runs, crash.ended_at, crash.domain
         )
         for watcher in self._watchers if is_news else ():
@@ -330,7 +333,7 @@
 
     def _remember_witnessed(self, runs: Iterable[Trait]) -> None:
         self._witnessed.update(dict.fromkeys(runs))
-        while len(self._witnessed) > MOST_WITNESSED:
+        while len(self._witnessed) > MAX_WITNESSED:
             self._witnessed.popitem(last=False)
 
     def _speak_for_served(self, word: Any, sender: NodeId) -> None:
@@ -341,7 +344,7 @@
         """
         now = self._clock.read()
         for trait in _list_suspects(word):
-            if self.book.was_served(trait, now):
+            if self.history.was_recently_served(trait, now):
                 self._links.send(sender, RequestCleared(trait))
 
     def _take_word(self, word: Any) -> bool:
@@ -360,12 +363,12 @@
             return is_news
         if isinstance(word, RequestHeld):
             hold = Hold(word.crashes, now - word.age)
-            return self.book.note_told(word.trait, hold)
-        return self.book.note_served(word.trait, now) > 0
+            return self.history.add_reported_hold(word.trait, hold)
+        return self.history.record_served(word.trait, now) > 0
 
     def _compare(self, before: Mapping[Trait, Hold], by: str) -> None:
         """Act on what is held now and was not, or the other way round."""
-        after = self.book.held
+        after = self.history.holds
         if after is before:
             return
         for trait, hold in after.items():
@@ -386,8 +389,10 @@
             'request_held',
             **describe_trait(trait),
             ends=hold.crashes,
-            boxes=','.join(self.book.list_boxes(trait)[:MOST_LOGGED]),
-            seconds=round(hold.until - self._clock.read(), 1),
+            boxes=','.join(
+                self.history.list_crashed_boxes(trait)[:MAX_LOGGED_BOXES]
+            ),
+            seconds=round(hold.expires_at - self._clock.read(), 1),
             by=by,
         )
         self._running.spare(trait)
--- a/waywell/quarantine/tasks.py
+++ b/waywell/quarantine/tasks.py
@@ -79,7 +79,7 @@
     return await is_reachable(box.host, box.port, CONNECT_SECONDS)
 
 
-def make_lone_quarantine(
+def make_unstored_quarantine(
     links: PeerLinks,
     clock: Clock,
     is_prober: Callable[[], bool],
