--- a/tests/test_crash_history.py
+++ b/tests/test_crash_history.py
@@ -239,14 +239,14 @@
         for number, there in enumerate(ends, 1)
         for name in sorted(there)
     ]
-    books = []
+    histories = []
     for _node in range(2):
         history = CrashHistory()
         for number, name in words:
             note(history, number, name)
-        books.append(history)
+        histories.append(history)
         random.shuffle(words)
-    assert set(books[0].held) == set(books[1].held)
+    assert set(histories[0].holds) == set(histories[1].holds)
 
 
 class House:
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -11,9 +11,9 @@
 from tests.loops import in_loop
 from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
 from waywell.health.doubts import (
-    LISTEN_LOOKS,
-    LISTEN_SECONDS,
-    REPEAT_SECONDS,
+    LISTEN_INTERVAL,
+    MAX_LISTEN_CHECKS,
+    REPEAT_INTERVAL,
     DoubtListeners,
     Doubts,
 )
@@ -90,7 +90,7 @@
 def test_a_word_is_said_again_when_the_replica_stays_silent() -> None:
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
-    bench.clock.now += REPEAT_SECONDS * 1.1
+    bench.clock.now += REPEAT_INTERVAL * 1.1
     bench.receive('d1')
     assert len(bench.links.spread_to) == 2
 
@@ -121,10 +121,10 @@
     bench = Bench()
     bench.receive('d1')
     assert bench.book.get(REPLICA.key).rests_until > bench.clock.now
-    bench.pass_time(LISTEN_SECONDS / 2)
+    bench.pass_time(LISTEN_INTERVAL / 2)
     bench.book.note_event(REPLICA.key, bench.clock.now)
     bench.book.get(REPLICA.key).rests_until = bench.clock.now + 1.0
-    bench.pass_time(LISTEN_SECONDS)
+    bench.pass_time(LISTEN_INTERVAL)
     assert bench.book.get(REPLICA.key).rests_until == 0
     assert bench.heard == [REPLICA.group]
     assert isinstance(bench.links.words[-1], ReplicaHeard)
@@ -145,8 +145,8 @@
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
     bench.book.get(REPLICA.key).heard_at = bench.clock.now + 0.1
-    for _look in range(LISTEN_LOOKS + 2):
-        bench.pass_time(LISTEN_SECONDS)
+    for _look in range(MAX_LISTEN_CHECKS + 2):
+        bench.pass_time(LISTEN_INTERVAL)
     assert not bench.heard
     assert not bench.due
 
@@ -156,7 +156,7 @@
     bench.doubts.raise_doubt(REPLICA)
     word = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
     bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), word))
-    bench.pass_time(REPEAT_SECONDS * 1.1)
+    bench.pass_time(REPEAT_INTERVAL * 1.1)
     bench.receive('d2')
     assert bench.told == [REPLICA.group, REPLICA.group]
     bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), word))
@@ -167,8 +167,8 @@
 async def test_silence_behind_lost_links_raises_no_doubt() -> None:
     for is_sound in (False, True):
         bench = Bench(is_sound)
-        bench.doubts.note_silence(REPLICA)
-        bench.doubts.note_silence(REPLICA)
+        bench.doubts.report_silence(REPLICA)
+        bench.doubts.report_silence(REPLICA)
         for _turn in range(5):
             await asyncio.sleep(0)
         assert len(bench.links.words) == int(is_sound)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -28,46 +28,46 @@
 def test_word_counts_until_it_lapses_or_is_taken_back() -> None:
     table = HealthTable(6)
     assert is_usable(table, 0)
-    assert table.hear(make_word(Verdict.DOWN, 1), 0)
+    assert table.add_evidence(make_word(Verdict.DOWN, 1), 0)
     assert not is_usable(table, 1)
     assert is_usable(table, 7)
-    table.hear(make_word(Verdict.DOWN, 2), 8)
+    table.add_evidence(make_word(Verdict.DOWN, 2), 8)
     assert not is_usable(table, 9)
-    table.hear(make_word(Verdict.UP, 3), 9)
+    table.add_evidence(make_word(Verdict.UP, 3), 9)
     assert is_usable(table, 9)
 
 
 def test_any_prober_speaks_against() -> None:
     table = HealthTable(6)
-    table.hear(make_word(Verdict.UP, 1, reporter='n1'), 0)
-    table.hear(make_word(Verdict.DOWN, 1, reporter='n2'), 0)
+    table.add_evidence(make_word(Verdict.UP, 1, reporter='n1'), 0)
+    table.add_evidence(make_word(Verdict.DOWN, 1, reporter='n2'), 0)
     assert not is_usable(table, 1)
 
 
 def test_old_and_repeated_words_are_no_news() -> None:
     table = HealthTable(6)
-    assert table.hear(make_word(Verdict.UP, 5), 0)
-    assert not table.hear(make_word(Verdict.UP, 5), 0)
-    assert not table.hear(make_word(Verdict.DOWN, 4), 0)
+    assert table.add_evidence(make_word(Verdict.UP, 5), 0)
+    assert not table.add_evidence(make_word(Verdict.UP, 5), 0)
+    assert not table.add_evidence(make_word(Verdict.DOWN, 4), 0)
     assert is_usable(table, 0)
 
 
 def test_word_about_an_earlier_epoch_says_nothing() -> None:
     table = HealthTable(6)
-    table.hear(make_word(Verdict.DOWN, 1, epoch=1), 0)
+    table.add_evidence(make_word(Verdict.DOWN, 1, epoch=1), 0)
     assert not is_usable(table, 1, epoch=1)
     assert is_usable(table, 1, epoch=2)
 
 
 def test_failed_group_returns_step_by_step() -> None:
     table = HealthTable(6)
-    table.note_start(GROUP)
-    table.note_failure(GROUP, 0)
+    table.record_start(GROUP)
+    table.record_failure(GROUP, 0)
     assert table.get_load(GROUP, 0, 0, 0.1).weight == 0
     weights = []
     for _ in range(5):
         weights.append(table.get_load(GROUP, 0, 0, 10).weight)
-        table.note_answer(GROUP, 0.1, 10)
+        table.record_answer(GROUP, 0.1, 10)
     assert weights == sorted(weights)
     assert weights[0] < 0.5
     assert table.get_load(GROUP, 0, 0, 10).weight == 1
@@ -77,7 +77,7 @@
     table = HealthTable(6)
     rests = []
     for _ in range(8):
-        table.note_failure(GROUP, 0)
+        table.record_failure(GROUP, 0)
         rest = next(
             tenth / 10
             for tenth in range(1, 200)
@@ -94,8 +94,8 @@
     names = [GroupId(f'g{number}') for number in range(5)]
     for name in names:
         for _ in range(5):
-            table.note_answer(name, 1.0 if name == 'g0' else 0.1, 0)
-    typical = table.find_typical(names)
+            table.record_answer(name, 1.0 if name == 'g0' else 0.1, 0)
+    typical = table.find_typical_latency(names)
     slow = table.get_load(names[0], 0, typical, 0)
     usual = table.get_load(names[1], 0, typical, 0)
     assert slow.slowness > 5
@@ -105,14 +105,14 @@
 def test_slowness_is_forgiven_with_time() -> None:
     table = HealthTable(6)
     for _ in range(5):
-        table.note_answer(GROUP, 2.0, now=0)
+        table.record_answer(GROUP, 2.0, now=0)
     slowness = [
         table.get_load(GROUP, 0, 0.1, now).slowness for now in (0, 3, 6, 30)
     ]
     assert slowness[0] == 20
     assert slowness == sorted(slowness, reverse=True)
     assert slowness[-1] < 1.1
-    table.note_timeout(GROUP, 2.0, now=30)
+    table.record_timeout(GROUP, 2.0, now=30)
     assert table.get_load(GROUP, 0, 0.1, 30).slowness == 20
 
 
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -246,7 +246,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(partition, 'PROBE_INTERVAL', 0)
-    monkeypatch.setattr(partition, 'ANNOUNCE_SECONDS', 0.01)
+    monkeypatch.setattr(partition, 'RECOVERY_HOLD_SECONDS', 0.01)
     own = make_nodes()['a']
     own.reached.clear()
     own.fail('h0', 'h1')
@@ -289,7 +289,7 @@
     monkeypatch.setattr(partition, 'PROBE_STAGGER', 10.0)
     own = make_nodes()['a']
     assert await own.watch.verify(LLM)
-    assert own.connections == partition.LEAST_REACHED
+    assert own.connections == partition.MIN_REACHED
 
 
 @in_loop
@@ -297,7 +297,7 @@
     nodes = make_nodes('ab')
     nodes['b'].reached = {'h1', 'h2'}
     reports: list[ReachabilityReport] = []
-    nodes['a'].watch._queries.take_report = (  # noqa: SLF001
+    nodes['a'].watch._queries.handle_report = (  # noqa: SLF001
         lambda report, _sender: reports.append(report)
     )
     query = ReachabilityQuery(7, ('h0', 'h1', 'unknown'))
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -13,7 +13,7 @@
 from waywell.bench.figures import fit_slope, write_figures
 from waywell.connection.entry_peer import LoadNews
 from waywell.health.health import HealthTable
-from waywell.health.prober import pick_probed
+from waywell.health.prober import select_probed_groups
 from waywell.ids import (
     BoxId,
     DomainName,
@@ -178,7 +178,7 @@
     random = Random(1)
     health = HealthTable(6)
     for group in found:
-        health.note_answer(group.group, random.random(), 0)
+        health.record_answer(group.group, random.random(), 0)
     balance = Balance(health, LoadTable())
     loads = balance.weigh('llm', found, 0)
     is_usable = partial(_is_usable, health)
@@ -233,10 +233,12 @@
         'tick_ms': time_call(lambda: table.tick(1)),
         'change_ms': time_call(lambda: (table.change_own(), table.digest)),
         'pick_probed_ms': time_call(
-            lambda: pick_probed(groups, list(table.records), table.own),
+            lambda: select_probed_groups(
+                groups, list(table.records), table.own
+            ),
         ),
         'probed_groups': len(
-            pick_probed(groups, list(table.records), table.own),
+            select_probed_groups(groups, list(table.records), table.own),
         ),
     }
 
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -1,4 +1,4 @@
-"""The task that spreads the word that nothing comes from a replica.
+"""The task that spreads the message that nothing comes from a replica.
 
 Answers groups that lose a box while streams of many nodes run there: each
 node sees a few of them, and one that notices tells all.  A sound group pauses
@@ -29,17 +29,17 @@
     from waywell.request.replica_book import ReplicaBook
     from waywell.version.fleet import Replica
 
-REPEAT_SECONDS = 0.8
+REPEAT_INTERVAL = 0.8
 """Between two words about one replica that a node says or passes on."""
 
 RECENT_SECONDS = 0.1
-"""A word of another node is not believed when this one has heard something
+"""A message of another node is not believed when this one has heard something
 so recently."""
 
-LISTEN_SECONDS = 0.1
-"""Between two looks at whether a doubted replica goes on."""
+LISTEN_INTERVAL = 0.1
+"""Between two checks_left at whether a doubted replica goes on."""
 
-LISTEN_LOOKS = 4
+MAX_LISTEN_CHECKS = 4
 """Looks after a doubt: a pause that lasts longer is no reading of prompts."""
 
 Scheduler = Callable[[float, Callable[[], None]], object]
@@ -53,7 +53,7 @@
     on_doubted: Callable[[GroupId], None]
     """Called with the group of each new doubt."""
 
-    on_heard: Callable[[GroupId], None]
+    on_resumed: Callable[[GroupId], None]
     """Called with a doubted group that goes on."""
 
 
@@ -99,27 +99,27 @@
         self._listeners = listeners
         self._call_later = call_later
         self._raised_at: dict[ReplicaKey, float] = {}
-        self._open: set[ReplicaKey] = set()
+        self._open_doubts: set[ReplicaKey] = set()
         links.subscribe(self, ReplicaDoubt, ReplicaHeard)
 
-    def note_silence(self, replica: Replica) -> None:
+    def report_silence(self, replica: Replica) -> None:
         """Raise a doubt, unless this node's own links are lost.
 
         Streams that all fall silent with the links of one node speak against
         no replica.
         """
         if replica.key in self._verifying or replica.key in self._raised_at:
-            self._forget_old(self._clock.read())
+            self._drop_expired(self._clock.read())
             return
         self._verifying.add(replica.key)
-        self.spawn(self._raise_verified(replica))
+        self.spawn(self._raise_if_links_work(replica))
 
     def raise_doubt(self, replica: Replica) -> None:
         """Tell the others that nothing comes from a replica."""
         now = self._clock.read()
-        if not self._is_news(replica.key, now):
+        if not self._is_new(replica.key, now):
             return
-        word = ReplicaDoubt(
+        doubt = ReplicaDoubt(
             secrets.token_hex(4),
             replica.group,
             replica.key.box,
@@ -127,35 +127,35 @@
             replica.key.incarnation,
         )
         log_event('doubt_raised', group=replica.group, box=replica.key.box)
-        self._links.spread(word)
-        self._begin(replica.key, replica.group, now)
+        self._links.spread(doubt)
+        self._open_doubt(replica.key, replica.group, now)
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in another node's word and pass it on."""
-        word = received.message
-        key = ReplicaKey(word.box, word.epoch, word.incarnation)
-        if isinstance(word, ReplicaHeard):
-            if key in self._open:
-                self._links.pass_on(word, received.node)
-                self._end(key, word.group)
+        """Take in another node's message and pass it on."""
+        message = received.message
+        key = ReplicaKey(message.box, message.epoch, message.incarnation)
+        if isinstance(message, ReplicaHeard):
+            if key in self._open_doubts:
+                self._links.pass_on(message, received.node)
+                self._close_doubt(key, message.group)
             return
         now = self._clock.read()
-        if not self._is_news(key, now):
+        if not self._is_new(key, now):
             return
-        self._links.pass_on(word, received.node)
+        self._links.pass_on(message, received.node)
         is_believed = now - self._book.get(key).heard_at > RECENT_SECONDS
         log_event(
             'doubt_received',
-            group=word.group,
-            box=word.box,
+            group=message.group,
+            box=message.box,
             sender=received.node,
             believed=is_believed,
         )
         if is_believed:
             self._book.note_failure(key, now)
-        self._begin(key, word.group, now)
+        self._open_doubt(key, message.group, now)
 
-    async def _raise_verified(self, replica: Replica) -> None:
+    async def _raise_if_links_work(self, replica: Replica) -> None:
         try:
             is_sound = await self._verify(replica.head.service)
         finally:
@@ -163,54 +163,58 @@
         if is_sound:
             self.raise_doubt(replica)
 
-    def _begin(self, key: ReplicaKey, group: GroupId, now: float) -> None:
+    def _open_doubt(self, key: ReplicaKey, group: GroupId, now: float) -> None:
         """Tell of a doubt here, and listen for what speaks against it."""
-        self._open.add(key)
+        self._open_doubts.add(key)
         self._listeners.on_doubted(group)
-        look = partial(self._look, key, group, now, LISTEN_LOOKS)
-        self._call_later(LISTEN_SECONDS, look)
+        check = partial(
+            self._check_resumed, key, group, now, MAX_LISTEN_CHECKS
+        )
+        self._call_later(LISTEN_INTERVAL, check)
 
-    def _look(
+    def _check_resumed(
         self,
         key: ReplicaKey,
         group: GroupId,
         doubted_at: float,
-        looks: int,
+        checks_left: int,
     ) -> None:
         """Take a doubt back where the replica was heard since."""
-        if key not in self._open:
+        if key not in self._open_doubts:
             return
         if self._book.get(key).event_at > doubted_at:
             log_event('doubt_taken_back', group=group, box=key.box)
             self._links.spread(
                 ReplicaHeard(group, key.box, key.epoch, key.incarnation),
             )
-            self._end(key, group)
-        elif looks > 1:
-            again = partial(self._look, key, group, doubted_at, looks - 1)
-            self._call_later(LISTEN_SECONDS, again)
+            self._close_doubt(key, group)
+        elif checks_left > 1:
+            again = partial(
+                self._check_resumed, key, group, doubted_at, checks_left - 1
+            )
+            self._call_later(LISTEN_INTERVAL, again)
         else:
-            self._open.discard(key)
+            self._open_doubts.discard(key)
 
-    def _end(self, key: ReplicaKey, group: GroupId) -> None:
+    def _close_doubt(self, key: ReplicaKey, group: GroupId) -> None:
         """Let a replica get requests again that goes on."""
-        self._open.discard(key)
+        self._open_doubts.discard(key)
         self._book.forgive(key)
-        self._listeners.on_heard(group)
+        self._listeners.on_resumed(group)
 
-    def _is_news(self, key: ReplicaKey, now: float) -> bool:
-        """Answer whether no word about a replica came a moment ago.
+    def _is_new(self, key: ReplicaKey, now: float) -> bool:
+        """Answer whether no message about a replica came a moment ago.
 
         When a group falls silent, many nodes notice at once; one of their
         words is passed on, and the others end where they meet it.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         if key in self._raised_at:
             return False
         self._raised_at[key] = now
         return True
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for key, raised_at in tuple(self._raised_at.items()):
-            if now - raised_at > REPEAT_SECONDS:
+            if now - raised_at > REPEAT_INTERVAL:
                 self._raised_at.pop(key)
--- a/waywell/health/health.py
+++ b/waywell/health/health.py
@@ -19,13 +19,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-FIRST_BACKOFF = 0.5
+INITIAL_BACKOFF = 0.5
 """Seconds for which a group rests after a first failed request."""
 
-MOST_BACKOFF = 8.0
+MAX_BACKOFF = 8.0
 """Longest such rest, in seconds."""
 
-RETURN_STEPS = 5
+RECOVERY_STEPS = 5
 """Answers in which a group that failed comes back to its full weight."""
 
 LATENCY_SHARE = 0.2
@@ -34,13 +34,13 @@
 SLOW_FACTOR = 2.0
 """Times the median from which a group counts as slow."""
 
-FORGIVEN_SHARE = 0.5
+SLOWNESS_DECAY = 0.5
 """What is left of a group's slowness after the time below."""
 
-FORGIVEN_SECONDS = 3.0
+SLOWNESS_DECAY_SECONDS = 3.0
 """Seconds without an answer in which slowness is forgiven by that share."""
 
-LEARN_ANSWERS = 3
+MIN_ANSWERS = 3
 """Answers before a group's mean is compared to others."""
 
 
@@ -79,15 +79,15 @@
     """The box that didn't answer, or why."""
 
 
-class _Heard(msgspec.Struct, frozen=True):
+class _ReceivedEvidence(msgspec.Struct, frozen=True):
     evidence: Evidence
     at: float
 
 
-class _GroupNotes(msgspec.Struct):
+class _GroupRecord(msgspec.Struct):
     rests_until: float = 0.0
     backoff: float = 0.0
-    steps: int = RETURN_STEPS
+    steps: int = RECOVERY_STEPS
     in_flight: int = 0
     latency: float = 0.0
     answers: int = 0
@@ -106,31 +106,31 @@
     def __init__(self, lifetime: float) -> None:
         """Start without a word against any group."""
         self._lifetime = lifetime
-        self._heard: dict[GroupId, dict[NodeId, _Heard]] = {}
-        self._notes: dict[GroupId, _GroupNotes] = {}
-        self._words = 0
+        self._evidence: dict[GroupId, dict[NodeId, _ReceivedEvidence]] = {}
+        self._records: dict[GroupId, _GroupRecord] = {}
+        self._updates = 0
 
-    def hear(self, evidence: Evidence, now: float) -> bool:
+    def add_evidence(self, evidence: Evidence, now: float) -> bool:
         """Take in a word; answer whether it is news to pass on."""
-        words = self._heard.setdefault(evidence.group, {})
+        words = self._evidence.setdefault(evidence.group, {})
         known = words.get(evidence.reporter)
         if known is not None:
             newer = (evidence.epoch, evidence.sequence)
             if newer <= (known.evidence.epoch, known.evidence.sequence):
                 return False
-        words[evidence.reporter] = _Heard(evidence, now)
-        self._words += 1
+        words[evidence.reporter] = _ReceivedEvidence(evidence, now)
+        self._updates += 1
         return True
 
-    def count_words(self) -> int:
+    def count_updates(self) -> int:
         """Return a number that rises with each word that was news."""
-        return self._words
+        return self._updates
 
     def find_down(self, group: GroupId, now: float) -> Evidence | None:
         """Return a live word against a group, of its latest epoch."""
         words = [
             heard.evidence
-            for heard in self._heard.get(group, {}).values()
+            for heard in self._evidence.get(group, {}).values()
             if heard.evidence.verdict is not Verdict.UP
             and now - heard.at < self._lifetime
         ]
@@ -138,7 +138,9 @@
 
     def list_down(self, now: float) -> dict[GroupId, Evidence]:
         """Return the groups that a live word speaks against."""
-        found = ((group, self.find_down(group, now)) for group in self._heard)
+        found = (
+            (group, self.find_down(group, now)) for group in self._evidence
+        )
         return {group: word for group, word in found if word is not None}
 
     def is_usable(self, group: GroupId, epoch: Epoch, now: float) -> bool:
@@ -146,31 +148,31 @@
         down = self.find_down(group, now)
         return down is None or down.epoch < epoch
 
-    def note_start(self, group: GroupId) -> None:
+    def record_start(self, group: GroupId) -> None:
         """Count a request in."""
-        self._get_notes(group).in_flight += 1
+        self._get_record(group).in_flight += 1
 
-    def note_end(self, group: GroupId) -> None:
+    def record_end(self, group: GroupId) -> None:
         """Count a request out."""
-        self._get_notes(group).in_flight -= 1
+        self._get_record(group).in_flight -= 1
 
-    def note_answer(
+    def record_answer(
         self,
         group: GroupId,
         seconds: float,
         now: float,
     ) -> None:
         """Take in the time to the first byte of an answer."""
-        notes = self._get_notes(group)
-        notes.answered_at = now
-        notes.backoff = 0
-        notes.steps = min(RETURN_STEPS, notes.steps + 1)
-        notes.answers += 1
-        if notes.answers == 1:
-            notes.latency = seconds
-        notes.latency += LATENCY_SHARE * (seconds - notes.latency)
-
-    def note_timeout(
+        record = self._get_record(group)
+        record.answered_at = now
+        record.backoff = 0
+        record.steps = min(RECOVERY_STEPS, record.steps + 1)
+        record.answers += 1
+        if record.answers == 1:
+            record.latency = seconds
+        record.latency += LATENCY_SHARE * (seconds - record.latency)
+
+    def record_timeout(
         self,
         group: GroupId,
         seconds: float,
@@ -181,26 +183,26 @@
         The caller's deadline may have been too short, so this makes a
         group slow in the comparison, and no more.
         """
-        notes = self._get_notes(group)
-        notes.answers += 1
-        notes.answered_at = now
-        longer = max(notes.latency, seconds)
-        notes.latency += LATENCY_SHARE * (longer - notes.latency)
+        record = self._get_record(group)
+        record.answers += 1
+        record.answered_at = now
+        longer = max(record.latency, seconds)
+        record.latency += LATENCY_SHARE * (longer - record.latency)
 
-    def note_failure(self, group: GroupId, now: float) -> None:
+    def record_failure(self, group: GroupId, now: float) -> None:
         """Let a group rest that just failed a request."""
-        notes = self._get_notes(group)
-        doubled = notes.backoff * 2
-        notes.backoff = min(MOST_BACKOFF, max(FIRST_BACKOFF, doubled))
-        notes.rests_until = now + notes.backoff
-        notes.steps = 1
+        record = self._get_record(group)
+        doubled = record.backoff * 2
+        record.backoff = min(MAX_BACKOFF, max(INITIAL_BACKOFF, doubled))
+        record.rests_until = now + record.backoff
+        record.steps = 1
 
     def end_rests(self) -> None:
         """Let no group rest any longer: the failures were this node's."""
-        for notes in self._notes.values():
-            notes.rests_until = 0.0
-            notes.backoff = 0.0
-            notes.steps = RETURN_STEPS
+        for record in self._records.values():
+            record.rests_until = 0.0
+            record.backoff = 0.0
+            record.steps = RECOVERY_STEPS
 
     def get_load(
         self,
@@ -222,38 +224,38 @@
         now
             Present time, in seconds.
         """
-        notes = self._notes.get(group)
-        if notes is None:
+        record = self._records.get(group)
+        if record is None:
             return GroupLoad(in_flight=reported)
-        resting = now < notes.rests_until
+        resting = now < record.rests_until
         return GroupLoad(
-            in_flight=notes.in_flight + reported,
-            slowness=_find_slowness(notes, typical, now),
-            weight=0 if resting else notes.steps / RETURN_STEPS,
+            in_flight=record.in_flight + reported,
+            slowness=_find_slowness(record, typical, now),
+            weight=0 if resting else record.steps / RECOVERY_STEPS,
         )
 
-    def find_typical(self, groups: Iterable[GroupId]) -> float:
+    def find_typical_latency(self, groups: Iterable[GroupId]) -> float:
         """Return the median of the groups' times to the first byte."""
-        known = (self._notes.get(group) for group in groups)
+        known = (self._records.get(group) for group in groups)
         return _find_median(
             [
-                notes.latency
-                for notes in known
-                if notes is not None and notes.answers >= LEARN_ANSWERS
+                record.latency
+                for record in known
+                if record is not None and record.answers >= MIN_ANSWERS
             ],
         )
 
-    def keep_only(self, groups: set[GroupId]) -> None:
+    def retain(self, groups: set[GroupId]) -> None:
         """Forget groups that the roster has no more."""
-        for group in tuple(self._heard):
+        for group in tuple(self._evidence):
             if group not in groups:
-                self._heard.pop(group)
-        for group, notes in tuple(self._notes.items()):
-            if group not in groups and not notes.in_flight:
-                self._notes.pop(group)
+                self._evidence.pop(group)
+        for group, record in tuple(self._records.items()):
+            if group not in groups and not record.in_flight:
+                self._records.pop(group)
 
-    def _get_notes(self, group: GroupId) -> _GroupNotes:
-        return self._notes.setdefault(group, _GroupNotes())
+    def _get_record(self, group: GroupId) -> _GroupRecord:
+        return self._records.setdefault(group, _GroupRecord())
 
 
 def _get_epoch(evidence: Evidence) -> Epoch:
@@ -267,7 +269,7 @@
 
 
 def _find_slowness(
-    notes: _GroupNotes,
+    record: _GroupRecord,
     typical: float,
     now: float,
 ) -> float:
@@ -276,11 +278,11 @@
     A slow group gets little work, so little is heard of it; were it not
     forgiven with time, it would never show that it is well again.
     """
-    if notes.answers < LEARN_ANSWERS or typical <= 0:
+    if record.answers < MIN_ANSWERS or typical <= 0:
         return 1
-    slowness = notes.latency / typical
+    slowness = record.latency / typical
     if slowness < SLOW_FACTOR:
         return 1
-    age = max(0, now - notes.answered_at)
-    forgiven = math.pow(FORGIVEN_SHARE, age / FORGIVEN_SECONDS)
+    age = max(0, now - record.answered_at)
+    forgiven = math.pow(SLOWNESS_DECAY, age / SLOWNESS_DECAY_SECONDS)
     return 1 + (slowness - 1) * forgiven
--- a/waywell/health/partition.py
+++ b/waywell/health/partition.py
@@ -43,19 +43,19 @@
 """Seconds after which boxes beyond the first ones are probed: where the links
 are sound the first have taken a connection by then."""
 
-LEAST_REACHED = 2
+MIN_REACHED = 2
 """Probed boxes that must take a connection for the links to be sound."""
 
 PROBE_INTERVAL = 0.3
 """Seconds between two probes of links that were lost."""
 
-RETURN_PROBES = 2
+RECOVERY_PROBES = 2
 """Boxes of one probe that must all take a connection for links to be back."""
 
 DIAGNOSIS_INTERVAL = 0.5
 """Least seconds between two diagnoses that failed connections begin."""
 
-ANNOUNCE_SECONDS = 1.0
+RECOVERY_HOLD_SECONDS = 1.0
 """Seconds for which links must be back before callers are sent here again, so
 that short cuts in series do not move them back and forth."""
 
@@ -106,10 +106,10 @@
         self._queries = ReachabilityQueries(
             parts.gossip, parts.links, parts.random
         )
-        self._lost_at: dict[ServiceName, float] = {}
+        self._lost_since: dict[ServiceName, float] = {}
         self._diagnoses: dict[ServiceName, asyncio.Task[bool]] = {}
         self._diagnosed_at: dict[ServiceName, float] = {}
-        self._announcing: asyncio.Task[None] | None = None
+        self._announcement: asyncio.Task[None] | None = None
         parts.links.subscribe(self, ReachabilityQuery, ReachabilityReport)
 
     def record(self, box: FleetBox, now: float, *, is_connected: bool) -> None:
@@ -120,11 +120,11 @@
 
     def is_partitioned(self, service: ServiceName) -> bool:
         """Answer whether this node has lost its links to a service."""
-        return service in self._lost_at
+        return service in self._lost_since
 
     def list_partitioned(self) -> list[ServiceName]:
         """Return the services whose replicas this node does not reach."""
-        return sorted(self._lost_at)
+        return sorted(self._lost_since)
 
     async def await_diagnosis(self, service: ServiceName) -> None:
         """Wait while this node finds out whether its links are lost."""
@@ -160,7 +160,7 @@
         if isinstance(message, ReachabilityQuery):
             self.spawn(self._answer(message, received.node))
         else:
-            self._queries.take_report(message, received.node)
+            self._queries.handle_report(message, received.node)
 
     def dump(self) -> dict[str, object]:
         """Return the state as plain values."""
@@ -192,8 +192,8 @@
 
     async def _diagnose(self, service: ServiceName) -> bool:
         """Find out whether the links to a service are sound."""
-        boxes = self._draw_boxes(service, PROBED_BOXES)
-        needed = min(LEAST_REACHED, len(boxes))
+        boxes = self._sample_boxes(service, PROBED_BOXES)
+        needed = min(MIN_REACHED, len(boxes))
         unreached = await self._probe(boxes, needed)
         witness = None
         if len(boxes) - len(unreached) < needed:
@@ -227,7 +227,7 @@
         unreached = list(boxes)
         tests = [
             asyncio.ensure_future(
-                self._test(box, 0.0 if place < needed else PROBE_STAGGER)
+                self._connect(box, 0.0 if place < needed else PROBE_STAGGER)
             )
             for place, box in enumerate(boxes)
         ]
@@ -243,7 +243,7 @@
                 test.cancel()
         return unreached
 
-    async def _test(
+    async def _connect(
         self,
         box: FleetBox,
         delay: float,
@@ -263,31 +263,31 @@
     ) -> None:
         if self.is_partitioned(service):
             return
-        self._lost_at[service] = now
+        self._lost_since[service] = now
         log_warning('partition_detected', service=service, witness=witness)
-        if self._announcing is not None:
-            self._announcing.cancel()
+        if self._announcement is not None:
+            self._announcement.cancel()
         self._announce()
-        self.spawn(self._await_links(service))
+        self.spawn(self._await_recovery(service))
 
-    async def _await_links(self, service: ServiceName) -> None:
+    async def _await_recovery(self, service: ServiceName) -> None:
         """Wait until the links to a service are back."""
         while True:
             await asyncio.sleep(PROBE_INTERVAL)
-            boxes = self._draw_boxes(service, RETURN_PROBES)
+            boxes = self._sample_boxes(service, RECOVERY_PROBES)
             if not await self._probe(boxes, len(boxes)):
                 break
         now = self._parts.clock.read()
-        seconds = round(now - self._lost_at.pop(service), 3)
+        seconds = round(now - self._lost_since.pop(service), 3)
         self._diagnosed_at[service] = now
         log_event('partition_ended', service=service, seconds=seconds)
         self._parts.on_restored()
-        if self._announcing is not None:
-            self._announcing.cancel()
-        self._announcing = self.spawn(self._announce_return())
+        if self._announcement is not None:
+            self._announcement.cancel()
+        self._announcement = self.spawn(self._announce_recovery())
 
-    async def _announce_return(self) -> None:
-        await asyncio.sleep(ANNOUNCE_SECONDS)
+    async def _announce_recovery(self) -> None:
+        await asyncio.sleep(RECOVERY_HOLD_SECONDS)
         self._announce()
 
     def _announce(self) -> None:
@@ -307,6 +307,8 @@
         report = ReachabilityReport(query.query, reached)
         self._parts.links.send(sender, report)
 
-    def _draw_boxes(self, service: ServiceName, count: int) -> list[FleetBox]:
+    def _sample_boxes(
+        self, service: ServiceName, count: int
+    ) -> list[FleetBox]:
         boxes = self._parts.boxes.list_boxes(service)
         return self._parts.random.sample(boxes, min(count, len(boxes)))
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -30,16 +30,16 @@
     from waywell.ids import GroupId, NodeId
     from waywell.membership.membership import NodeRecord
 
-PROBERS = 2
+PROBERS_PER_GROUP = 2
 """Nodes that probe one group."""
 
-REFRESH_SHARE = 0.4
-"""Part of the evidence's lifetime after which a word is said again."""
+REFRESH_FRACTION = 0.4
+"""Part of the evidence's lifetime after which a word is published again."""
 
-GROUPS_AT_ONCE = 4
+MAX_CONCURRENT_GROUPS = 4
 """Groups that are probed side by side."""
 
-RING_POINTS = 8
+POINTS_PER_NODE = 8
 """Places of one node on the ring, for an even spread."""
 
 
@@ -55,9 +55,9 @@
     def __init__(self, nodes: list[NodeId]) -> None:
         """Place the nodes."""
         places = [
-            (_place(f'{node}/{point}'), node)
+            (_hash_position(f'{node}/{point}'), node)
             for node in nodes
-            for point in range(RING_POINTS)
+            for point in range(POINTS_PER_NODE)
         ]
         places.sort()
         self._places = places
@@ -65,8 +65,8 @@
 
     def list_probers(self, group: GroupId) -> list[NodeId]:
         """Return the nodes that probe a group."""
-        start = bisect.bisect(self._places, (_place(group), ''))
-        wanted = min(PROBERS, self._count)
+        start = bisect.bisect(self._places, (_hash_position(group), ''))
+        wanted = min(PROBERS_PER_GROUP, self._count)
         found: list[NodeId] = []
         position = start
         while len(found) < wanted:
@@ -77,12 +77,12 @@
         return found
 
 
-def _place(name: str) -> int:
+def _hash_position(name: str) -> int:
     digest = hashlib.blake2b(name.encode(), digest_size=8)
     return int.from_bytes(digest.digest())
 
 
-def pick_probed(
+def select_probed_groups(
     groups: list[Group],
     records: list[NodeRecord],
     own: NodeRecord,
@@ -94,7 +94,7 @@
     """
     live = [record for record in records if record.state is NodeState.LIVE]
     rings: dict[str, ProbeRing] = {}
-    picked = []
+    selected = []
     for group in groups:
         ring = rings.get(group.hall)
         if ring is None:
@@ -102,8 +102,8 @@
             ring = ProbeRing(here or [node.node for node in live])
             rings[group.hall] = ring
         if own.node in ring.list_probers(group.group):
-            picked.append(group)
-    return picked
+            selected.append(group)
+    return selected
 
 
 @attrs.frozen
@@ -154,11 +154,11 @@
         """Start without words."""
         super().__init__('prober')
         self._parts = parts
-        self._said: dict[GroupId, Evidence] = {}
-        self._said_at: dict[GroupId, float] = {}
-        self._round: asyncio.Task[None] | None = None
-        self._picked: list[Group] = []
-        self._picked_for: tuple[int, int] = (-1, -1)
+        self._published: dict[GroupId, Evidence] = {}
+        self._published_at: dict[GroupId, float] = {}
+        self._probing: asyncio.Task[None] | None = None
+        self._selected: list[Group] = []
+        self._selected_for: tuple[int, int] = (-1, -1)
         parts.links.subscribe(self, HealthNews, LoadNews)
 
     def on_probe_tick(self, _tick: ProbeTick) -> None:
@@ -167,8 +167,8 @@
         It is a task of its own: words of others are not to wait for a
         box that does not answer.
         """
-        if self._round is None or self._round.done():
-            self._round = self.spawn(self._probe_all())
+        if self._probing is None or self._probing.done():
+            self._probing = self.spawn(self._probe_all())
 
     def on_received(self, received: PeerLinks.Received) -> None:
         """Take in words and loads; pass on what is news."""
@@ -180,7 +180,7 @@
         news = tuple(
             word
             for word in message.words
-            if self._parts.health.hear(word, now)
+            if self._parts.health.add_evidence(word, now)
         )
         if news:
             self._parts.links.spread(HealthNews(news), skip=received.node)
@@ -189,7 +189,7 @@
         """Return the words against groups as plain values."""
         down = self._parts.health.list_down(self._parts.clock.read())
         return {
-            'probed': len(self._picked),
+            'probed': len(self._selected),
             'down': {
                 group: {
                     'verdict': word.verdict.value,
@@ -202,40 +202,40 @@
 
     async def _probe_all(self) -> None:
         """Probe each group of this node's part."""
-        groups = self._pick_groups()
+        groups = self._select_groups()
         # A probe in flight costs memory, so a few groups go at a time.
-        for start in range(0, len(groups), GROUPS_AT_ONCE):
-            await self._probe_some(groups[start : start + GROUPS_AT_ONCE])
+        for start in range(0, len(groups), MAX_CONCURRENT_GROUPS):
+            await self._probe_batch(
+                groups[start : start + MAX_CONCURRENT_GROUPS]
+            )
         news = self._parts.loads.take_news()
         if news:
             self._parts.links.spread(LoadNews(news))
 
-    def _pick_groups(self) -> list[Group]:
+    def _select_groups(self) -> list[Group]:
         table = self._parts.gossip.table
         versions = (self._parts.in_force.roster.number, table.digest)
-        if versions != self._picked_for:
-            self._picked_for = versions
+        if versions != self._selected_for:
+            self._selected_for = versions
             serving = [
                 group
                 for group in self._parts.in_force.roster
                 if group.state is GroupState.SERVING
             ]
             records = list(table.records)
-            self._picked = pick_probed(serving, records, table.own)
-            self._forget_words({group.group for group in self._picked})
-            self._parts.health.keep_only(
-                set(self._parts.in_force.roster.groups)
-            )
-        return self._picked
-
-    def _forget_words(self, kept: set[GroupId]) -> None:
-        """Forget what was said of groups that others probe now."""
-        for group in tuple(self._said):
+            self._selected = select_probed_groups(serving, records, table.own)
+            self._drop_published({group.group for group in self._selected})
+            self._parts.health.retain(set(self._parts.in_force.roster.groups))
+        return self._selected
+
+    def _drop_published(self, kept: set[GroupId]) -> None:
+        """Forget what was published of groups that others probe now."""
+        for group in tuple(self._published):
             if group not in kept:
-                self._said.pop(group)
-                self._said_at.pop(group)
+                self._published.pop(group)
+                self._published_at.pop(group)
 
-    async def _probe_some(self, groups: list[Group]) -> None:
+    async def _probe_batch(self, groups: list[Group]) -> None:
         """Probe some groups side by side; spread what is news."""
         verdicts = await asyncio.gather(
             *(self._probe_group(group) for group in groups),
@@ -256,10 +256,10 @@
             self._parts.loads.note(group.group, head.load)
         fenced = self._is_fenced(group)
         verdict, detail = judge_probes(group, answers, fenced=fenced)
-        is_news = self._is_news(group, verdict)
+        is_news = self._must_publish(group, verdict)
         if None in answers and not await self._verify_links(group, is_news):
             return self._withdraw(group)
-        return self._say(group, verdict, detail) if is_news else None
+        return self._publish(group, verdict, detail) if is_news else None
 
     async def _verify_links(self, group: Group, is_news: bool) -> bool:
         """Answer whether boxes without an answer are evidence of a group."""
@@ -269,30 +269,32 @@
         return not self._parts.paths.is_partitioned(service)
 
     def _withdraw(self, group: Group) -> Evidence | None:
-        """Take back what this node said while its links were being lost."""
-        said = self._said.get(group.group)
-        if said is None or said.verdict is Verdict.UP:
+        """Retract evidence published while this node was losing its links."""
+        published = self._published.get(group.group)
+        if published is None or published.verdict is Verdict.UP:
             return None
         log_event('evidence_withdrawn', group=group.group)
-        return self._say(group, Verdict.UP, '')
+        return self._publish(group, Verdict.UP, '')
 
     def _is_fenced(self, group: Group) -> bool:
         index = self._parts.in_force.index
         service = index.find_service(group.service)
         return service is not None and service.fenced
 
-    def _is_news(self, group: Group, verdict: Verdict) -> bool:
+    def _must_publish(self, group: Group, verdict: Verdict) -> bool:
         """Answer whether a verdict is to be told to the other nodes."""
-        said = self._said.get(group.group)
-        if said is None:
+        published = self._published.get(group.group)
+        if published is None:
             return verdict is not Verdict.UP
-        if (said.verdict, said.epoch) != (verdict, group.epoch):
+        if (published.verdict, published.epoch) != (verdict, group.epoch):
             return True
-        age = self._parts.clock.read() - self._said_at[group.group]
-        is_stale = age >= self._parts.timing.evidence * REFRESH_SHARE
+        age = self._parts.clock.read() - self._published_at[group.group]
+        is_stale = age >= self._parts.timing.evidence * REFRESH_FRACTION
         return is_stale and verdict is not Verdict.UP
 
-    def _say(self, group: Group, verdict: Verdict, detail: str) -> Evidence:
+    def _publish(
+        self, group: Group, verdict: Verdict, detail: str
+    ) -> Evidence:
         """Keep a word about a group, and return it to be spread."""
         now = self._parts.clock.read()
         own = self._parts.gossip.table.own
@@ -304,8 +306,8 @@
             verdict,
             detail,
         )
-        said = self._said.get(group.group)
-        if said is None or (said.verdict, said.epoch) != (
+        published = self._published.get(group.group)
+        if published is None or (published.verdict, published.epoch) != (
             verdict,
             group.epoch,
         ):
@@ -315,9 +317,9 @@
                 verdict=verdict.value,
                 detail=detail,
             )
-        self._said[group.group] = word
-        self._said_at[group.group] = now
-        self._parts.health.hear(word, now)
+        self._published[group.group] = word
+        self._published_at[group.group] = now
+        self._parts.health.add_evidence(word, now)
         return word
 
 
--- a/waywell/health/reachability_queries.py
+++ b/waywell/health/reachability_queries.py
@@ -21,7 +21,7 @@
 REPORT_SECONDS = 0.3
 """For a peer to report: twice the time that it gives a connection."""
 
-LATE_REPORT_SECONDS = 0.9
+EXTRA_REPORT_SECONDS = 0.9
 """Further seconds for the first report, while no peer has sent one."""
 
 PEERS_ASKED = 3
@@ -64,7 +64,7 @@
         self._links = links
         self._random = random
         self._serial = 0
-        self._open: dict[int, _Query] = {}
+        self._open_queries: dict[int, _Query] = {}
 
     async def find_witness(self, boxes: Iterable[BoxId]) -> NodeId | None:
         """Return a peer that reaches nearly all of some boxes.
@@ -72,7 +72,7 @@
         One box may have failed by itself, so it need not reach all of many.
         """
         asked = tuple(boxes)
-        peers = self._draw_peers()
+        peers = self._choose_peers()
         if not peers:
             return None
         witness: asyncio.Future[NodeId | None]
@@ -81,21 +81,23 @@
         needed = max(1, len(asked) - len(asked) // 3)
         serial = self._serial
         query = _Query(needed, len(peers), witness)
-        self._open[serial] = query
+        self._open_queries[serial] = query
         for peer in peers:
             self._links.send(peer, ReachabilityQuery(serial, asked))
         try:
             await asyncio.wait({witness}, timeout=REPORT_SECONDS)
             if query.awaited == len(peers):
                 # Silent peers say nothing of the links.
-                await asyncio.wait({witness}, timeout=LATE_REPORT_SECONDS)
+                await asyncio.wait({witness}, timeout=EXTRA_REPORT_SECONDS)
         finally:
-            self._open.pop(serial)
+            self._open_queries.pop(serial)
         return witness.result() if witness.done() else None
 
-    def take_report(self, report: ReachabilityReport, sender: NodeId) -> None:
+    def handle_report(
+        self, report: ReachabilityReport, sender: NodeId
+    ) -> None:
         """Take in a peer's report."""
-        query = self._open.get(report.query)
+        query = self._open_queries.get(report.query)
         if query is None or query.witness.done():
             return
         query.awaited -= 1
@@ -104,7 +106,7 @@
         elif not query.awaited:
             query.witness.set_result(None)
 
-    def _draw_peers(self) -> list[NodeId]:
+    def _choose_peers(self) -> list[NodeId]:
         """Return peers to ask, those of other data halls first.
 
         A cut often takes the links of a whole data hall.
--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -207,7 +207,7 @@
             roster.number,
             self._documents.in_force.numbers.configuration,
             self._box_changes,
-            self._health.count_words(),
+            self._health.count_updates(),
         )
         unsettled = looked_at != self._planned_for
         self._planned_for = looked_at
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -319,7 +319,7 @@
         roster = self.in_force.roster
         holder = roster.find_holder(ended.box)
         if holder and roster.groups[holder].epoch == ended.epoch:
-            self.health.note_failure(holder, self.clock.read())
+            self.health.record_failure(holder, self.clock.read())
 
     def _make_dispatcher(self) -> None:
         own = self.own
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -373,7 +373,7 @@
                 clock=self.clock,
                 draw=self._random.random,
                 count_nodes=self.presence.count_nodes,
-                raise_doubt=self.doubts.note_silence,
+                raise_doubt=self.doubts.report_silence,
                 metrics=RequestMetrics(self.metrics),
                 guard=self.quarantine.quarantine,
                 running=self.quarantine.running,
--- a/waywell/request/balance.py
+++ b/waywell/request/balance.py
@@ -114,7 +114,7 @@
         now: float,
     ) -> Summary:
         names = [group.group for group in groups]
-        typical = self._health.find_typical(names)
+        typical = self._health.find_typical_latency(names)
         costs = [
             self._health.get_load(
                 name,
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -419,7 +419,7 @@
         self._note('dispatched', work, group, reason=choice.reason.value)
         started_at = clock.read()
         health = self._parts.health
-        health.note_start(group.group)
+        health.record_start(group.group)
         try:
             answer = await self._parts.target.dispatch(
                 make_dispatch(work, group),
@@ -428,18 +428,18 @@
             )
         except BaseException:
             # The caller has gone, and the attempt was cancelled.
-            health.note_end(group.group)
+            health.record_end(group.group)
             raise
         now = clock.read()
         self._record_connection(group, answer, now)
         if not isinstance(answer, Failure):
             return self._take_answer(group, answer.unwrap(), started_at)
-        health.note_end(group.group)
+        health.record_end(group.group)
         fault = self._name_fault(group, answer.failure(), turn, now)
         if fault is DispatchFault.TIMED_OUT:
-            health.note_timeout(group.group, now - started_at, now)
+            health.record_timeout(group.group, now - started_at, now)
         elif fault not in _NO_FAILURES:
-            health.note_failure(group.group, now)
+            health.record_failure(group.group, now)
         return self._take_fault(work, group, fault)
 
     def _record_connection(
@@ -469,7 +469,7 @@
             self._parts.turns.note_answer(
                 make_life(group), group.hall, answer.limit, started_at
             )
-        self._parts.health.note_answer(group.group, now - started_at, now)
+        self._parts.health.record_answer(group.group, now - started_at, now)
         return answer
 
     def _name_fault(
@@ -526,7 +526,7 @@
         try:
             whole = await work.caller.relay(answer, work.service)
         finally:
-            self._parts.health.note_end(choice.group.group)
+            self._parts.health.record_end(choice.group.group)
         self._note('answered', work, choice.group, whole=whole)
         if whole and answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             cleared = work.traits.list_cleared(answer.status)
