--- a/waywell/quarantine/__init__.py
+++ b/waywell/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the replicas that run them: found, told, held back."""
+"""Detection and quarantine of requests that crash the replicas they run on."""
--- a/waywell/quarantine/held_records.py
+++ b/waywell/quarantine/held_records.py
@@ -1,8 +1,9 @@
-"""The task that keeps held requests in the platform, and reads them there.
+"""The task that stores holds in the platform and reads those of other nodes.
 
-Answers all nodes killed at one moment, a node that reaches the platform and no
-other node, and halls that do not reach each other: the same request would
-crash three replicas more in each part, and after each start.
+Stored holds survive the loss of all nodes at once, and they reach a node that
+is connected to the platform but to no other node, and data halls that do not
+reach each other.  Without them the same request would crash three more
+replicas in each partition and after each restart.
 """
 
 from __future__ import annotations
@@ -33,45 +34,46 @@
     from waywell.quarantine.quarantine import Quarantine
 
 POLL_SECONDS = 1.5
-"""Seconds between two looks of a node that reads for others: half of the
-shortest time in which nodes that can reach each other are to agree.  Such a
-look may show what is seconds old, and costs a tenth of a call."""
+"""Interval in seconds between polls of a node that reads for others: half of
+the shortest time within which connected nodes must agree.  Such a poll may
+return data that is seconds old, and costs a tenth of a call."""
 
 WRITE_RETRY_SECONDS = 1.0
-"""Seconds until a write that failed is tried again, doubled each time."""
+"""Delay in seconds before a failed write is retried; it doubles each time."""
 
 REWRITE_SPREAD_SECONDS = 1.0
-"""Seconds over which nodes spread writes after the store's return."""
+"""Duration in seconds over which nodes spread their writes after the store
+has returned."""
 
 MAX_WRITE_RETRY_SECONDS = 10.0
-"""Longest wait between two tries, in seconds."""
+"""Maximum delay between two attempts to write, in seconds."""
 
 MAX_RECORDS = 128
-"""Records that are kept in the platform; with more, something other than
-single requests is wrong."""
+"""Maximum number of records in the platform; if more traits crash replicas,
+the cause is something other than individual requests."""
 
 
 class HeldRecord(msgspec.Struct, frozen=True):
-    """A held trait of requests as the platform keeps it, under its name."""
+    """A hold as it is stored in the platform, under the name of its trait."""
 
     ends: Annotated[int, msgspec.Meta(ge=CRASHES_TO_HOLD)]
-    """Replicas that ended under it."""
+    """Number of replica crashes attributed to the trait."""
 
     ended_at: float
-    """When the last of them did, in seconds since the epoch."""
+    """Time of the last of these crashes, in seconds since the epoch."""
 
 
 class HeldRecords(PlatformWatch):
-    """Writes what this node has witnessed, reads what others have.
+    """Stores the holds that this node started and applies those of others.
 
     Parameters
     ----------
     parts
-        What a watch works with.
+        Dependencies of a platform watch.
     quarantine
-        Where holds come from and go to.
+        Provides the holds of this node and receives those of others.
     is_cleaner
-        Answers whether this node removes records that are over.
+        Returns whether this node removes expired records.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         quarantine: Quarantine,
         is_cleaner: Callable[[], bool],
     ) -> None:
-        """Know of no record."""
+        """Start without records."""
         scope = WatchScope(
             'held_requests', Kind.HELD_REQUEST, wait=0.0, pace=POLL_SECONDS
         )
@@ -89,50 +91,50 @@
         self._is_cleaner = is_cleaner
         self._listed: set[str] = set()
         self._written: set[Trait] = set()
-        self._has_read = False
+        self._has_listed = False
         quarantine.subscribe(self)
-        parts.outlook.eras.listen(self._write_again)
+        parts.outlook.eras.listen(self._rewrite_holds)
 
     def take(self, changes: Changes, asked_at: float, now: float) -> None:
-        """Put the holds that are listed in force."""
-        self._has_read = True
+        """Apply the holds that the platform lists."""
+        self._has_listed = True
         self._listed = {stored.name for stored in changes.objects}
         for stored in changes.objects:
-            self._take_record(stored, now)
+            self._apply_record(stored, now)
 
     def take_fault(self, fault: PlatformFault, now: float) -> None:
-        """Go on by what is known."""
+        """Ignore a failed read; known holds stay in force."""
 
     def on_held(self, held: Quarantine.Held) -> None:
-        """Write a hold that this node has witnessed."""
+        """Write a hold on a trait that crashed a replica at this node."""
         self._written.add(held.trait)
         self.spawn(self._write(held.trait, held.hold))
 
     def on_freed(self, freed: Quarantine.Freed) -> None:
-        """Remove the record of a request that proved to be innocent."""
+        """Remove the record of a trait that was found to be harmless."""
         if freed.trait in self._written:
             self._written.discard(freed.trait)
             self.spawn(self._remove(freed.trait))
 
     async def read(self) -> Result[Changes, PlatformFault]:
-        """List all records; only the first list must be the newest."""
+        """List all records; only the first list must be up to date."""
         return await self._parts.platform.fetch_all(
-            Kind.HELD_REQUEST, fresh=not self._has_read
+            Kind.HELD_REQUEST, fresh=not self._has_listed
         )
 
-    def _write_again(self, _change: EraChange) -> None:
-        """Write what a copy of the store may lack, unless it is over."""
-        self._has_read = False
+    def _rewrite_holds(self, _change: EraChange) -> None:
+        """Rewrite current holds that a restored store may lack."""
+        self._has_listed = False
         for trait in self._written:
             hold = self._quarantine.history.holds.get(trait)
             if hold is not None:
-                self.spawn(self._write_later(trait, hold))
+                self.spawn(self._write_delayed(trait, hold))
 
-    async def _write_later(self, trait: Trait, hold: Hold) -> None:
+    async def _write_delayed(self, trait: Trait, hold: Hold) -> None:
         await asyncio.sleep(self._parts.draw() * REWRITE_SPREAD_SECONDS)
         await self._write(trait, hold)
 
-    def _take_record(self, stored: Stored, now: float) -> None:
+    def _apply_record(self, stored: Stored, now: float) -> None:
         try:
             record = msgspec.convert(stored.body, HeldRecord)
         except msgspec.ValidationError as error:
@@ -148,21 +150,21 @@
             self.spawn(self._remove(Trait(stored.name)))
 
     async def _write(self, trait: Trait, hold: Hold) -> None:
-        """Write a record, and remove it where the request was freed meanwhile.
+        """Write a record, and remove it if the hold has ended meanwhile.
 
-        A removal may reach the platform before the write that it follows.
+        The removal may reach the platform before the write that it undoes.
         """
-        await self._write_until_done(trait, hold)
+        await self._write_with_retries(trait, hold)
         if trait not in self._quarantine.history.holds:
             await self._remove(trait)
 
-    async def _write_until_done(
+    async def _write_with_retries(
         self,
         trait: Trait,
         hold: Hold,
     ) -> None:
-        """Write a record, again and again while the platform is away."""
-        wait = WRITE_RETRY_SECONDS
+        """Write a record, retrying while the platform is unavailable."""
+        delay = WRITE_RETRY_SECONDS
         while self._quarantine.history.holds.get(trait) == hold:
             fault = await self._try_write(trait, hold)
             if fault is None:
@@ -172,24 +174,24 @@
                 **describe_trait(trait),
                 fault=fault.value,
             )
-            await asyncio.sleep(wait)
-            wait = min(2 * wait, MAX_WRITE_RETRY_SECONDS)
+            await asyncio.sleep(delay)
+            delay = min(2 * delay, MAX_WRITE_RETRY_SECONDS)
 
     async def _try_write(
         self,
         trait: Trait,
         hold: Hold,
     ) -> PlatformFault | None:
-        """Write a record once; return why it is not there, if it is not."""
+        """Try once to write a record; return the fault if that fails."""
         if len(self._listed) >= MAX_RECORDS:
             return PlatformFault.TOO_LARGE
         platform = self._parts.platform
         found = await platform.fetch(Kind.HELD_REQUEST, trait)
         if isinstance(found, Failure):
-            unread: PlatformFault = found.failure()
-            return unread
+            read_fault: PlatformFault = found.failure()
+            return read_fault
         stored = found.unwrap()
-        if stored is not None and _count_ends(stored) >= hold.crashes:
+        if stored is not None and _read_crash_count(stored) >= hold.crashes:
             return None
         age = self._parts.clock.read() - hold.ended_at
         ended_at = self._parts.clock.read_wall() - age
@@ -214,8 +216,8 @@
             )
 
 
-def _count_ends(stored: Stored) -> int:
-    """Return the ends that a record tells, 0 where it is not understood."""
+def _read_crash_count(stored: Stored) -> int:
+    """Return the crashes that a record states; 0 if it can't be decoded."""
     try:
         return msgspec.convert(stored.body, HeldRecord).ends
     except msgspec.ValidationError:
