--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -1,11 +1,11 @@
-"""The task that finds requests which crash replicas, and tells all nodes.
-
-Each node sees the attempts that break at it.  Where a replica took no new
-connection either, it has ended, and the node tells all others what ran there.
-All come to the same requests by the same ends, so the third end is enough
-wherever a request comes next.  A node that starts, or was cut off, gets what
-the others know with the first stream; what must outlive all of them is in the
-platform.
+"""The task that detects requests which crash replicas, and informs all nodes.
+
+Each node observes the attempts that break at it.  Where the replica refuses a
+new connection as well, it has ended, and the node tells all others which
+requests were running there.  All nodes derive the same holds from the same
+crashes, so the third crash is enough wherever a request arrives next.  A node
+that starts or was disconnected gets the crashes that others know of over its
+first stream; the platform keeps what must survive the loss of all nodes.
 """
 
 from __future__ import annotations
@@ -47,15 +47,16 @@
     from waywell.version.fleet import FleetBox, Replica
 
 BROADCAST_CLEARED_CRASHES = 2
-"""Ends that spoke against a request from which on all are told that it was
-served: at one end some ten requests are cut, and nearly all of them are served
-right after."""
+"""Minimum number of crashes attributed to a trait for which all nodes are told
+that it was served.  One crash interrupts some ten requests, and nearly all of
+them are served right after, so clearing a single crash is not announced."""
 
 PROBE_WAIT_SECONDS = 2.0
-"""Seconds until callers ask again while one node tries a trait anew."""
+"""Delay in seconds before callers retry while one node tests whether a trait
+still crashes replicas."""
 
 MAX_WITNESSED = 2048
-"""Maximum number of traits that were cut at this node and are remembered."""
+"""Maximum number of traits recorded as interrupted at this node."""
 
 MAX_LOGGED_BOXES = 8
 """Maximum number of crashed boxes on a log line."""
@@ -69,31 +70,31 @@
     links
         Streams to other nodes.
     running
-        Attempts of this node.
+        Attempts in progress at this node.
     clock
-        Where the time is read.
+        Source of the current time.
     is_reachable
-        Answers whether a box takes a new connection.
+        Returns whether a box accepts a new connection.
     is_prober
-        Answers whether this node may try a trait whose hold is over.
+        Returns whether this node may send a trait whose hold has expired.
     verify
-        Answers whether this node's links to a service are sound.
+        Returns whether this node's links to a service work.
     """
 
     class Held(Message, frozen=True):
-        """A trait is held back that was cut at this node."""
+        """A hold started on a trait that was interrupted at this node."""
 
         trait: Trait
-        """The request, or the part of its prompt."""
+        """Request or prompt part that is held back."""
 
         hold: Hold
-        """Why."""
+        """Crashes that the hold is based on."""
 
     class Freed(Message, frozen=True):
-        """A trait is not held back any more."""
+        """A hold was lifted."""
 
         trait: Trait
-        """The request, or the part of its prompt."""
+        """Request or prompt part that is no longer held back."""
 
     def __init__(
         self,
@@ -104,7 +105,7 @@
         is_prober: Callable[[], bool],
         verify: LinkCheck = trust_links,
     ) -> None:
-        """Hold nothing back."""
+        """Start without holds."""
         super().__init__('quarantine')
         self.history = CrashHistory()
         self._links = links
@@ -115,8 +116,8 @@
         self._verify = verify
         self._witnessed: OrderedDict[Trait, None] = OrderedDict()
         self._listeners: list[Actor] = []
-        self._watchers: list[Callable[[ReplicaKey], None]] = []
-        self._checks: dict[ReplicaKey, dict[Trait, bool]] = {}
+        self._crash_watchers: list[Callable[[ReplicaKey], None]] = []
+        self._pending_checks: dict[ReplicaKey, dict[Trait, bool]] = {}
         links.subscribe(
             self,
             PeerLinks.Opened,
@@ -127,17 +128,17 @@
         )
 
     def subscribe(self, listener: Actor) -> None:
-        """Tell a task of the requests that this node has witnessed."""
+        """Send ``Held`` and ``Freed`` messages to an actor."""
         self._listeners.append(listener)
 
     def watch_crashes(self, watcher: Callable[[ReplicaKey], None]) -> None:
-        """Call a watcher with each replica that ended, whoever saw it."""
-        self._watchers.append(watcher)
+        """Call a watcher with each crashed replica, whichever node saw it."""
+        self._crash_watchers.append(watcher)
 
     def find_release(self, traits: RequestTraits, now: float) -> float:
-        """Return in how many seconds a request may be sent on; 0 for now."""
-        held = self.history.holds
-        holds = [held[trait] for trait in traits if trait in held]
+        """Return the seconds until a request may be sent; 0 if it may now."""
+        known = self.history.holds
+        holds = [known[trait] for trait in traits if trait in known]
         seconds = max((hold.expires_at - now for hold in holds), default=0.0)
         if holds and seconds <= 0 and not self._is_prober():
             return PROBE_WAIT_SECONDS
@@ -149,10 +150,10 @@
         running: int,
         now: float,
     ) -> bool:
-        """Answer whether one more replica may be put at risk.
+        """Return whether a request may be sent to one more replica.
 
-        What broke a moment ago counts as an end until it is known to be none,
-        and what runs as one to come.
+        An attempt that has just broken counts as a crash until the replica is
+        found to be alive, and a running attempt counts as a future crash.
         """
         return all(self._may_risk(trait, running, now) for trait in traits)
 
@@ -164,78 +165,78 @@
         has_begun: bool,
         is_over: bool,
     ) -> None:
-        """Find out whether a replica has ended under an attempt."""
+        """Record a broken attempt and check whether its replica has ended."""
         key = replica.key
         if is_over:
-            self._take_end(replica, dict.fromkeys(traits, has_begun))
+            self._report_crash(replica, dict.fromkeys(traits, has_begun))
             return
-        is_asked = key in self._checks
-        runs = self._checks.setdefault(key, {})
+        is_pending = key in self._pending_checks
+        runs = self._pending_checks.setdefault(key, {})
         for trait in traits:
-            # An answer that was begun speaks for all its traits.
+            # A begun answer counts in favour of all traits of its request.
             runs[trait] = has_begun or runs.get(trait, False)
-        if not is_asked:
-            self.spawn(self._check(replica))
+        if not is_pending:
+            self.spawn(self._check_replica(replica))
 
     def note_served(self, traits: RequestTraits) -> None:
-        """Take in that a request was answered whole, so it crashes nothing."""
-        held = self.history.holds
+        """Clear the traits of a request that was answered completely."""
+        holds = self.history.holds
         for trait in traits:
-            ends = self.history.record_served(trait, self._clock.read())
-            if ends >= BROADCAST_CLEARED_CRASHES:
+            crashes = self.history.record_served(trait, self._clock.read())
+            if crashes >= BROADCAST_CLEARED_CRASHES:
                 log_event(
-                    'request_cleared', **describe_trait(trait), ends=ends
+                    'request_cleared', **describe_trait(trait), ends=crashes
                 )
                 self._links.spread(RequestCleared(trait))
-        self._compare(held, 'own')
+        self._publish_hold_changes(holds, 'own')
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
-        """Tell a peer all that is known here; it may have missed it."""
+        """Send a new peer all known crashes and holds; it may lack some."""
         now = self._clock.read()
         self.history.drop_expired(now)
         ended = tuple(
-            _describe_end(crash, now)
+            _encode_crash(crash, now)
             for crash in self.history.crashes
             if crash.runs
         )
         held = tuple(
-            _describe_hold(trait, hold, now)
+            _encode_hold(trait, hold, now)
             for trait, hold in self.history.reported_holds.items()
         )
         if ended or held:
             self._links.send(opened.record.node, KnownCrashes(ended, held))
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in another node's word; pass on what is news."""
-        word = received.message
-        held = self.history.holds
-        for one in _list_words(word):
-            self._speak_for_served(one, received.node)
-            if self._take_word(one):
-                self._links.pass_on(one, received.node)
-        self._compare(held, received.node)
+        """Apply a message of another node and forward what is new."""
+        message = received.message
+        holds = self.history.holds
+        for part in _split_message(message):
+            self._clear_served(part, received.node)
+            if self._apply_message(part):
+                self._links.pass_on(part, received.node)
+        self._publish_hold_changes(holds, received.node)
 
     def add_stored_hold(
         self,
         trait: Trait,
         hold: Hold,
     ) -> None:
-        """Take in a hold that the platform keeps."""
-        held = self.history.holds
+        """Add a hold that is stored in the platform."""
+        holds = self.history.holds
         if self.history.add_reported_hold(trait, hold):
-            word = _describe_hold(trait, hold, self._clock.read())
-            self._links.spread(word)
-        self._compare(held, 'platform')
+            message = _encode_hold(trait, hold, self._clock.read())
+            self._links.spread(message)
+        self._publish_hold_changes(holds, 'platform')
 
     def count(self) -> dict[str, float]:
-        """Return how many ends are remembered, and how many requests held."""
+        """Return the number of recorded crashes and of active holds."""
         return {
             'ends': len(self.history.crashes),
             'held': len(self.history.holds),
         }
 
     def list_holds(self) -> dict[str, dict[str, float]]:
-        """Return what is held back, by request or part, as plain values."""
+        """Return the holds as plain values, by request or prompt part."""
         now = self._clock.read()
         return {
             trait: {
@@ -254,32 +255,32 @@
         }
 
     def _may_risk(self, trait: Trait, running: int, now: float) -> bool:
-        """Answer whether one more replica may be put at risk by a trait."""
+        """Return whether a trait may be sent to one more replica."""
         if self.history.find_hold(trait, now):
             return False
-        known = self.history.count_crashes(trait)
-        known += sum(trait in runs for runs in self._checks.values())
-        if not known or self.history.was_recently_served(trait, now):
+        crashes = self.history.count_crashes(trait)
+        crashes += sum(trait in runs for runs in self._pending_checks.values())
+        if not crashes or self.history.was_recently_served(trait, now):
             return True
         if trait in self.history.holds:
-            # Its hold is over; one attempt tells whether it still crashes.
-            is_tried = bool(running) or self._running.has(trait)
-            return self._is_prober() and not is_tried
-        return known + running < CRASHES_TO_HOLD
+            # The hold has expired; a single attempt tests the trait again.
+            is_running = bool(running) or self._running.has(trait)
+            return self._is_prober() and not is_running
+        return crashes + running < CRASHES_TO_HOLD
 
-    async def _check(self, replica: Replica) -> None:
-        """Note an end where the replica takes no new connection either.
+    async def _check_replica(self, replica: Replica) -> None:
+        """Report a crash if the replica refuses a new connection as well.
 
-        An answer that was lost, spoilt or reset breaks an attempt as well,
-        and a node without links to replicas reaches none of them.
+        An attempt also breaks when its answer is lost, corrupted or reset, and
+        a node that lost its links to replicas can't connect to any of them.
         """
-        is_there = await self._is_reachable(replica.head)
-        is_sure = is_there or await self._verify(replica.head.service)
-        runs = self._checks.pop(replica.key)
-        if is_there:
+        is_alive = await self._is_reachable(replica.head)
+        is_conclusive = is_alive or await self._verify(replica.head.service)
+        runs = self._pending_checks.pop(replica.key)
+        if is_alive:
             log_detail('replica_goes_on', box=replica.key.box)
-        elif is_sure:
-            self._take_end(replica, runs)
+        elif is_conclusive:
+            self._report_crash(replica, runs)
         else:
             log_event(
                 'crash_unconfirmed',
@@ -287,33 +288,33 @@
                 requests=count_requests(runs),
             )
 
-    def _take_end(
+    def _report_crash(
         self,
         replica: Replica,
         runs: Mapping[Trait, bool],
     ) -> None:
-        """Note that a replica ended here, and tell all."""
+        """Record a crash seen by this node and tell all other nodes."""
         now = self._clock.read()
-        held = self.history.holds
+        holds = self.history.holds
         self.history.drop_expired(now)
         crash = Crash(replica.key, now, replica.head.domain, dict(runs))
-        if not self._note_end(crash):
+        if not self._record_crash(crash):
             return
         log_warning(
             'replica_ended',
             box=replica.key.box,
             group=replica.group,
             requests=count_requests(runs),
-            most=max(self.history.count_crashes(one) for one in runs),
+            most=max(self.history.count_crashes(trait) for trait in runs),
         )
-        self._links.spread(_describe_end(self._drop_served(crash), now))
+        self._links.spread(_encode_crash(self._exclude_served(crash), now))
         self._remember_witnessed(runs)
-        self._compare(held, 'own')
+        self._publish_hold_changes(holds, 'own')
 
-    def _drop_served(self, crash: Crash) -> Crash:
-        """Return a crash without what this node has served of late.
+    def _exclude_served(self, crash: Crash) -> Crash:
+        """Return a crash without the traits that this node served recently.
 
-        Peers that have served nothing of it would blame it.
+        Peers that have not served them would suspect them.
         """
         runs = {
             trait: has_begun
@@ -322,64 +323,68 @@
         }
         return attrs.evolve(crash, runs=runs)
 
-    def _note_end(self, crash: Crash) -> bool:
-        """Note an end; answer whether it is news."""
-        is_news = self.history.record_crash(
+    def _record_crash(self, crash: Crash) -> bool:
+        """Record a crash; return whether it is new."""
+        is_new = self.history.record_crash(
             crash.replica, crash.runs, crash.ended_at, crash.domain
         )
-        for watcher in self._watchers if is_news else ():
+        for watcher in self._crash_watchers if is_new else ():
             watcher(crash.replica)
-        return is_news
+        return is_new
 
     def _remember_witnessed(self, runs: Iterable[Trait]) -> None:
         self._witnessed.update(dict.fromkeys(runs))
         while len(self._witnessed) > MAX_WITNESSED:
             self._witnessed.popitem(last=False)
 
-    def _speak_for_served(self, word: Any, sender: NodeId) -> None:
-        """Tell a node that suspects what was served here a moment ago.
+    def _clear_served(self, message: Any, sender: NodeId) -> None:
+        """Clear traits that the sender suspects and this node just served.
 
-        One that has just started has served nothing: it alone would refuse
-        for ten minutes what many ask for and all others serve.
+        A node that has just started has served nothing.  It alone would refuse
+        a common request for ten minutes that all other nodes serve.
         """
         now = self._clock.read()
-        for trait in _list_suspects(word):
+        for trait in _list_suspect_traits(message):
             if self.history.was_recently_served(trait, now):
                 self._links.send(sender, RequestCleared(trait))
 
-    def _take_word(self, word: Any) -> bool:
-        """Take in one word of another node; answer whether it is news."""
+    def _apply_message(self, message: Any) -> bool:
+        """Apply one message of another node; return whether it is new."""
         now = self._clock.read()
-        if isinstance(word, ReplicaEnded):
-            key = ReplicaKey(word.box, word.epoch, word.incarnation)
-            runs = {run.trait: run.has_begun for run in word.runs}
-            is_news = self._note_end(
-                Crash(key, now - word.age, word.domain, runs)
+        if isinstance(message, ReplicaEnded):
+            key = ReplicaKey(message.box, message.epoch, message.incarnation)
+            runs = {run.trait: run.has_begun for run in message.runs}
+            is_new = self._record_crash(
+                Crash(key, now - message.age, message.domain, runs)
             )
-            if is_news:
+            if is_new:
                 log_event(
-                    'end_received', box=word.box, requests=count_requests(runs)
+                    'end_received',
+                    box=message.box,
+                    requests=count_requests(runs),
                 )
-            return is_news
-        if isinstance(word, RequestHeld):
-            hold = Hold(word.crashes, now - word.age)
-            return self.history.add_reported_hold(word.trait, hold)
-        return self.history.record_served(word.trait, now) > 0
-
-    def _compare(self, before: Mapping[Trait, Hold], by: str) -> None:
-        """Act on what is held now and was not, or the other way round."""
+            return is_new
+        if isinstance(message, RequestHeld):
+            hold = Hold(message.crashes, now - message.age)
+            return self.history.add_reported_hold(message.trait, hold)
+        return self.history.record_served(message.trait, now) > 0
+
+    def _publish_hold_changes(
+        self, before: Mapping[Trait, Hold], by: str
+    ) -> None:
+        """Log and publish the holds that have started or ended."""
         after = self.history.holds
         if after is before:
             return
         for trait, hold in after.items():
-            known = before.get(trait)
-            if known is None or known.crashes < hold.crashes:
-                self._begin_hold(trait, hold, by)
+            previous = before.get(trait)
+            if previous is None or previous.crashes < hold.crashes:
+                self._start_hold(trait, hold, by)
         for freed in before.keys() - after.keys():
             log_event('request_freed', **describe_trait(freed), by=by)
             self._publish(self.Freed(freed))
 
-    def _begin_hold(
+    def _start_hold(
         self,
         trait: Trait,
         hold: Hold,
@@ -404,33 +409,33 @@
             listener.post(message)
 
 
-def _list_words(word: Any) -> tuple[Any, ...]:
-    """Return the words that a message holds."""
-    if isinstance(word, KnownCrashes):
-        return (*word.ended, *word.held)
-    return (word,)
+def _split_message(message: Any) -> tuple[Any, ...]:
+    """Return the individual messages that a message contains."""
+    if isinstance(message, KnownCrashes):
+        return (*message.ended, *message.held)
+    return (message,)
 
 
-def _list_suspects(word: Any) -> tuple[Trait, ...]:
-    """Return the traits that a word speaks against."""
-    if isinstance(word, ReplicaEnded):
-        return tuple(run.trait for run in word.runs)
-    return (word.trait,) if isinstance(word, RequestHeld) else ()
+def _list_suspect_traits(message: Any) -> tuple[Trait, ...]:
+    """Return the traits that a message reports as suspect or held."""
+    if isinstance(message, ReplicaEnded):
+        return tuple(run.trait for run in message.runs)
+    return (message.trait,) if isinstance(message, RequestHeld) else ()
 
 
-def _describe_end(crash: Crash, now: float) -> ReplicaEnded:
+def _encode_crash(crash: Crash, now: float) -> ReplicaEnded:
     runs = crash.runs.items()
     return ReplicaEnded(
         crash.replica.box,
         crash.replica.epoch,
         crash.replica.incarnation,
         round(now - crash.ended_at, 3),
-        tuple(SuspectRun(one, has_begun) for one, has_begun in runs),
+        tuple(SuspectRun(trait, has_begun) for trait, has_begun in runs),
         crash.domain,
     )
 
 
-def _describe_hold(
+def _encode_hold(
     trait: Trait,
     hold: Hold,
     now: float,
--- a/waywell/quarantine/tasks.py
+++ b/waywell/quarantine/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that hold requests back, put together for a front daemon."""
+"""Construction of the quarantine tasks of a daemon."""
 
 from __future__ import annotations
 
@@ -24,56 +24,56 @@
 
 
 ENDING_SECONDS = 0.05
-"""For a process that ends to close all that it has open; within a few
-milliseconds, and its listening socket may be last."""
+"""Time in seconds that an ending process gets to close its sockets.  It closes
+them within a few milliseconds, the listening socket possibly last."""
 
 
 @attrs.frozen
 class QuarantineTasks:
-    """What a node runs to hold requests back."""
+    """The parts of a node's request quarantine."""
 
     running: RunningAttempts
-    """Attempts of the node, which are broken off when they are to be."""
+    """Attempts in progress, which are cancelled when their trait is held."""
 
     quarantine: Quarantine
-    """Finds the requests."""
+    """Detects and holds back requests that crash replicas."""
 
     records: HeldRecords
-    """Keeps them in the platform."""
+    """Stores the holds in the platform."""
 
 
 def make_quarantine(
     links: PeerLinks,
     watch_parts: WatchParts,
-    is_single: Callable[[], bool],
+    is_elected: Callable[[], bool],
     verify: LinkCheck,
 ) -> QuarantineTasks:
-    """Return the tasks of one node.
+    """Return the quarantine tasks of a front daemon.
 
     Parameters
     ----------
     links
         Streams to other nodes.
     watch_parts
-        What reading the platform works with.
-    is_single
-        Answers whether this node does what only one node may do: remove
-        records that are over, and try what was held anew.
+        Dependencies of a platform watch.
+    is_elected
+        Returns whether this node does what only one node may do: remove
+        expired records, and send traits whose hold has expired.
     verify
-        Answers whether this node's links to a service are sound.
+        Returns whether this node's links to a service work.
     """
     running = RunningAttempts()
     quarantine = Quarantine(
-        links, running, watch_parts.clock, is_listening, is_single, verify
+        links, running, watch_parts.clock, is_listening, is_elected, verify
     )
-    records = HeldRecords(watch_parts, quarantine, is_single)
+    records = HeldRecords(watch_parts, quarantine, is_elected)
     return QuarantineTasks(running, quarantine, records)
 
 
 async def is_listening(box: FleetBox) -> bool:
-    """Answer whether a box takes a new connection, a moment from now.
+    """Return whether a box accepts a new connection after a short delay.
 
-    Asked at once, 18 of 39 targets that had ended still took one.
+    Without the delay, 18 of 39 targets that had ended still accepted one.
     """
     await asyncio.sleep(ENDING_SECONDS)
     return await is_reachable(box.host, box.port, CONNECT_SECONDS)
@@ -84,15 +84,15 @@
     clock: Clock,
     is_prober: Callable[[], bool],
 ) -> Quarantine:
-    """Return a quarantine that keeps nothing in the platform.
+    """Return a quarantine that stores nothing in the platform.
 
     Parameters
     ----------
     links
         Streams to other nodes.
     clock
-        Where the time is read.
+        Source of the current time.
     is_prober
-        Answers whether this node may try what was held anew.
+        Returns whether this node may send a trait whose hold has expired.
     """
     return Quarantine(links, RunningAttempts(), clock, is_listening, is_prober)
