--- a/waywell/health/__init__.py
+++ b/waywell/health/__init__.py
@@ -1,1 +1,1 @@
-"""What speaks against replicas and groups, and for them again."""
+"""Evidence of the health of replicas and groups, and of a node's links."""
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -1,9 +1,9 @@
-"""The task that spreads the message that nothing comes from a replica.
+"""The task that tells other nodes when a replica falls silent.
 
-Answers groups that lose a box while streams of many nodes run there: each
-node sees a few of them, and one that notices tells all.  A sound group pauses
-too, for as long as it reads long prompts; so a doubt is taken back by the
-first node that hears the group go on.
+When a group loses a box, many nodes have streams there and each sees only a
+few of them stall, so the first node that notices tells all others.  A healthy
+group also pauses while it processes long prompts.  The first node that
+receives output from the group again therefore withdraws the doubt.
 """
 
 from __future__ import annotations
@@ -30,54 +30,60 @@
     from waywell.version.fleet import Replica
 
 REPEAT_INTERVAL = 0.8
-"""Between two words about one replica that a node says or passes on."""
+"""Minimum time in seconds between two messages about one replica that a node
+sends or forwards."""
 
 RECENT_SECONDS = 0.1
-"""A message of another node is not believed when this one has heard something
-so recently."""
+"""Time in seconds after output from a replica during which this node ignores
+doubts of other nodes."""
 
 LISTEN_INTERVAL = 0.1
-"""Between two checks_left at whether a doubted replica goes on."""
+"""Time in seconds between two checks of whether a doubted replica sends output
+again."""
 
 MAX_LISTEN_CHECKS = 4
-"""Looks after a doubt: a pause that lasts longer is no reading of prompts."""
+"""Number of checks after a doubt.  A pause that lasts longer is not caused by
+the processing of prompts."""
 
 Scheduler = Callable[[float, Callable[[], None]], object]
-"""Calls something after some seconds."""
+"""Calls a function after a delay in seconds."""
 
 
 @attrs.frozen
 class DoubtListeners:
-    """Who is told of doubts at this node."""
+    """Callbacks for the start and the end of doubts at this node."""
 
     on_doubted: Callable[[GroupId], None]
-    """Called with the group of each new doubt."""
+    """Called with the replica's group when a doubt starts."""
 
     on_resumed: Callable[[GroupId], None]
-    """Called with a doubted group that goes on."""
+    """Called with the replica's group when the doubt is withdrawn."""
 
 
-def _call_later(seconds: float, act: Callable[[], None]) -> object:
-    return asyncio.get_running_loop().call_later(seconds, act)
+def _call_later(
+    delay: float,
+    callback: Callable[[], None],
+) -> object:
+    return asyncio.get_running_loop().call_later(delay, callback)
 
 
 class Doubts(Actor):
-    """Spreads doubts along the streams between entry boxes.
+    """Exchanges doubts about replicas with the other nodes.
 
     Parameters
     ----------
     links
         Streams to other nodes.
     book
-        What this node has seen of replicas.
+        Observations of this node about each replica.
     clock
-        Where the time is read.
+        Source of the current time.
     listeners
-        Who is told.
+        Callbacks for the start and the end of doubts.
     call_later
-        Calls something after some seconds.
+        Schedules a function call after a delay.
     verify
-        Answers whether this node's links to a service are sound.
+        Returns whether this node's links to a service work.
     """
 
     def __init__(
@@ -103,10 +109,10 @@
         links.subscribe(self, ReplicaDoubt, ReplicaHeard)
 
     def report_silence(self, replica: Replica) -> None:
-        """Raise a doubt, unless this node's own links are lost.
+        """Raise a doubt about a silent replica if this node's links work.
 
-        Streams that all fall silent with the links of one node speak against
-        no replica.
+        When a node loses its links, all its streams fall silent.  That is no
+        evidence against the replicas.
         """
         if replica.key in self._verifying or replica.key in self._raised_at:
             self._drop_expired(self._clock.read())
@@ -115,7 +121,7 @@
         self.spawn(self._raise_if_links_work(replica))
 
     def raise_doubt(self, replica: Replica) -> None:
-        """Tell the others that nothing comes from a replica."""
+        """Tell the other nodes that a replica is silent."""
         now = self._clock.read()
         if not self._is_new(replica.key, now):
             return
@@ -131,7 +137,7 @@
         self._open_doubt(replica.key, replica.group, now)
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in another node's message and pass it on."""
+        """Apply a doubt or a withdrawal of another node and forward it."""
         message = received.message
         key = ReplicaKey(message.box, message.epoch, message.incarnation)
         if isinstance(message, ReplicaHeard):
@@ -143,28 +149,28 @@
         if not self._is_new(key, now):
             return
         self._links.pass_on(message, received.node)
-        is_believed = now - self._book.get(key).heard_at > RECENT_SECONDS
+        is_accepted = now - self._book.get(key).heard_at > RECENT_SECONDS
         log_event(
             'doubt_received',
             group=message.group,
             box=message.box,
             sender=received.node,
-            believed=is_believed,
+            believed=is_accepted,
         )
-        if is_believed:
+        if is_accepted:
             self._book.note_failure(key, now)
         self._open_doubt(key, message.group, now)
 
     async def _raise_if_links_work(self, replica: Replica) -> None:
         try:
-            is_sound = await self._verify(replica.head.service)
+            do_links_work = await self._verify(replica.head.service)
         finally:
             self._verifying.discard(replica.key)
-        if is_sound:
+        if do_links_work:
             self.raise_doubt(replica)
 
     def _open_doubt(self, key: ReplicaKey, group: GroupId, now: float) -> None:
-        """Tell of a doubt here, and listen for what speaks against it."""
+        """Notify the listeners of a doubt and schedule checks of the replica."""
         self._open_doubts.add(key)
         self._listeners.on_doubted(group)
         check = partial(
@@ -179,7 +185,7 @@
         doubted_at: float,
         checks_left: int,
     ) -> None:
-        """Take a doubt back where the replica was heard since."""
+        """Withdraw a doubt if the replica has sent output since it was raised."""
         if key not in self._open_doubts:
             return
         if self._book.get(key).event_at > doubted_at:
@@ -189,24 +195,24 @@
             )
             self._close_doubt(key, group)
         elif checks_left > 1:
-            again = partial(
+            check = partial(
                 self._check_resumed, key, group, doubted_at, checks_left - 1
             )
-            self._call_later(LISTEN_INTERVAL, again)
+            self._call_later(LISTEN_INTERVAL, check)
         else:
             self._open_doubts.discard(key)
 
     def _close_doubt(self, key: ReplicaKey, group: GroupId) -> None:
-        """Let a replica get requests again that goes on."""
+        """Close a doubt and let the replica get requests again."""
         self._open_doubts.discard(key)
         self._book.forgive(key)
         self._listeners.on_resumed(group)
 
     def _is_new(self, key: ReplicaKey, now: float) -> bool:
-        """Answer whether no message about a replica came a moment ago.
+        """Return whether no doubt about a replica was handled recently.
 
-        When a group falls silent, many nodes notice at once; one of their
-        words is passed on, and the others end where they meet it.
+        When a group falls silent, many nodes notice at the same time.  Each
+        node forwards only the first of their messages.
         """
         self._drop_expired(now)
         if key in self._raised_at:
--- a/waywell/health/entry_paths.py
+++ b/waywell/health/entry_paths.py
@@ -1,4 +1,4 @@
-"""An entry daemon's links to the boxes of the roster."""
+"""Monitoring of an entry daemon's links to the boxes of the roster."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 
 
 class RosterBoxes(ProbedBoxes):
-    """The boxes of the groups of the roster in force.
+    """Finds boxes in the groups of the current roster.
 
     Parameters
     ----------
     in_force
-        Versions in force.
+        Versions of roster and configuration in force.
     """
 
     def __init__(self, in_force: InForce) -> None:
-        """Keep where they are read."""
+        """Start with the given versions."""
         self._in_force = in_force
 
     def find_box(self, box: BoxId) -> FleetBox | None:
-        """Return a box that is in a group."""
+        """Return a box of a group, or ``None`` if no group has it."""
         roster = self._in_force.roster
         holder = roster.find_holder(box)
         if holder is None:
             return None
         group = roster.groups[holder]
-        member = next(one for one in group.members if one.box == box)
+        member = next(known for known in group.members if known.box == box)
         return make_fleet_box(group, member)
 
     def list_boxes(self, service: ServiceName) -> list[FleetBox]:
-        """Return the first boxes of the groups that serve."""
+        """Return the head boxes of the serving groups of a service."""
         return [
             make_fleet_box(group, group.head)
             for group in self._in_force.roster
@@ -62,22 +62,22 @@
     health: HealthTable,
     random: Random,
 ) -> PartitionWatch:
-    """Return what an entry daemon runs to know its links.
+    """Return the task that watches an entry daemon's links to targets.
 
     Parameters
     ----------
     gossip
-        Membership.
+        Task that keeps the membership.
     links
         Streams to peers.
     clock
-        Where the time is read.
+        Source of the current time.
     in_force
-        Versions in force.
+        Versions of roster and configuration in force.
     health
-        What speaks against groups; their rests end when lost links are back.
+        Health of the groups; their rests end when lost links are restored.
     random
-        Draws boxes and peers.
+        Selects boxes and peers.
     """
     paths = make_node_paths(
         gossip, links, clock, RosterBoxes(in_force), random, health.end_rests
--- a/waywell/health/health.py
+++ b/waywell/health/health.py
@@ -1,8 +1,8 @@
-"""Health of groups: what speaks against sending requests to one.
+"""Health of groups: the evidence against sending requests to a group.
 
-The roster says which groups should serve.  Evidence that a box of a
-group is dead reaches the nodes faster: from the probes of a few nodes
-for each group, and from a node's own failed requests.
+The roster states which groups should serve.  Evidence that a box of a group
+is dead reaches the nodes faster: from the few nodes that probe the group, and
+from a node's own failed requests.
 """
 
 from __future__ import annotations
@@ -20,63 +20,63 @@
     from collections.abc import Iterable
 
 INITIAL_BACKOFF = 0.5
-"""Seconds for which a group rests after a first failed request."""
+"""Duration in seconds of a group's rest after its first failed request."""
 
 MAX_BACKOFF = 8.0
-"""Longest such rest, in seconds."""
+"""Maximum duration of a rest, in seconds."""
 
 RECOVERY_STEPS = 5
-"""Answers in which a group that failed comes back to its full weight."""
+"""Number of answers until a failed group has its full weight again."""
 
 LATENCY_SHARE = 0.2
-"""Weight of the newest time to the first byte in the running mean."""
+"""Weight of the latest time to first byte in the running mean."""
 
 SLOW_FACTOR = 2.0
-"""Times the median from which a group counts as slow."""
+"""Ratio to the median latency from which a group counts as slow."""
 
 SLOWNESS_DECAY = 0.5
-"""What is left of a group's slowness after the time below."""
+"""Factor by which slowness decays in each ``SLOWNESS_DECAY_SECONDS``."""
 
 SLOWNESS_DECAY_SECONDS = 3.0
-"""Seconds without an answer in which slowness is forgiven by that share."""
+"""Time in seconds without an answer in which slowness decays once."""
 
 MIN_ANSWERS = 3
-"""Answers before a group's mean is compared to others."""
+"""Minimum number of answers before a group's latency is compared."""
 
 
 class Verdict(enum.Enum):
-    """What a probe found."""
+    """Result of probing a group."""
 
     UP = 'up'
-    """All boxes answer and have the group's order."""
+    """All boxes answer and confirm the group's order."""
 
     DOWN = 'down'
     """A box doesn't answer or is not ready."""
 
     DISORDERED = 'disordered'
-    """A box answers without the group's order: it was restarted."""
+    """A box answers without the group's order, so it was restarted."""
 
 
 class Evidence(msgspec.Struct, frozen=True, array_like=True):
-    """A prober's word about a group."""
+    """Result of one probe of a group, as sent to other nodes."""
 
     group: GroupId
     """Group that was probed."""
 
     epoch: Epoch
-    """Epoch that the word is about."""
+    """Epoch of the group at the time of the probe."""
 
     reporter: NodeId
     """Node that probed."""
 
     sequence: int
-    """Counts the reporter's words; a later one replaces an earlier."""
+    """Sequence number of the reporter; a higher one replaces a lower."""
 
     verdict: Verdict
-    """What it found."""
+    """Whether the group can serve."""
 
     detail: str = ''
-    """The box that didn't answer, or why."""
+    """Box that caused the verdict; empty if the group is up."""
 
 
 class _ReceivedEvidence(msgspec.Struct, frozen=True):
@@ -95,65 +95,65 @@
 
 
 class HealthTable:
-    """What one node knows about the health and load of the groups.
+    """Health and load of the groups as known to one node.
 
     Parameters
     ----------
     lifetime
-        Seconds after which a word that a group is down lapses.
+        Time in seconds after which evidence against a group expires.
     """
 
     def __init__(self, lifetime: float) -> None:
-        """Start without a word against any group."""
+        """Start without evidence."""
         self._lifetime = lifetime
         self._evidence: dict[GroupId, dict[NodeId, _ReceivedEvidence]] = {}
         self._records: dict[GroupId, _GroupRecord] = {}
         self._updates = 0
 
     def add_evidence(self, evidence: Evidence, now: float) -> bool:
-        """Take in a word; answer whether it is news to pass on."""
-        words = self._evidence.setdefault(evidence.group, {})
-        known = words.get(evidence.reporter)
+        """Add evidence; return whether it is new and should be forwarded."""
+        by_reporter = self._evidence.setdefault(evidence.group, {})
+        known = by_reporter.get(evidence.reporter)
         if known is not None:
-            newer = (evidence.epoch, evidence.sequence)
-            if newer <= (known.evidence.epoch, known.evidence.sequence):
+            order = (evidence.epoch, evidence.sequence)
+            if order <= (known.evidence.epoch, known.evidence.sequence):
                 return False
-        words[evidence.reporter] = _ReceivedEvidence(evidence, now)
+        by_reporter[evidence.reporter] = _ReceivedEvidence(evidence, now)
         self._updates += 1
         return True
 
     def count_updates(self) -> int:
-        """Return a number that rises with each word that was news."""
+        """Return how many pieces of new evidence were added."""
         return self._updates
 
     def find_down(self, group: GroupId, now: float) -> Evidence | None:
-        """Return a live word against a group, of its latest epoch."""
-        words = [
-            heard.evidence
-            for heard in self._evidence.get(group, {}).values()
-            if heard.evidence.verdict is not Verdict.UP
-            and now - heard.at < self._lifetime
+        """Return unexpired evidence against a group, of its latest epoch."""
+        adverse = [
+            received.evidence
+            for received in self._evidence.get(group, {}).values()
+            if received.evidence.verdict is not Verdict.UP
+            and now - received.at < self._lifetime
         ]
-        return max(words, key=_get_epoch, default=None)
+        return max(adverse, key=_get_epoch, default=None)
 
     def list_down(self, now: float) -> dict[GroupId, Evidence]:
-        """Return the groups that a live word speaks against."""
+        """Return the groups with unexpired evidence against them."""
         found = (
             (group, self.find_down(group, now)) for group in self._evidence
         )
-        return {group: word for group, word in found if word is not None}
+        return {group: down for group, down in found if down is not None}
 
     def is_usable(self, group: GroupId, epoch: Epoch, now: float) -> bool:
-        """Answer whether no prober speaks against a group at ``now``."""
+        """Return whether no evidence stands against a group at ``now``."""
         down = self.find_down(group, now)
         return down is None or down.epoch < epoch
 
     def record_start(self, group: GroupId) -> None:
-        """Count a request in."""
+        """Count a request that was sent to a group as in flight."""
         self._get_record(group).in_flight += 1
 
     def record_end(self, group: GroupId) -> None:
-        """Count a request out."""
+        """Count a request of a group as no longer in flight."""
         self._get_record(group).in_flight -= 1
 
     def record_answer(
@@ -162,7 +162,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Take in the time to the first byte of an answer."""
+        """Record the time to first byte of an answer, in seconds."""
         record = self._get_record(group)
         record.answered_at = now
         record.backoff = 0
@@ -178,19 +178,19 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Take in that there was no answer for so long.
+        """Record that a request got no answer for some seconds.
 
-        The caller's deadline may have been too short, so this makes a
-        group slow in the comparison, and no more.
+        The caller's deadline may have been too short, so this only raises
+        the group's latency and does not start a rest.
         """
         record = self._get_record(group)
         record.answers += 1
         record.answered_at = now
-        longer = max(record.latency, seconds)
-        record.latency += LATENCY_SHARE * (longer - record.latency)
+        lower_bound = max(record.latency, seconds)
+        record.latency += LATENCY_SHARE * (lower_bound - record.latency)
 
     def record_failure(self, group: GroupId, now: float) -> None:
-        """Let a group rest that just failed a request."""
+        """Start a rest of a group that has just failed a request."""
         record = self._get_record(group)
         doubled = record.backoff * 2
         record.backoff = min(MAX_BACKOFF, max(INITIAL_BACKOFF, doubled))
@@ -198,7 +198,7 @@
         record.steps = 1
 
     def end_rests(self) -> None:
-        """Let no group rest any longer: the failures were this node's."""
+        """End all rests, as lost links of this node caused the failures."""
         for record in self._records.values():
             record.rests_until = 0.0
             record.backoff = 0.0
@@ -216,28 +216,28 @@
         Parameters
         ----------
         group
-            The group.
+            Name of the group.
         reported
-            Requests in flight as others reported them.
+            Requests in flight that other nodes have reported.
         typical
-            Typical time to the first byte, in seconds; 0 when not known.
+            Typical time to first byte, in seconds; 0 if unknown.
         now
-            Present time, in seconds.
+            Current time, in seconds.
         """
         record = self._records.get(group)
         if record is None:
             return GroupLoad(in_flight=reported)
-        resting = now < record.rests_until
+        is_resting = now < record.rests_until
         return GroupLoad(
             in_flight=record.in_flight + reported,
-            slowness=_find_slowness(record, typical, now),
-            weight=0 if resting else record.steps / RECOVERY_STEPS,
+            slowness=_compute_slowness(record, typical, now),
+            weight=0 if is_resting else record.steps / RECOVERY_STEPS,
         )
 
     def find_typical_latency(self, groups: Iterable[GroupId]) -> float:
-        """Return the median of the groups' times to the first byte."""
+        """Return the median of the groups' times to first byte, in seconds."""
         known = (self._records.get(group) for group in groups)
-        return _find_median(
+        return _compute_median(
             [
                 record.latency
                 for record in known
@@ -246,7 +246,7 @@
         )
 
     def retain(self, groups: set[GroupId]) -> None:
-        """Forget groups that the roster has no more."""
+        """Drop groups that are no longer in the roster."""
         for group in tuple(self._evidence):
             if group not in groups:
                 self._evidence.pop(group)
@@ -262,21 +262,21 @@
     return evidence.epoch
 
 
-def _find_median(latencies: list[float]) -> float:
+def _compute_median(latencies: list[float]) -> float:
     if not latencies:
         return 0
     return sorted(latencies)[len(latencies) // 2]
 
 
-def _find_slowness(
+def _compute_slowness(
     record: _GroupRecord,
     typical: float,
     now: float,
 ) -> float:
-    """Return how slow a group is, less so the longer ago that was seen.
+    """Return a group's slowness, which decays since its last answer.
 
-    A slow group gets little work, so little is heard of it; were it not
-    forgiven with time, it would never show that it is well again.
+    A slow group gets few requests and so gives few answers.  Without the
+    decay it could not show that it has recovered.
     """
     if record.answers < MIN_ANSWERS or typical <= 0:
         return 1
@@ -284,5 +284,5 @@
     if slowness < SLOW_FACTOR:
         return 1
     age = max(0, now - record.answered_at)
-    forgiven = math.pow(SLOWNESS_DECAY, age / SLOWNESS_DECAY_SECONDS)
-    return 1 + (slowness - 1) * forgiven
+    decay = math.pow(SLOWNESS_DECAY, age / SLOWNESS_DECAY_SECONDS)
+    return 1 + (slowness - 1) * decay
--- a/waywell/health/node_paths.py
+++ b/waywell/health/node_paths.py
@@ -1,4 +1,4 @@
-"""What watches and replaces a node's links to replicas, put together."""
+"""Construction of the parts that watch a node's links to replicas."""
 
 from __future__ import annotations
 
@@ -28,34 +28,34 @@
 
 @attrs.frozen
 class NodePaths:
-    """A node's links to replicas, and the peers that stand in for them."""
+    """Watch over a node's links, and state of the peers that replace them."""
 
     watch: PartitionWatch
-    """Finds out whether links are lost."""
+    """Detects whether links to replicas are lost."""
 
     peer_book: ReplicaBook
-    """What this node has seen of peers that forward its requests."""
+    """Observations of this node about peers that forward its requests."""
 
 
 class ListedBoxes(ProbedBoxes):
-    """The boxes of the box list.
+    """Finds boxes in the box list of the platform.
 
     Parameters
     ----------
     outlook
-        Routes and boxes in force.
+        Routes and box list in force.
     """
 
     def __init__(self, outlook: Outlook) -> None:
-        """Keep where they are read."""
+        """Start with the given routes and boxes."""
         self._outlook = outlook
 
     def find_box(self, box: BoxId) -> FleetBox | None:
-        """Return a box of the list."""
+        """Return a box of the list, or ``None`` if it is not listed."""
         return self._outlook.fleet.boxes.get(box)
 
     def list_boxes(self, service: ServiceName) -> list[FleetBox]:
-        """Return the boxes that take requests; all where none does yet."""
+        """Return the boxes that take requests, or all if none does yet."""
         outlook = self._outlook
         known = outlook.index.find_service(service)
         models = known.engine.models if known and known.engine else ()
@@ -80,22 +80,22 @@
     random: Random,
     on_restored: Callable[[], None],
 ) -> NodePaths:
-    """Return what a daemon runs to know its links.
+    """Return the parts that watch a daemon's links to replicas.
 
     Parameters
     ----------
     gossip
-        Membership.
+        Task that keeps the membership.
     links
         Streams to peers.
     clock
-        Where the time is read.
+        Source of the current time.
     boxes
-        Boxes that are connected to.
+        Boxes that the links are tested with.
     random
-        Draws boxes and peers.
+        Selects boxes and peers.
     on_restored
-        Called when lost links are back.
+        Called when lost links work again.
     """
     peer_book = ReplicaBook()
     parts = PartitionParts(
--- a/waywell/health/probed_boxes.py
+++ b/waywell/health/probed_boxes.py
@@ -1,4 +1,4 @@
-"""Boxes that a node connects to in order to test its links."""
+"""Interface for the boxes that a node tests its links with."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class ProbedBoxes(abc.ABC):
-    """Knows the boxes of each service."""
+    """Source of the boxes of each service."""
 
     @abc.abstractmethod
     def find_box(self, box: BoxId) -> FleetBox | None:
-        """Return a box, or ``None`` where it is not known."""
+        """Return a box, or ``None`` if it is unknown."""
 
     @abc.abstractmethod
     def list_boxes(self, service: ServiceName) -> list[FleetBox]:
-        """Return the boxes that take requests of a service."""
+        """Return the boxes that take requests for a service."""
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -1,4 +1,4 @@
-"""Probing groups: a few nodes for each group, the rest hear from them."""
+"""Probing of groups: a few nodes probe each group and inform the others."""
 
 from __future__ import annotations
 
