--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -171,7 +171,7 @@
     own = nodes['a']
     own.fail('h0', 'h1')
     await settle()
-    assert own.links.queries == reachability_queries.PEERS_ASKED
+    assert own.links.queries == reachability_queries.PEERS_QUERIED
     assert await own.watch.verify(LLM)
     assert not own.gossip.told
 
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -170,7 +170,7 @@
             self.raise_doubt(replica)
 
     def _open_doubt(self, key: ReplicaKey, group: GroupId, now: float) -> None:
-        """Notify the listeners of a doubt and schedule checks of the replica."""
+        """Start a doubt: notify the listeners and schedule a check."""
         self._open_doubts.add(key)
         self._listeners.on_doubted(group)
         check = partial(
@@ -185,7 +185,7 @@
         doubted_at: float,
         checks_left: int,
     ) -> None:
-        """Withdraw a doubt if the replica has sent output since it was raised."""
+        """Withdraw a doubt if the replica has sent output since then."""
         if key not in self._open_doubts:
             return
         if self._book.get(key).event_at > doubted_at:
--- a/waywell/health/partition.py
+++ b/waywell/health/partition.py
@@ -1,8 +1,8 @@
-"""The task that finds out whether this node has lost its links to replicas.
+"""The task that detects whether this node has lost its links to replicas.
 
-Answers cuts between one node and the replicas while callers, the store and
-peers still reach it.  Connections that fail one after the other may speak
-against the boxes or against the node; what peers reach tells which.
+A node can lose its links to replicas while callers, the store and its peers
+still reach it.  Consecutive failed connections may be caused by the boxes or
+by the node's own links.  Which boxes the peers reach distinguishes the two.
 """
 
 from __future__ import annotations
@@ -34,72 +34,76 @@
     from waywell.version.fleet import ReplicaKey
 
 SUSPECT_FAILURES = 2
-"""Boxes in a row that a node fails to connect to before it looks why."""
+"""Number of boxes of a service that a node must fail to connect to, with no
+success in between, before it diagnoses its links."""
 
 PROBED_BOXES = 6
-"""Boxes of a service that are probed with test connections."""
+"""Number of boxes of a service that get test connections in a diagnosis."""
 
 PROBE_STAGGER = 0.03
-"""Seconds after which boxes beyond the first ones are probed: where the links
-are sound the first have taken a connection by then."""
+"""Delay in seconds before the boxes beyond the first ones are probed.  If the
+links work, the first boxes have accepted a connection by then."""
 
 MIN_REACHED = 2
-"""Probed boxes that must take a connection for the links to be sound."""
+"""Number of probed boxes that must accept a connection for the links to count
+as working."""
 
 PROBE_INTERVAL = 0.3
-"""Seconds between two probes of links that were lost."""
+"""Time in seconds between two probes of lost links."""
 
 RECOVERY_PROBES = 2
-"""Boxes of one probe that must all take a connection for links to be back."""
+"""Number of boxes probed for recovery; all must accept a connection."""
 
 DIAGNOSIS_INTERVAL = 0.5
-"""Least seconds between two diagnoses that failed connections begin."""
+"""Minimum time in seconds between two diagnoses started by failed
+connections."""
 
 RECOVERY_HOLD_SECONDS = 1.0
-"""Seconds for which links must be back before callers are sent here again, so
-that short cuts in series do not move them back and forth."""
+"""Time in seconds that links must work again before callers are sent to this
+node.  It keeps a series of short interruptions from moving callers to and
+fro."""
 
 
 @attrs.frozen
 class PartitionParts:
-    """What a partition watch works with."""
+    """Dependencies of a partition watch."""
 
     gossip: Gossip
-    """Membership."""
+    """Task that keeps the membership."""
 
     links: PeerLinks
     """Streams to peers."""
 
     clock: Clock
-    """Where the time is read."""
+    """Source of the current time."""
 
     boxes: ProbedBoxes
-    """Boxes that are connected to."""
+    """Boxes that the links are tested with."""
 
     random: Random
-    """Draws boxes and peers."""
+    """Selects boxes and peers."""
 
     chooser: PeerChooser
     """Chooses peers that forward requests."""
 
     connect: Callable[[FleetBox], Awaitable[bool]]
-    """Answers whether a box takes a connection."""
+    """Returns whether a box accepts a connection."""
 
     on_restored: Callable[[], None]
-    """Called when lost links are back."""
+    """Called when lost links work again."""
 
 
 class PartitionWatch(Actor, ReplicaPaths):
-    """Knows the services whose replicas this node does not reach.
+    """Tracks the services whose replicas this node can't reach.
 
     Parameters
     ----------
     parts
-        What it works with.
+        Dependencies of the watch.
     """
 
     def __init__(self, parts: PartitionParts) -> None:
-        """Start with sound links."""
+        """Start with working links."""
         super().__init__('partition')
         self.table = ReachabilityTable()
         self._parts = parts
@@ -113,27 +117,27 @@
         parts.links.subscribe(self, ReachabilityQuery, ReachabilityReport)
 
     def record(self, box: FleetBox, now: float, *, is_connected: bool) -> None:
-        """Record how an attempt to connect to a box ended."""
+        """Record the outcome of an attempt to connect to a box."""
         self.table.record(box, now, is_connected=is_connected)
         if not is_connected and self._is_suspect(box.service, now):
-            self._begin_diagnosis(box.service)
+            self._start_diagnosis(box.service)
 
     def is_partitioned(self, service: ServiceName) -> bool:
-        """Answer whether this node has lost its links to a service."""
+        """Return whether this node has lost its links to a service."""
         return service in self._lost_since
 
     def list_partitioned(self) -> list[ServiceName]:
-        """Return the services whose replicas this node does not reach."""
+        """Return the services whose replicas this node can't reach."""
         return sorted(self._lost_since)
 
     async def await_diagnosis(self, service: ServiceName) -> None:
-        """Wait while this node finds out whether its links are lost."""
+        """Wait for the current diagnosis, starting one if it is allowed."""
         now = self._parts.clock.read()
         if service in self._diagnoses or self._may_diagnose(service, now):
-            await asyncio.wait({self._begin_diagnosis(service)})
+            await asyncio.wait({self._start_diagnosis(service)})
 
     def list_peers(self, service: ServiceName) -> list[NodeRecord]:
-        """Return the peers that reach the replicas of a service."""
+        """Return the peers that can reach the replicas of a service."""
         return self._parts.chooser.list_peers(service)
 
     def choose_peer(
@@ -146,16 +150,16 @@
         return self._parts.chooser.choose(service, tried, now)
 
     async def verify(self, service: ServiceName) -> bool:
-        """Answer whether this node's links to a service are sound.
+        """Return whether this node's links to a service work.
 
-        Asked before a failure that this node sees is told of a box.
+        Callers check this before they report a failure of a box to others.
         """
         if self.is_partitioned(service):
             return False
-        return await asyncio.shield(self._begin_diagnosis(service))
+        return await asyncio.shield(self._start_diagnosis(service))
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Answer a query, or take in a report."""
+        """Answer a query or process a report of a peer."""
         message = received.message
         if isinstance(message, ReachabilityQuery):
             self.spawn(self._answer(message, received.node))
@@ -174,13 +178,13 @@
         return self.table.count_failed(service) >= needed
 
     def _may_diagnose(self, service: ServiceName, now: float) -> bool:
-        """Answer whether a failed connection may begin a diagnosis."""
+        """Return whether a failed connection may start a diagnosis."""
         if self.is_partitioned(service):
             return False
         diagnosed_at = self._diagnosed_at.get(service, -math.inf)
         return now - diagnosed_at >= DIAGNOSIS_INTERVAL
 
-    def _begin_diagnosis(self, service: ServiceName) -> asyncio.Task[bool]:
+    def _start_diagnosis(self, service: ServiceName) -> asyncio.Task[bool]:
         task = self._diagnoses.get(service)
         if task is None:
             task = self.spawn(self._diagnose(service))
@@ -191,7 +195,7 @@
         return task
 
     async def _diagnose(self, service: ServiceName) -> bool:
-        """Find out whether the links to a service are sound."""
+        """Determine whether the links to a service work."""
         boxes = self._sample_boxes(service, PROBED_BOXES)
         needed = min(MIN_REACHED, len(boxes))
         unreached = await self._probe(boxes, needed)
@@ -211,7 +215,7 @@
         )
         if witness is None:
             return True
-        self._begin_partition(service, witness, now)
+        self._start_partition(service, witness, now)
         return False
 
     async def _probe(
@@ -219,28 +223,28 @@
         boxes: list[FleetBox],
         needed: int,
     ) -> list[FleetBox]:
-        """Connect to some boxes; return those not reached.
+        """Connect to some boxes and return the unreached ones.
 
-        Ends as soon as enough have taken a connection; the others then count
-        as not reached.
+        Stops when the needed number of boxes have accepted a connection; the
+        remaining ones then count as unreached.
         """
         unreached = list(boxes)
-        tests = [
+        attempts = [
             asyncio.ensure_future(
-                self._connect(box, 0.0 if place < needed else PROBE_STAGGER)
+                self._connect(box, 0.0 if position < needed else PROBE_STAGGER)
             )
-            for place, box in enumerate(boxes)
+            for position, box in enumerate(boxes)
         ]
         try:
-            for test in asyncio.as_completed(tests):
-                box, is_connected = await test
+            for attempt in asyncio.as_completed(attempts):
+                box, is_connected = await attempt
                 if is_connected:
                     unreached.remove(box)
                 if len(boxes) - len(unreached) >= needed:
                     break
         finally:
-            for test in tests:
-                test.cancel()
+            for attempt in attempts:
+                attempt.cancel()
         return unreached
 
     async def _connect(
@@ -255,7 +259,7 @@
         )
         return box, is_connected
 
-    def _begin_partition(
+    def _start_partition(
         self,
         service: ServiceName,
         witness: NodeId,
@@ -271,7 +275,7 @@
         self.spawn(self._await_recovery(service))
 
     async def _await_recovery(self, service: ServiceName) -> None:
-        """Wait until the links to a service are back."""
+        """Probe the links to a service until they work again."""
         while True:
             await asyncio.sleep(PROBE_INTERVAL)
             boxes = self._sample_boxes(service, RECOVERY_PROBES)
@@ -291,19 +295,20 @@
         self._announce()
 
     def _announce(self) -> None:
-        """Tell the other nodes which services this one does not reach."""
+        """Tell the other nodes which services this one can't reach."""
         lost = tuple(self.list_partitioned())
         gossip = self._parts.gossip
         if gossip.table.own.lost_services != lost:
             gossip.post(Gossip.Advance(lost_services=lost))
 
     async def _answer(self, query: ReachabilityQuery, sender: NodeId) -> None:
-        """Report which boxes of a query this node reaches."""
-        found = map(self._parts.boxes.find_box, query.boxes)
-        asked = [box for box in found if box is not None]
-        # What it reached before may have been lost since, as the sender has.
-        unreached = await self._probe(asked, len(asked))
-        reached = tuple(box.box for box in asked if box not in unreached)
+        """Report which boxes of a query this node can reach."""
+        candidates = map(self._parts.boxes.find_box, query.boxes)
+        known = [box for box in candidates if box is not None]
+        # Earlier connections prove nothing: this node may have lost its links
+        # at the same time as the sender.
+        unreached = await self._probe(known, len(known))
+        reached = tuple(box.box for box in known if box not in unreached)
         report = ReachabilityReport(query.query, reached)
         self._parts.links.send(sender, report)
 
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -31,50 +31,50 @@
     from waywell.membership.membership import NodeRecord
 
 PROBERS_PER_GROUP = 2
-"""Nodes that probe one group."""
+"""Number of nodes that probe one group."""
 
 REFRESH_FRACTION = 0.4
-"""Part of the evidence's lifetime after which a word is published again."""
+"""Fraction of the evidence's lifetime after which it is published again."""
 
 MAX_CONCURRENT_GROUPS = 4
-"""Groups that are probed side by side."""
+"""Maximum number of groups that are probed concurrently."""
 
 POINTS_PER_NODE = 8
-"""Places of one node on the ring, for an even spread."""
+"""Number of points of one node on the ring; several make shares more even."""
 
 
 class ProbeRing:
-    """Tells which nodes probe a group: its next ones on a ring of hashes.
+    """Assigns probers to groups by consistent hashing.
 
     Parameters
     ----------
     nodes
-        Nodes on the ring.
+        Names of the nodes on the ring.
     """
 
     def __init__(self, nodes: list[NodeId]) -> None:
-        """Place the nodes."""
-        places = [
+        """Place the nodes on the ring."""
+        points = [
             (_hash_position(f'{node}/{point}'), node)
             for node in nodes
             for point in range(POINTS_PER_NODE)
         ]
-        places.sort()
-        self._places = places
+        points.sort()
+        self._points = points
         self._count = len(nodes)
 
     def list_probers(self, group: GroupId) -> list[NodeId]:
-        """Return the nodes that probe a group."""
-        start = bisect.bisect(self._places, (_hash_position(group), ''))
-        wanted = min(PROBERS_PER_GROUP, self._count)
-        found: list[NodeId] = []
+        """Return the nodes that follow a group on the ring."""
+        start = bisect.bisect(self._points, (_hash_position(group), ''))
+        count = min(PROBERS_PER_GROUP, self._count)
+        probers: list[NodeId] = []
         position = start
-        while len(found) < wanted:
-            node = self._places[position % len(self._places)][1]
-            if node not in found:
-                found.append(node)
+        while len(probers) < count:
+            node = self._points[position % len(self._points)][1]
+            if node not in probers:
+                probers.append(node)
             position += 1
-        return found
+        return probers
 
 
 def _hash_position(name: str) -> int:
@@ -89,8 +89,8 @@
 ) -> list[Group]:
     """Return the groups that a node probes.
 
-    The nodes of a group's own data hall probe it; those of all halls
-    where its own has none.
+    A group is probed by nodes of its own data hall, or by nodes of all halls
+    if its own hall has none.
     """
     live = [record for record in records if record.state is NodeState.LIVE]
     rings: dict[str, ProbeRing] = {}
@@ -98,8 +98,8 @@
     for group in groups:
         ring = rings.get(group.hall)
         if ring is None:
-            here = [node.node for node in live if node.hall == group.hall]
-            ring = ProbeRing(here or [node.node for node in live])
+            local = [node.node for node in live if node.hall == group.hall]
+            ring = ProbeRing(local or [node.node for node in live])
             rings[group.hall] = ring
         if own.node in ring.list_probers(group.group):
             selected.append(group)
@@ -108,50 +108,50 @@
 
 @attrs.frozen
 class ProberParts:
-    """What a prober works with."""
+    """Dependencies of a prober."""
 
     in_force: InForce
-    """Versions in force."""
+    """Versions of roster and configuration in force."""
 
     health: HealthTable
-    """Where words are kept."""
+    """Table that keeps the evidence."""
 
     loads: LoadTable
-    """Where reported loads are kept."""
+    """Table that keeps the loads of groups."""
 
     gossip: Gossip
-    """Membership, to know which groups to probe."""
+    """Membership, which determines the groups to probe."""
 
     links: PeerLinks
     """Streams to other nodes."""
 
     target: Target
-    """Calls to boxes."""
+    """Client for calls to boxes."""
 
     clock: Clock
-    """Where the time is read."""
+    """Source of the current time."""
 
     timing: TimingSettings
-    """Periods and bounds."""
+    """Timeout of a probe and lifetime of evidence."""
 
     paths: ReplicaPaths
-    """Knows whether this node's links to targets work."""
+    """State of this node's links to targets."""
 
 
 class Prober(Actor):
-    """Probes this node's part of the groups and spreads what is news.
+    """Probes the groups assigned to this node and publishes new evidence.
 
     Parameters
     ----------
     parts
-        What it works with.
+        Dependencies of the prober.
     """
 
     class ProbeTick(Message, frozen=True):
-        """Probes are due."""
+        """A round of probes is due."""
 
     def __init__(self, parts: ProberParts) -> None:
-        """Start without words."""
+        """Start without evidence."""
         super().__init__('prober')
         self._parts = parts
         self._published: dict[GroupId, Evidence] = {}
@@ -162,48 +162,48 @@
         parts.links.subscribe(self, HealthNews, LoadNews)
 
     def on_probe_tick(self, _tick: ProbeTick) -> None:
-        """Begin a round of probes, unless one is still under way.
+        """Start a round of probes unless one is still running.
 
-        It is a task of its own: words of others are not to wait for a
-        box that does not answer.
+        The round is a task of its own, so that a box that does not answer
+        does not delay messages of other nodes.
         """
         if self._probing is None or self._probing.done():
             self._probing = self.spawn(self._probe_all())
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in words and loads; pass on what is news."""
+        """Record evidence and loads of other nodes; forward new evidence."""
         message = received.message
         if isinstance(message, LoadNews):
             self._parts.loads.hear(message.loads)
             return
         now = self._parts.clock.read()
         news = tuple(
-            word
-            for word in message.words
-            if self._parts.health.add_evidence(word, now)
+            evidence
+            for evidence in message.words
+            if self._parts.health.add_evidence(evidence, now)
         )
         if news:
             self._parts.links.spread(HealthNews(news), skip=received.node)
 
     def dump(self) -> dict[str, object]:
-        """Return the words against groups as plain values."""
+        """Return the evidence against groups as plain values."""
         down = self._parts.health.list_down(self._parts.clock.read())
         return {
             'probed': len(self._selected),
             'down': {
                 group: {
-                    'verdict': word.verdict.value,
-                    'reporter': word.reporter,
-                    'detail': word.detail,
+                    'verdict': evidence.verdict.value,
+                    'reporter': evidence.reporter,
+                    'detail': evidence.detail,
                 }
-                for group, word in down.items()
+                for group, evidence in down.items()
             },
         }
 
     async def _probe_all(self) -> None:
-        """Probe each group of this node's part."""
+        """Probe each group that is assigned to this node."""
         groups = self._select_groups()
-        # A probe in flight costs memory, so a few groups go at a time.
+        # Each probe in flight uses memory, so groups are probed in batches.
         for start in range(0, len(groups), MAX_CONCURRENT_GROUPS):
             await self._probe_batch(
                 groups[start : start + MAX_CONCURRENT_GROUPS]
@@ -229,20 +229,20 @@
         return self._selected
 
     def _drop_published(self, kept: set[GroupId]) -> None:
-        """Forget what was published of groups that others probe now."""
+        """Drop the evidence about groups that other nodes probe now."""
         for group in tuple(self._published):
             if group not in kept:
                 self._published.pop(group)
                 self._published_at.pop(group)
 
     async def _probe_batch(self, groups: list[Group]) -> None:
-        """Probe some groups side by side; spread what is news."""
-        verdicts = await asyncio.gather(
+        """Probe some groups concurrently and publish the new evidence."""
+        probed = await asyncio.gather(
             *(self._probe_group(group) for group in groups),
         )
-        words = tuple(word for word in verdicts if word is not None)
-        if words:
-            self._parts.links.spread(HealthNews(words))
+        news = tuple(evidence for evidence in probed if evidence is not None)
+        if news:
+            self._parts.links.spread(HealthNews(news))
 
     async def _probe_group(self, group: Group) -> Evidence | None:
         answers = await asyncio.gather(
@@ -256,15 +256,21 @@
             self._parts.loads.note(group.group, head.load)
         fenced = self._is_fenced(group)
         verdict, detail = judge_probes(group, answers, fenced=fenced)
-        is_news = self._must_publish(group, verdict)
-        if None in answers and not await self._verify_links(group, is_news):
+        must_publish = self._must_publish(group, verdict)
+        if None in answers and not await self._verify_links(
+            group, must_publish
+        ):
             return self._withdraw(group)
-        return self._publish(group, verdict, detail) if is_news else None
+        return (
+            self._record_evidence(group, verdict, detail)
+            if must_publish
+            else None
+        )
 
-    async def _verify_links(self, group: Group, is_news: bool) -> bool:
-        """Answer whether boxes without an answer are evidence of a group."""
+    async def _verify_links(self, group: Group, must_publish: bool) -> bool:
+        """Return whether missing answers are evidence against a group."""
         service = ServiceName(group.service)
-        if is_news:
+        if must_publish:
             return await self._parts.paths.verify(service)
         return not self._parts.paths.is_partitioned(service)
 
@@ -274,7 +280,7 @@
         if published is None or published.verdict is Verdict.UP:
             return None
         log_event('evidence_withdrawn', group=group.group)
-        return self._publish(group, Verdict.UP, '')
+        return self._record_evidence(group, Verdict.UP, '')
 
     def _is_fenced(self, group: Group) -> bool:
         index = self._parts.in_force.index
@@ -282,7 +288,7 @@
         return service is not None and service.fenced
 
     def _must_publish(self, group: Group, verdict: Verdict) -> bool:
-        """Answer whether a verdict is to be told to the other nodes."""
+        """Return whether a verdict must be sent to the other nodes."""
         published = self._published.get(group.group)
         if published is None:
             return verdict is not Verdict.UP
@@ -292,13 +298,13 @@
         is_stale = age >= self._parts.timing.evidence * REFRESH_FRACTION
         return is_stale and verdict is not Verdict.UP
 
-    def _publish(
+    def _record_evidence(
         self, group: Group, verdict: Verdict, detail: str
     ) -> Evidence:
-        """Keep a word about a group, and return it to be spread."""
+        """Record evidence about a group and return it for sending."""
         now = self._parts.clock.read()
         own = self._parts.gossip.table.own
-        word = Evidence(
+        evidence = Evidence(
             group.group,
             group.epoch,
             own.node,
@@ -317,10 +323,10 @@
                 verdict=verdict.value,
                 detail=detail,
             )
-        self._published[group.group] = word
+        self._published[group.group] = evidence
         self._published_at[group.group] = now
-        self._parts.health.add_evidence(word, now)
-        return word
+        self._parts.health.add_evidence(evidence, now)
+        return evidence
 
 
 def judge_probes(
@@ -329,11 +335,13 @@
     *,
     fenced: bool,
 ) -> tuple[Verdict, str]:
-    """Return what the answers of a group's boxes mean, and whose."""
+    """Return the verdict on a group and the box that caused it."""
     for member, answer in zip(group.members, answers, strict=True):
         if answer is None or not answer.ready:
             return Verdict.DOWN, member.box
-        ordered = answer.group == group.group and answer.epoch == group.epoch
-        if fenced and not ordered:
+        is_ordered = (
+            answer.group == group.group and answer.epoch == group.epoch
+        )
+        if fenced and not is_ordered:
             return Verdict.DISORDERED, member.box
     return Verdict.UP, ''
--- a/waywell/health/reachability.py
+++ b/waywell/health/reachability.py
@@ -1,4 +1,4 @@
-"""Latest outcome of this node's own connections to each box."""
+"""Outcomes of this node's latest connection to each box."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from waywell.version.fleet import BoxLife, FleetBox
 
 RECENT_SECONDS = 2.0
-"""Age, in seconds, beyond which an outcome says nothing any more."""
+"""Age in seconds beyond which an outcome is ignored."""
 
 
 @attrs.frozen
@@ -24,17 +24,17 @@
     """Outcome of the latest attempt to connect to a box."""
 
     service: ServiceName
-    """Service that the box answers for."""
+    """Service that the box belongs to."""
 
     is_connected: bool
-    """Whether the connection came up."""
+    """Whether the connection was established."""
 
     at: float
-    """When the attempt ended, in seconds."""
+    """Time at which the attempt ended, in seconds."""
 
 
 class ReachabilityTable:
-    """Keeps one outcome for each incarnation of a box."""
+    """Stores the latest outcome for each incarnation of a box."""
 
     def __init__(self) -> None:
         """Start without outcomes."""
@@ -42,19 +42,19 @@
         self._failed: dict[ServiceName, set[BoxLife]] = defaultdict(set)
 
     def record(self, box: FleetBox, now: float, *, is_connected: bool) -> None:
-        """Record how an attempt to connect to a box ended.
+        """Record the outcome of an attempt to connect to a box.
 
         Parameters
         ----------
         box
-            The box.
+            Box that the attempt was made to.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         is_connected
-            Whether the connection came up.
+            Whether the connection was established.
         """
-        known = self._outcomes.get(box.life)
-        was_connected = known is None or known.is_connected
+        previous = self._outcomes.get(box.life)
+        was_connected = previous is None or previous.is_connected
         self._outcomes[box.life] = ConnectOutcome(
             box.service, is_connected, now
         )
@@ -67,11 +67,11 @@
             log_event(event, box=box.box, service=box.service)
 
     def count_failed(self, service: ServiceName) -> int:
-        """Return the boxes that failed since the last connection came up."""
+        """Return how many boxes failed since the last successful attempt."""
         return len(self._failed.get(service, ()))
 
     def count_unreachable(self, now: float) -> dict[str, float]:
-        """Return by service how many boxes recently refused a connection."""
+        """Return the number of recently unreachable boxes by service."""
         counts: Counter[str] = Counter(
             outcome.service
             for outcome in self._outcomes.values()
@@ -80,7 +80,7 @@
         return {service: float(count) for service, count in counts.items()}
 
     def retain(self, lives: Iterable[BoxLife]) -> None:
-        """Evict the outcomes of all boxes but some."""
+        """Drop the outcomes of all box incarnations except the given ones."""
         present = set(lives)
         for life in self._outcomes.keys() - present:
             self._outcomes.pop(life)
--- a/waywell/health/reachability_queries.py
+++ b/waywell/health/reachability_queries.py
@@ -1,4 +1,4 @@
-"""Queries to peers about boxes that this node does not reach."""
+"""Queries to peers about boxes that this node can't reach."""
 
 from __future__ import annotations
 
@@ -19,21 +19,23 @@
     from waywell.membership.links import PeerLinks
 
 REPORT_SECONDS = 0.3
-"""For a peer to report: twice the time that it gives a connection."""
+"""Time in seconds that peers get for a report: twice the timeout of one
+connection."""
 
 EXTRA_REPORT_SECONDS = 0.9
-"""Further seconds for the first report, while no peer has sent one."""
+"""Additional time in seconds if no peer has reported by then."""
 
-PEERS_ASKED = 3
-"""Peers that get a query; half of a data hall may have lost its links."""
+PEERS_QUERIED = 3
+"""Number of peers that get a query; several, because half of a data hall may
+have lost its links."""
 
 STREAM_USER = 'reachability'
-"""Name under which streams to other halls are kept."""
+"""Name under which this module requests streams to peers."""
 
 
 @attrs.define
 class _Query:
-    """A query whose reports are waited for."""
+    """A query that waits for reports."""
 
     needed: int
     awaited: int
@@ -41,16 +43,16 @@
 
 
 class ReachabilityQueries:
-    """Finds a peer that reaches what this node does not.
+    """Finds a peer that can reach the boxes that this node can't.
 
     Parameters
     ----------
     gossip
-        Membership.
+        Task that keeps the membership.
     links
         Streams to peers.
     random
-        Draws the peers that are asked.
+        Selects the peers that get a query.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
         links: PeerLinks,
         random: Random,
     ) -> None:
-        """Ask nobody yet."""
+        """Start without queries."""
         self._gossip = gossip
         self._links = links
         self._random = random
@@ -67,27 +69,28 @@
         self._open_queries: dict[int, _Query] = {}
 
     async def find_witness(self, boxes: Iterable[BoxId]) -> NodeId | None:
-        """Return a peer that reaches nearly all of some boxes.
+        """Return a peer that reaches at least two thirds of some boxes.
 
-        One box may have failed by itself, so it need not reach all of many.
+        Some of the boxes may have failed themselves, so a peer need not reach
+        all of them.
         """
-        asked = tuple(boxes)
+        queried = tuple(boxes)
         peers = self._choose_peers()
         if not peers:
             return None
         witness: asyncio.Future[NodeId | None]
         witness = asyncio.get_running_loop().create_future()
         self._serial += 1
-        needed = max(1, len(asked) - len(asked) // 3)
+        needed = max(1, len(queried) - len(queried) // 3)
         serial = self._serial
         query = _Query(needed, len(peers), witness)
         self._open_queries[serial] = query
         for peer in peers:
-            self._links.send(peer, ReachabilityQuery(serial, asked))
+            self._links.send(peer, ReachabilityQuery(serial, queried))
         try:
             await asyncio.wait({witness}, timeout=REPORT_SECONDS)
             if query.awaited == len(peers):
-                # Silent peers say nothing of the links.
+                # Peers without a report are no evidence about the links.
                 await asyncio.wait({witness}, timeout=EXTRA_REPORT_SECONDS)
         finally:
             self._open_queries.pop(serial)
@@ -96,7 +99,7 @@
     def handle_report(
         self, report: ReachabilityReport, sender: NodeId
     ) -> None:
-        """Take in a peer's report."""
+        """Process a peer's report and resolve its query if it is decisive."""
         query = self._open_queries.get(report.query)
         if query is None or query.witness.done():
             return
@@ -107,9 +110,9 @@
             query.witness.set_result(None)
 
     def _choose_peers(self) -> list[NodeId]:
-        """Return peers to ask, those of other data halls first.
+        """Return the peers for a query, those of other data halls first.
 
-        A cut often takes the links of a whole data hall.
+        An interruption often affects the links of a whole data hall.
         """
         table = self._gossip.table
         peers = [
@@ -125,7 +128,9 @@
                 record.hall == table.own.hall,
             )
         )
-        # Streams that are not there yet serve the next query.
-        self._gossip.keep_streams(STREAM_USER, tuple(peers[:PEERS_ASKED]))
-        near = [one.node for one in peers if self._links.has_peer(one.node)]
-        return near[:PEERS_ASKED]
+        # Streams that are not yet established are available to the next query.
+        self._gossip.keep_streams(STREAM_USER, tuple(peers[:PEERS_QUERIED]))
+        connected = [
+            peer.node for peer in peers if self._links.has_peer(peer.node)
+        ]
+        return connected[:PEERS_QUERIED]
