--- a/tests/test_crashing_prompt_parts.py
+++ b/tests/test_crashing_prompt_parts.py
@@ -1,7 +1,8 @@
-"""A part of a prompt that crashes each replica which begins to answer it.
+"""Prompt parts that crash every replica which starts to answer them.
 
-No two of the requests are alike, so a quarantine by request starts from zero
-with each of them.
+Guards against a quarantine that counts crashes by whole request only.  No two
+of the requests here are equal, so such a quarantine would start from zero with
+each of them.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 from tests.house import Server, make_manifest
 from tests.test_crashing_requests import (
     REPLICAS,
-    count_ended,
+    count_crashed,
     read_quarantine,
+    wait_crashes_known,
     wait_serving,
-    wait_told,
 )
 from waywell.codes import Code
 from waywell.standins.harness import wait_until
@@ -31,27 +32,27 @@
     from waywell.standins.harness import Process
 
 BAD = 'bad0'
-"""Part that crashes replicas."""
+"""Prompt part that crashes replicas."""
 
 SYSTEM = 'f0'
-"""First part of all requests."""
+"""First prompt part of all requests, for example the system prompt."""
 
 REQUESTS = 12
-"""Requests with the bad part, more than all replicas that may end."""
+"""Number of requests with the bad part, more than replicas may crash."""
 
-MOST_CRASHES = 8
-"""Five crashes, and the three requests that may follow them."""
+MAX_CRASHES = 8
+"""Maximum number of crashes: five, and three of requests still under way."""
 
 
 @pytest.fixture
 def front(tmp_path: Path) -> Iterator[Front]:
-    made = Front(tmp_path)
-    yield made
-    made.close()
+    front_bench = Front(tmp_path)
+    yield front_bench
+    front_bench.close()
 
 
 def start(front: Front, *bad: str) -> list[Process]:
-    """Start two entry boxes before replicas that some parts crash."""
+    """Start two entry boxes and replicas that the given parts crash."""
     for number in range(REPLICAS):
         server = Server(front.store, f'a{number}', 'app')
         server.deadly_parts = frozenset(bad or (BAD,))
@@ -65,116 +66,122 @@
     return nodes
 
 
-def ask(
+def send_request(
     front: Front, node: Process, number: int, *parts: str, path: str = 'match'
 ) -> tuple[int, str | None]:
-    """Send a request of its own; return its status and code."""
-    named = [*(f'{part}:40' for part in parts), f'{number + 4096:x}:9']
+    """Send a distinct request; return its status and code."""
+    entries = [*(f'{part}:40' for part in parts), f'{number + 4096:x}:9']
     status, _body, answer = front.ask(
         node,
         f'/{path}/{number}',
         body=b'{"number": %d}' % number,
-        X_Prompt_Prefix=','.join(named),
+        X_Prompt_Prefix=','.join(entries),
     )
     return status, answer.getheader('waywell-code')
 
 
 def crash_three(front: Front, nodes: list[Process]) -> None:
-    """Crash three replicas by three requests, one after the other."""
+    """Crash three replicas by three consecutive requests."""
     for number in range(3):
-        assert ask(front, nodes[0], number, SYSTEM, BAD)[0] == 502
-        wait_told(front, nodes)
+        assert send_request(front, nodes[0], number, SYSTEM, BAD)[0] == 502
+        wait_crashes_known(front, nodes)
 
 
 @pytest.mark.parametrize('path', ['match', 'stock'])
-def test_a_prompt_part_that_crashes_replicas_is_sent_to_few(
+def test_a_prompt_part_that_crashes_replicas_reaches_few_of_them(
     front: Front, path: str
 ) -> None:
     nodes = start(front)
     for number in range(REQUESTS):
         node = nodes[number % 2]
-        ask(front, node, number, SYSTEM, f'e{number:x}', BAD, path=path)
-        # Sound requests share the key, the route and the first part.
-        sound = ask(front, node, 100 + number, SYSTEM, 'c1', path=path)
-        assert sound[0] == 200
-    assert count_ended(front) <= MOST_CRASHES
-    wait_told(front, nodes)
-    status, code = ask(front, nodes[0], 50, SYSTEM, BAD, path=path)
+        send_request(
+            front, node, number, SYSTEM, f'e{number:x}', BAD, path=path
+        )
+        # Harmless requests share the key, the route and the first part.
+        harmless = send_request(
+            front, node, 100 + number, SYSTEM, 'c1', path=path
+        )
+        assert harmless[0] == 200
+    assert count_crashed(front) <= MAX_CRASHES
+    wait_crashes_known(front, nodes)
+    status, code = send_request(front, nodes[0], 50, SYSTEM, BAD, path=path)
     assert (status, code) == (503, str(int(Code.REQUEST_HELD_BACK)))
 
 
 def test_concurrent_requests_with_a_bad_part_are_stopped(front: Front) -> None:
     nodes = start(front)
-    assert ask(front, nodes[0], 99, SYSTEM)[0] == 200
+    assert send_request(front, nodes[0], 99, SYSTEM)[0] == 200
     with ThreadPoolExecutor(4) as pool:
         for number in range(2 * REQUESTS):
             node = nodes[number % 2]
-            pool.submit(ask, front, node, number, SYSTEM, BAD)
-    assert count_ended(front) <= MOST_CRASHES
+            pool.submit(send_request, front, node, number, SYSTEM, BAD)
+    assert count_crashed(front) <= MAX_CRASHES
 
 
 def test_a_bad_first_part_is_found(front: Front) -> None:
     nodes = start(front)
     for number in range(REQUESTS):
-        ask(front, nodes[number % 2], number, BAD, f'e{number:x}')
-    assert count_ended(front) <= MOST_CRASHES
-    assert ask(front, nodes[0], 50, SYSTEM)[0] == 200
+        send_request(front, nodes[number % 2], number, BAD, f'e{number:x}')
+    assert count_crashed(front) <= MAX_CRASHES
+    assert send_request(front, nodes[0], 50, SYSTEM)[0] == 200
 
 
 def test_two_bad_parts_are_both_found(front: Front) -> None:
     nodes = start(front, BAD, 'bad1')
     for number in range(REQUESTS):
         part = BAD if number % 2 else 'bad1'
-        ask(front, nodes[number % 2], number, SYSTEM, part)
-        assert ask(front, nodes[0], 100 + number, SYSTEM)[0] == 200
-    assert count_ended(front) <= 2 * MOST_CRASHES
-    wait_told(front, nodes)
+        send_request(front, nodes[number % 2], number, SYSTEM, part)
+        assert send_request(front, nodes[0], 100 + number, SYSTEM)[0] == 200
+    assert count_crashed(front) <= 2 * MAX_CRASHES
+    wait_crashes_known(front, nodes)
     for part in (BAD, 'bad1'):
-        assert ask(front, nodes[0], 50, SYSTEM, part)[0] == 503
+        assert send_request(front, nodes[0], 50, SYSTEM, part)[0] == 503
 
 
-def test_sound_requests_that_begin_later_are_served(front: Front) -> None:
-    """Nobody has asked for the first part without the bad one before."""
+def test_harmless_requests_are_served_after_the_part_is_held(
+    front: Front,
+) -> None:
+    """No earlier request had the first part without the bad one."""
     nodes = start(front)
     for number in range(4):
-        ask(front, nodes[number % 2], number, SYSTEM, BAD)
-        wait_told(front, nodes)
+        send_request(front, nodes[number % 2], number, SYSTEM, BAD)
+        wait_crashes_known(front, nodes)
     for node in nodes:
-        assert ask(front, node, 50, SYSTEM, 'c1')[0] == 200
-        assert ask(front, node, 51, SYSTEM, BAD)[0] == 503
+        assert send_request(front, node, 50, SYSTEM, 'c1')[0] == 200
+        assert send_request(front, node, 51, SYSTEM, BAD)[0] == 503
 
 
-def test_a_request_that_replicas_turn_down_clears_no_part(
+def test_a_request_rejected_by_replicas_clears_no_part(
     front: Front,
 ) -> None:
     nodes = start(front)
     for server in front.servers.values():
         server.turns_down = '/match/malformed'
     for number in range(3):
-        assert ask(front, nodes[0], number, SYSTEM, BAD)[0] == 502
-        wait_told(front, nodes)
+        assert send_request(front, nodes[0], number, SYSTEM, BAD)[0] == 502
+        wait_crashes_known(front, nodes)
         malformed = f'/match/malformed/{number}'
         status, *_rest = front.ask(
             nodes[0], malformed, X_Prompt_Prefix=f'{BAD}:1,e4:1'
         )
         # The third crash holds the malformed requests back as well.
         assert status == (503 if number == 2 else 400)
-    assert ask(front, nodes[1], 50, SYSTEM, BAD)[0] == 503
-    assert count_ended(front) == 3
+    assert send_request(front, nodes[1], 50, SYSTEM, BAD)[0] == 503
+    assert count_crashed(front) == 3
 
 
-def test_a_node_that_starts_later_stops_the_part(front: Front) -> None:
+def test_a_node_that_starts_later_holds_the_part(front: Front) -> None:
     nodes = start(front)
     crash_three(front, nodes)
     later = front.start('front-3')
     wait_serving(front, later)
-    wait_told(front, [later])
-    assert ask(front, later, 50, SYSTEM, BAD)[0] == 503
-    assert ask(front, later, 51, SYSTEM)[0] == 200
-    assert count_ended(front) == 3
+    wait_crashes_known(front, [later])
+    assert send_request(front, later, 50, SYSTEM, BAD)[0] == 503
+    assert send_request(front, later, 51, SYSTEM)[0] == 200
+    assert count_crashed(front) == 3
 
 
-def test_the_part_stays_stopped_after_all_nodes_were_killed(
+def test_the_hold_on_a_part_survives_the_loss_of_all_nodes(
     front: Front,
 ) -> None:
     nodes = start(front)
@@ -189,29 +196,29 @@
         wait_serving(front, node)
         wait_until(
             lambda node=node: read_quarantine(front, node)['held'],
-            'the part that is held back',
+            'the hold on the part',
         )
-        assert ask(front, node, 50 + number, SYSTEM, BAD)[0] == 503
-        assert ask(front, node, 60 + number, SYSTEM)[0] == 200
-    assert count_ended(front) == 3
+        assert send_request(front, node, 50 + number, SYSTEM, BAD)[0] == 503
+        assert send_request(front, node, 60 + number, SYSTEM)[0] == 200
+    assert count_crashed(front) == 3
 
 
-def test_a_node_that_reaches_only_the_platform_stops_the_part(
+def test_a_node_that_reaches_only_the_platform_holds_the_part(
     front: Front,
 ) -> None:
     front.store.hidden.add('waywell-entries')
-    one, other = start(front)
-    crash_three(front, [one])
+    first, other = start(front)
+    crash_three(front, [first])
     wait_until(
         lambda: read_quarantine(front, other)['held'],
-        'the part that is held back',
+        'the hold on the part',
     )
-    assert ask(front, other, 50, SYSTEM, BAD)[0] == 503
-    assert ask(front, other, 51, SYSTEM)[0] == 200
-    assert count_ended(front) == 3
+    assert send_request(front, other, 50, SYSTEM, BAD)[0] == 503
+    assert send_request(front, other, 51, SYSTEM)[0] == 200
+    assert count_crashed(front) == 3
 
 
-def test_operators_see_the_part(front: Front) -> None:
+def test_the_status_shows_the_held_part(front: Front) -> None:
     nodes = start(front)
     crash_three(front, nodes)
     _status, raw = front.get(nodes[1], 'metrics_port', '/v1/status')
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,16 +1,11 @@
-"""Requests that crash each replica that begins to run them.
-
-One caller repeated a request that crashed every replica which began to run
-it.  An entry box knew a request by the id of the caller's attempt only, and
-each repeat had another, so every repeat at every entry box was sent to as
-many replicas as its route allows.  Within 12 s 19 replicas ended so, each of
-them with 3 to 32 requests in flight, and for 6 s two of three requests of
-that kind were late, refused or failed.  The lines of those ends settled it:
-among the requests that were cut at an end there was always one to the same
-path, whatever the box, and it was given up with no more sends than allowed:
-
-    event=failed attempt=1 box=i-8a9077ad0c last_event=None why=cut
-    event=given_up code=3002 sends=1 begun=False age=0.275
+"""Requests that crash every replica which starts to run them.
+
+Guards against an entry box that recognizes a request only by the id of one
+attempt.  Each repeat of the request then has a new id, so it is sent to as
+many replicas as its route allows, again at every entry box.  A single caller
+crashed 19 replicas within 12 s in this way, each of them with 3 to 32 requests
+in flight, and for 6 s two of three requests of that kind were late, refused or
+failed.  At every crash one of the interrupted requests had the same path.
 """
 
 from __future__ import annotations
@@ -34,25 +29,26 @@
 DEADLY = b'{"a": "what no replica survives"}'
 
 REPLICAS = 20
-"""More than all repeats of the tests can end: two for each of eight."""
+"""Number of replicas, more than the tests can crash: two by each of eight
+repeats."""
 
 REPEATS = 4
-"""Repeats at each entry box."""
+"""Number of repeats at each entry box."""
 
-MOST_ENDED = 6
-"""Replicas that may end: three until the cause is known for sure, and the
-three retries beyond that the users bear."""
+MAX_CRASHED = 6
+"""Number of replicas that may crash: three until the cause is certain, and
+three by retries that the users accept."""
 
 
 @pytest.fixture
 def front(tmp_path: Path) -> Iterator[Front]:
-    made = Front(tmp_path)
-    yield made
-    made.close()
+    front_bench = Front(tmp_path)
+    yield front_bench
+    front_bench.close()
 
 
 def start(front: Front) -> list[Process]:
-    """Start two entry boxes before plain replicas."""
+    """Start two entry boxes and plain replicas."""
     for number in range(REPLICAS):
         server = Server(front.store, f'a{number}', 'app')
         server.deadly_body = DEADLY
@@ -65,7 +61,7 @@
 
 
 def wait_serving(front: Front, node: Process) -> None:
-    """Wait until a node is ready and sees all replicas that are listed."""
+    """Wait until a node is ready and serves by all listed replicas."""
     wait_until(lambda: front.is_ready(node), 'readiness')
 
     def sees_all() -> bool:
@@ -75,8 +71,8 @@
     wait_until(sees_all, 'all replicas')
 
 
-def end_three(front: Front, node: Process) -> None:
-    """Let three replicas end under requests at one node."""
+def crash_three(front: Front, node: Process) -> None:
+    """Crash three replicas by requests at one node."""
     for _repeat in range(3):
         assert front.ask(node, '/match/1', body=DEADLY)[0] == 502
 
@@ -87,23 +83,23 @@
     return found
 
 
-def wait_told(front: Front, nodes: list[Process]) -> None:
-    """Wait until all nodes know of each end."""
+def wait_crashes_known(front: Front, nodes: list[Process]) -> None:
+    """Wait until all nodes know of each crash."""
     for node in nodes:
         wait_until(
             lambda node=node: (
-                read_quarantine(front, node)['ends'] == count_ended(front)
+                read_quarantine(front, node)['ends'] == count_crashed(front)
             ),
-            'the word of each end',
+            'the report of each crash',
         )
 
 
-def count_ended(front: Front) -> int:
+def count_crashed(front: Front) -> int:
     return sum(server.has_ended for server in front.servers.values())
 
 
 @pytest.mark.parametrize('path', ['/stock/1', '/match/1'])
-def test_a_request_that_crashes_replicas_is_sent_to_few(
+def test_a_request_that_crashes_replicas_reaches_few_of_them(
     front: Front,
     path: str,
 ) -> None:
@@ -112,19 +108,19 @@
         for node in nodes:
             status, _body, _answer = front.ask(node, path, body=DEADLY)
             assert status >= 500
-    assert count_ended(front) <= MOST_ENDED
-    # What others ask is served all the while.
+    assert count_crashed(front) <= MAX_CRASHED
+    # Other requests are served all the time.
     for node in nodes:
         assert front.ask(node, path)[0] == 200
 
 
-def test_the_third_end_is_the_last_at_whatever_node(front: Front) -> None:
+def test_no_node_sends_the_request_after_the_third_crash(front: Front) -> None:
     nodes = start(front)
     for _repeat in range(REPEATS):
         for node in nodes:
             status, _body, answer = front.ask(node, '/match/1', body=DEADLY)
-            wait_told(front, nodes)
-    assert count_ended(front) == 3
+            wait_crashes_known(front, nodes)
+    assert count_crashed(front) == 3
     assert status == 503
     assert answer.getheader('waywell-code') == str(int(Code.REQUEST_HELD_BACK))
     assert answer.getheader('waywell-ran') == 'not_run'
@@ -141,22 +137,22 @@
     assert sorted(map(float, gauges)) == [1.0, 3.0]
 
 
-def test_a_node_that_starts_later_knows_what_the_others_hold_back(
+def test_a_node_that_starts_later_gets_the_holds_of_the_others(
     front: Front,
 ) -> None:
     nodes = start(front)
-    end_three(front, nodes[0])
-    wait_told(front, nodes)
+    crash_three(front, nodes[0])
+    wait_crashes_known(front, nodes)
     later = front.start('front-3')
     wait_serving(front, later)
-    wait_told(front, [later])
+    wait_crashes_known(front, [later])
     assert front.ask(later, '/match/1', body=DEADLY)[0] == 503
-    assert count_ended(front) == 3
+    assert count_crashed(front) == 3
 
 
-def test_what_is_held_back_outlives_all_nodes(front: Front) -> None:
+def test_a_hold_survives_the_loss_of_all_nodes(front: Front) -> None:
     nodes = start(front)
-    end_three(front, nodes[0])
+    crash_three(front, nodes[0])
     wait_until(
         lambda: front.store.list_names('waywell-held-requests'), 'the record'
     )
@@ -167,24 +163,24 @@
         wait_serving(front, node)
         wait_until(
             lambda node=node: read_quarantine(front, node)['held'],
-            'the request that is held back',
+            'the hold on the request',
         )
         assert front.ask(node, '/match/1', body=DEADLY)[0] == 503
         assert front.ask(node, '/match/1')[0] == 200
-    assert count_ended(front) == 3
+    assert count_crashed(front) == 3
 
 
-def test_a_node_that_reaches_only_the_platform_learns_of_it_too(
+def test_a_node_that_reaches_only_the_platform_gets_the_hold(
     front: Front,
 ) -> None:
-    """Two nodes that never meet, as halls that do not reach each other."""
+    """The nodes have no streams, like data halls that can't reach each other."""
     front.store.hidden.add('waywell-entries')
-    one, other = start(front)
-    end_three(front, one)
+    first, other = start(front)
+    crash_three(front, first)
     wait_until(
         lambda: read_quarantine(front, other)['held'],
-        'the request that is held back',
+        'the hold on the request',
     )
     assert read_quarantine(front, other)['ends'] == 0
     assert front.ask(other, '/match/1', body=DEADLY)[0] == 503
-    assert count_ended(front) == 3
+    assert count_crashed(front) == 3
