--- a/tests/lone_quarantine.py
+++ b/tests/lone_quarantine.py
@@ -1,4 +1,4 @@
-"""A quarantine whose words to other nodes are only noted."""
+"""Quarantine for tests that records its messages instead of sending them."""
 
 from __future__ import annotations
 
@@ -14,44 +14,44 @@
 
 
 class RecordingLinks:
-    """Streams that only note what is sent."""
+    """Stand-in for peer streams that records the messages."""
 
     def __init__(self) -> None:
-        """Send nothing yet."""
+        """Start without messages."""
         self.broadcasts: list[Any] = []
-        self.passed: list[Any] = []
+        self.forwarded: list[Any] = []
         self.sent: list[tuple[NodeId, Any]] = []
 
-    def subscribe(self, *_words: object) -> None:
-        """Take no subscriber."""
+    def subscribe(self, *_kinds: object) -> None:
+        """Ignore a subscription."""
 
     def has_peer(self, _node: NodeId) -> bool:
-        """Answer that no stream stands."""
+        """Return that no peer is connected."""
         return False
 
-    def spread(self, word: Any) -> None:
-        """Note a word to all."""
-        self.broadcasts.append(word)
+    def spread(self, message: Any) -> None:
+        """Record a message to all peers."""
+        self.broadcasts.append(message)
 
-    def pass_on(self, word: Any, _source: NodeId) -> None:
-        """Note a word that is passed on."""
-        self.passed.append(word)
+    def pass_on(self, message: Any, _source: NodeId) -> None:
+        """Record a message that is forwarded."""
+        self.forwarded.append(message)
 
-    def send(self, node: NodeId, word: Any) -> None:
-        """Note a word to one node."""
-        self.sent.append((node, word))
+    def send(self, node: NodeId, message: Any) -> None:
+        """Record a message to one node."""
+        self.sent.append((node, message))
 
 
 class LoneQuarantine(Quarantine):
-    """A quarantine; boxes are reachable unless they are named."""
+    """Quarantine for which all boxes but the ended ones are reachable."""
 
     def __init__(self, clock: Clock) -> None:
-        """Know of no end."""
-        self.noted = RecordingLinks()
+        """Start without crashes."""
+        self.recorder = RecordingLinks()
         self.ended: set[str] = set()
         self.is_prober = True
         super().__init__(
-            self.noted,
+            self.recorder,
             RunningAttempts(),
             clock,
             self._is_listening,
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -1,4 +1,4 @@
-"""The word that nothing comes from a replica."""
+"""Doubts about silent replicas and their withdrawal."""
 
 from __future__ import annotations
 
@@ -26,76 +26,76 @@
 REPLICA = Replica(ReplicaKey(BOX.box, Epoch(7)), BOX, group=GroupId('g.7'))
 
 
-class _Links:
+class _RecordingLinks:
     def __init__(self) -> None:
-        self.spread_to: list[NodeId | None] = []
-        self.words: list[object] = []
+        self.skipped_nodes: list[NodeId | None] = []
+        self.messages: list[object] = []
 
-    def subscribe(self, *_words: object) -> None:
-        """Take no subscriber."""
+    def subscribe(self, *_kinds: object) -> None:
+        """Ignore a subscription."""
 
-    def spread(self, word: object, skip: NodeId | None = None) -> None:
-        self.words.append(word)
-        self.spread_to.append(skip)
+    def spread(self, message: object, skip: NodeId | None = None) -> None:
+        self.messages.append(message)
+        self.skipped_nodes.append(skip)
 
-    def pass_on(self, word: object, source: NodeId) -> None:
-        self.words.append(word)
-        self.spread_to.append(source)
+    def pass_on(self, message: object, source: NodeId) -> None:
+        self.messages.append(message)
+        self.skipped_nodes.append(source)
 
 
 class Bench:
-    """A task with links that only count."""
+    """The task with a simulated clock and recorded messages."""
 
     def __init__(self, are_links_sound: bool = True) -> None:
         self.clock = HeldClock()
-        self.links = _Links()
+        self.links = _RecordingLinks()
         self.book = ReplicaBook()
-        self.told: list[GroupId] = []
-        self.heard: list[GroupId] = []
+        self.doubted: list[GroupId] = []
+        self.resumed: list[GroupId] = []
         self.due: list[tuple[float, Callable[[], None]]] = []
         self.doubts = Doubts(
             self.links,
             self.book,
             self.clock,
-            DoubtListeners(self.told.append, self.heard.append),
-            lambda seconds, act: self.due.append(
-                (self.clock.now + seconds, act)
+            DoubtListeners(self.doubted.append, self.resumed.append),
+            lambda seconds, callback: self.due.append(
+                (self.clock.now + seconds, callback)
             ),
             AsyncMock(return_value=are_links_sound),
         )
 
     def pass_time(self, seconds: float) -> None:
-        """Let the clock pass, and do what falls due."""
+        """Advance the clock and run the calls that are due."""
         self.clock.now += seconds
-        due = [act for at, act in self.due if at <= self.clock.now]
-        self.due = [one for one in self.due if one[0] > self.clock.now]
-        for act in due:
-            act()
+        due = [callback for at, callback in self.due if at <= self.clock.now]
+        self.due = [call for call in self.due if call[0] > self.clock.now]
+        for callback in due:
+            callback()
 
     def receive(self, doubt: str, node: str = 'n2') -> None:
-        word = ReplicaDoubt(doubt, REPLICA.group, BOX.box, Epoch(7))
-        self.doubts.on_received(PeerLinks.Received(NodeId(node), word))
+        message = ReplicaDoubt(doubt, REPLICA.group, BOX.box, Epoch(7))
+        self.doubts.on_received(PeerLinks.Received(NodeId(node), message))
 
 
-def test_many_words_about_one_replica_are_passed_on_once() -> None:
+def test_many_doubts_about_one_replica_are_forwarded_once() -> None:
     bench = Bench()
     for number in range(2000):
         bench.receive(f'd{number}', f'n{number % 9}')
     bench.doubts.raise_doubt(REPLICA)
-    assert len(bench.links.spread_to) == 1
-    assert bench.told == [REPLICA.group]
+    assert len(bench.links.skipped_nodes) == 1
+    assert bench.doubted == [REPLICA.group]
     assert bench.book.get(REPLICA.key).streak == 1
 
 
-def test_a_word_is_said_again_when_the_replica_stays_silent() -> None:
+def test_a_doubt_is_repeated_when_the_replica_stays_silent() -> None:
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
     bench.clock.now += REPEAT_INTERVAL * 1.1
     bench.receive('d1')
-    assert len(bench.links.spread_to) == 2
+    assert len(bench.links.skipped_nodes) == 2
 
 
-def test_a_word_is_not_believed_while_something_comes() -> None:
+def test_a_doubt_is_ignored_while_the_replica_sends_output() -> None:
     bench = Bench()
     bench.book.note_heard(REPLICA.key, bench.clock.now)
     bench.receive('d1')
@@ -109,14 +109,13 @@
     assert book.get(REPLICA.key).rests_until == 1.0 + LONGEST_REST
 
 
-def test_a_doubt_is_taken_back_once_the_replica_goes_on() -> None:
-    """Load: long prompts beside short answers at groups of sixteen boxes.
+def test_a_doubt_is_withdrawn_once_the_replica_sends_output() -> None:
+    """Guards against healthy groups that rest because of long prompts.
 
-    Symptom: of five sound groups one to three got nothing new at any time.
-
-    Sequence: a group reads a long prompt, and all its streams pause for a
-    moment; a node doubts it, and every other node lets it rest for a second.
-    Cause: nobody said that it went on.
+    While a group processes a long prompt, all its streams pause.  One node
+    doubts it, and every other node lets it rest for a second.  Without a
+    withdrawal, one to three of five healthy groups of sixteen boxes got no new
+    requests at any time under a load of long prompts beside short answers.
     """
     bench = Bench()
     bench.receive('d1')
@@ -126,41 +125,41 @@
     bench.book.get(REPLICA.key).rests_until = bench.clock.now + 1.0
     bench.pass_time(LISTEN_INTERVAL)
     assert bench.book.get(REPLICA.key).rests_until == 0
-    assert bench.heard == [REPLICA.group]
-    assert isinstance(bench.links.words[-1], ReplicaHeard)
+    assert bench.resumed == [REPLICA.group]
+    assert isinstance(bench.links.messages[-1], ReplicaHeard)
 
 
-def test_another_nodes_word_that_it_goes_on_ends_the_rest_here() -> None:
+def test_a_withdrawal_of_another_node_ends_the_rest() -> None:
     bench = Bench()
     bench.receive('d1')
-    word = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
+    message = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
     for node in ('n2', 'n3'):
-        bench.doubts.on_received(PeerLinks.Received(NodeId(node), word))
+        bench.doubts.on_received(PeerLinks.Received(NodeId(node), message))
     assert bench.book.get(REPLICA.key).rests_until == 0
-    assert bench.heard == [REPLICA.group]
+    assert bench.resumed == [REPLICA.group]
 
 
-def test_a_replica_that_stays_silent_is_not_taken_back() -> None:
-    """Nor by a request that is only sent to it."""
+def test_a_doubt_about_a_silent_replica_is_not_withdrawn() -> None:
+    """A request that is merely sent to the replica does not change that."""
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
     bench.book.get(REPLICA.key).heard_at = bench.clock.now + 0.1
     for _look in range(MAX_LISTEN_CHECKS + 2):
         bench.pass_time(LISTEN_INTERVAL)
-    assert not bench.heard
+    assert not bench.resumed
     assert not bench.due
 
 
-def test_a_doubt_after_it_was_taken_back_counts_again() -> None:
+def test_a_doubt_after_a_withdrawal_counts_again() -> None:
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
-    word = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
-    bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), word))
+    message = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
+    bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), message))
     bench.pass_time(REPEAT_INTERVAL * 1.1)
     bench.receive('d2')
-    assert bench.told == [REPLICA.group, REPLICA.group]
-    bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), word))
-    assert bench.heard == [REPLICA.group, REPLICA.group]
+    assert bench.doubted == [REPLICA.group, REPLICA.group]
+    bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), message))
+    assert bench.resumed == [REPLICA.group, REPLICA.group]
 
 
 @in_loop
@@ -171,5 +170,5 @@
         bench.doubts.report_silence(REPLICA)
         for _turn in range(5):
             await asyncio.sleep(0)
-        assert len(bench.links.words) == int(is_sound)
-        assert len(bench.told) == int(is_sound)
+        assert len(bench.links.messages) == int(is_sound)
+        assert len(bench.doubted) == int(is_sound)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""What speaks against a group, and how it comes back."""
+"""Evidence against groups, recovery from failures, and probing."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 GROUP = GroupId('g')
 
 
-def make_word(
+def make_evidence(
     verdict: Verdict,
     sequence: int,
     epoch: int = 1,
@@ -25,41 +25,41 @@
     return table.is_usable(GROUP, Epoch(epoch), now)
 
 
-def test_word_counts_until_it_lapses_or_is_taken_back() -> None:
+def test_evidence_counts_until_it_expires_or_is_replaced() -> None:
     table = HealthTable(6)
     assert is_usable(table, 0)
-    assert table.add_evidence(make_word(Verdict.DOWN, 1), 0)
+    assert table.add_evidence(make_evidence(Verdict.DOWN, 1), 0)
     assert not is_usable(table, 1)
     assert is_usable(table, 7)
-    table.add_evidence(make_word(Verdict.DOWN, 2), 8)
+    table.add_evidence(make_evidence(Verdict.DOWN, 2), 8)
     assert not is_usable(table, 9)
-    table.add_evidence(make_word(Verdict.UP, 3), 9)
+    table.add_evidence(make_evidence(Verdict.UP, 3), 9)
     assert is_usable(table, 9)
 
 
-def test_any_prober_speaks_against() -> None:
+def test_evidence_of_any_prober_counts() -> None:
     table = HealthTable(6)
-    table.add_evidence(make_word(Verdict.UP, 1, reporter='n1'), 0)
-    table.add_evidence(make_word(Verdict.DOWN, 1, reporter='n2'), 0)
+    table.add_evidence(make_evidence(Verdict.UP, 1, reporter='n1'), 0)
+    table.add_evidence(make_evidence(Verdict.DOWN, 1, reporter='n2'), 0)
     assert not is_usable(table, 1)
 
 
-def test_old_and_repeated_words_are_no_news() -> None:
+def test_old_and_repeated_evidence_is_not_new() -> None:
     table = HealthTable(6)
-    assert table.add_evidence(make_word(Verdict.UP, 5), 0)
-    assert not table.add_evidence(make_word(Verdict.UP, 5), 0)
-    assert not table.add_evidence(make_word(Verdict.DOWN, 4), 0)
+    assert table.add_evidence(make_evidence(Verdict.UP, 5), 0)
+    assert not table.add_evidence(make_evidence(Verdict.UP, 5), 0)
+    assert not table.add_evidence(make_evidence(Verdict.DOWN, 4), 0)
     assert is_usable(table, 0)
 
 
-def test_word_about_an_earlier_epoch_says_nothing() -> None:
+def test_evidence_about_an_earlier_epoch_is_ignored() -> None:
     table = HealthTable(6)
-    table.add_evidence(make_word(Verdict.DOWN, 1, epoch=1), 0)
+    table.add_evidence(make_evidence(Verdict.DOWN, 1, epoch=1), 0)
     assert not is_usable(table, 1, epoch=1)
     assert is_usable(table, 1, epoch=2)
 
 
-def test_failed_group_returns_step_by_step() -> None:
+def test_a_failed_group_regains_its_weight_step_by_step() -> None:
     table = HealthTable(6)
     table.record_start(GROUP)
     table.record_failure(GROUP, 0)
@@ -73,7 +73,7 @@
     assert table.get_load(GROUP, 0, 0, 10).weight == 1
 
 
-def test_rest_grows_with_repeated_failures() -> None:
+def test_rests_grow_with_repeated_failures() -> None:
     table = HealthTable(6)
     rests = []
     for _ in range(8):
@@ -89,7 +89,7 @@
     assert rests[-1] == 8.0
 
 
-def test_slow_group_costs_more() -> None:
+def test_a_slow_group_has_a_higher_slowness() -> None:
     table = HealthTable(6)
     names = [GroupId(f'g{number}') for number in range(5)]
     for name in names:
@@ -102,7 +102,7 @@
     assert usual.slowness == 1
 
 
-def test_slowness_is_forgiven_with_time() -> None:
+def test_slowness_decays_with_time() -> None:
     table = HealthTable(6)
     for _ in range(5):
         table.record_answer(GROUP, 2.0, now=0)
@@ -128,23 +128,26 @@
     )
 
 
-def test_judging_probes() -> None:
+def test_probe_answers_give_a_verdict() -> None:
     group = make_group(2)
-    good = ProbeAnswer(BoxId('b0'), GROUP, Epoch(3))
+    ordered = ProbeAnswer(BoxId('b0'), GROUP, Epoch(3))
     unready = ProbeAnswer(BoxId('b1'), GROUP, Epoch(3), ready=False)
-    bare = ProbeAnswer(BoxId('b1'))
+    unordered = ProbeAnswer(BoxId('b1'))
     cases = [
-        ([good, good], Verdict.UP),
-        ([good, None], Verdict.DOWN),
-        ([good, unready], Verdict.DOWN),
-        ([good, bare], Verdict.DISORDERED),
+        ([ordered, ordered], Verdict.UP),
+        ([ordered, None], Verdict.DOWN),
+        ([ordered, unready], Verdict.DOWN),
+        ([ordered, unordered], Verdict.DISORDERED),
     ]
     for answers, verdict in cases:
         assert judge_probes(group, answers, fenced=True)[0] is verdict
-    assert judge_probes(group, [good, bare], fenced=False)[0] is Verdict.UP
+    assert (
+        judge_probes(group, [ordered, unordered], fenced=False)[0]
+        is Verdict.UP
+    )
 
 
-def test_probers_are_spread_and_move_little() -> None:
+def test_probers_are_spread_evenly_and_change_little() -> None:
     nodes = [NodeId(f'n{number}') for number in range(10)]
     groups = [GroupId(f'g{number}') for number in range(600)]
     ring = ProbeRing(nodes)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""The task that finds requests which crash replicas, and tells all nodes."""
+"""The task that detects requests which crash replicas and informs all nodes."""
 
 from __future__ import annotations
 
@@ -54,30 +54,36 @@
 
 
 class Bench:
-    """One node's task, or several whose words reach each other at once."""
+    """Quarantine tasks of one or more nodes that share a clock."""
 
     def __init__(self, nodes: int = 1) -> None:
         self.clock = HeldClock()
         self.nodes = [LoneQuarantine(self.clock) for _node in range(nodes)]
         self.node = self.nodes[0]
 
-    async def end(
-        self, name: str, *fingerprints: str, node: int = 0, end: bool = True
+    async def crash(
+        self,
+        name: str,
+        *fingerprints: str,
+        node: int = 0,
+        has_ended: bool = True,
     ) -> None:
-        """Let a replica end, or only break off what runs there."""
-        requests = (RequestTraits(Fingerprint(one)) for one in fingerprints)
-        await self.break_off(name, *requests, node=node, end=end)
+        """Crash a replica under requests, or only break their attempts."""
+        requests = (RequestTraits(Fingerprint(name)) for name in fingerprints)
+        await self.break_attempts(
+            name, *requests, node=node, has_ended=has_ended
+        )
 
-    async def break_off(
+    async def break_attempts(
         self,
         name: str,
         *requests: RequestTraits,
         node: int = 0,
-        end: bool = True,
+        has_ended: bool = True,
     ) -> None:
-        """Let a replica end under requests, or only break them off."""
+        """Crash a replica under requests, or only break their attempts."""
         witness = self.nodes[node]
-        if end:
+        if has_ended:
             witness.ended.add(name)
         for traits in requests:
             witness.note_broken(
@@ -87,27 +93,27 @@
             await asyncio.sleep(0)
         self.clock.now += 2.0
 
-    def receive(self, word: Any) -> None:
-        """Take a word over the wire, as of another node."""
-        raw = msgspec.msgpack.encode(word)
+    def receive(self, message: Any) -> None:
+        """Encode and decode a message, and receive it as if from a peer."""
+        raw = msgspec.msgpack.encode(message)
         decoded = msgspec.msgpack.Decoder(FrontWire).decode(raw)
         self.node.on_received(PeerLinks.Received(PEER, decoded))
 
-    def carry_words(self) -> None:
-        """Let the words of the other nodes reach the first one."""
+    def deliver_broadcasts(self) -> None:
+        """Deliver the messages of the other nodes to the first one."""
         for node in self.nodes[1:]:
-            for word in node.noted.broadcasts:
-                self.receive(word)
-            node.noted.broadcasts.clear()
+            for message in node.recorder.broadcasts:
+                self.receive(message)
+            node.recorder.broadcasts.clear()
 
 
 @in_loop
-async def test_nodes_that_saw_an_end_each_hold_the_request_back() -> None:
+async def test_nodes_that_saw_one_crash_each_hold_the_request() -> None:
     bench = Bench(nodes=4)
     for number in (1, 2, 3):
-        await bench.end(f'b{number}', 'deadly', f'x{number}', node=number)
+        await bench.crash(f'b{number}', 'deadly', f'x{number}', node=number)
     assert not bench.node.find_release(DEADLY_REQUEST, bench.clock.now)
-    bench.carry_words()
+    bench.deliver_broadcasts()
     assert bench.node.find_release(DEADLY_REQUEST, bench.clock.now) > 0
     assert not bench.node.find_release(
         RequestTraits(Fingerprint('x1')), bench.clock.now
@@ -120,21 +126,19 @@
 
 
 @in_loop
-async def test_an_answer_that_breaks_at_a_replica_that_goes_on_is_no_end() -> (
-    None
-):
+async def test_a_broken_answer_of_a_live_replica_is_no_crash() -> None:
     bench = Bench()
     for number in range(9):
-        await bench.end(f'b{number}', 'deadly', end=False)
+        await bench.crash(f'b{number}', 'deadly', has_ended=False)
     assert not bench.node.history.crashes
-    assert not bench.node.noted.broadcasts
+    assert not bench.node.recorder.broadcasts
     assert bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
 
 
 @in_loop
-async def test_words_are_passed_on_once() -> None:
+async def test_messages_are_forwarded_once() -> None:
     bench = Bench()
-    word = ReplicaEnded(
+    message = ReplicaEnded(
         make_box('b').box,
         Epoch(1),
         Incarnation(1),
@@ -142,33 +146,33 @@
         (SuspectRun(DEADLY, False),),
     )
     for _repeat in range(5):
-        bench.receive(word)
+        bench.receive(message)
     held = RequestHeld(OTHER, CRASHES_TO_HOLD, 1.0)
     bench.receive(held)
     bench.receive(held)
     cleared = RequestCleared(OTHER)
     bench.receive(cleared)
     bench.receive(cleared)
-    assert bench.node.noted.passed == [word, held, cleared]
+    assert bench.node.recorder.forwarded == [message, held, cleared]
 
 
 @in_loop
-async def test_a_new_stream_tells_what_is_known() -> None:
+async def test_a_new_peer_gets_all_known_crashes_and_holds() -> None:
     bench = Bench(nodes=2)
     for number in (1, 2, 3):
-        await bench.end(f'b{number}', 'deadly', node=1)
-    knowing = bench.nodes[1]
-    knowing.add_stored_hold(OTHER, Hold(CRASHES_TO_HOLD, bench.clock.now))
-    knowing.on_opened(PeerLinks.Opened(_Record()))
-    ((node, word),) = knowing.noted.sent
+        await bench.crash(f'b{number}', 'deadly', node=1)
+    informed = bench.nodes[1]
+    informed.add_stored_hold(OTHER, Hold(CRASHES_TO_HOLD, bench.clock.now))
+    informed.on_opened(PeerLinks.Opened(_Record()))
+    ((node, message),) = informed.recorder.sent
     assert node == _Record.node
-    assert isinstance(word, KnownCrashes)
-    bench.receive(word)
+    assert isinstance(message, KnownCrashes)
+    bench.receive(message)
     assert set(bench.node.history.holds) == {DEADLY, OTHER}
-    # What it knew already is passed on no further.
-    passed = len(bench.node.noted.passed)
-    bench.receive(word)
-    assert len(bench.node.noted.passed) == passed
+    # Messages that are already known are not forwarded.
+    forwarded = len(bench.node.recorder.forwarded)
+    bench.receive(message)
+    assert len(bench.node.recorder.forwarded) == forwarded
 
 
 class _Record:
@@ -176,19 +180,21 @@
 
 
 @in_loop
-async def test_a_node_that_knows_nothing_says_nothing() -> None:
+async def test_a_node_without_crashes_sends_nothing_to_a_new_peer() -> None:
     bench = Bench()
     bench.node.on_opened(PeerLinks.Opened(_Record()))
-    assert not bench.node.noted.sent
+    assert not bench.node.recorder.sent
 
 
 @in_loop
-async def test_what_broke_a_moment_ago_counts_until_it_is_known() -> None:
+async def test_a_broken_attempt_counts_as_a_crash_until_it_is_checked() -> (
+    None
+):
     bench = Bench()
-    await bench.end('b1', 'deadly')
-    await bench.end('b2', 'deadly')
+    await bench.crash('b1', 'deadly')
+    await bench.crash('b2', 'deadly')
     assert bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
-    # No second one beside it: that could be the fourth.
+    # A second concurrent attempt could cause a fourth crash.
     assert not bench.node.may_send(DEADLY_REQUEST, 1, bench.clock.now)
     bench.node.note_broken(
         make_replica('b3'), DEADLY_REQUEST, has_begun=False, is_over=False
@@ -197,13 +203,15 @@
     assert bench.node.may_send(OTHER_REQUEST, 1, bench.clock.now)
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    # It was no end.
+    # The check found the replica alive.
     assert bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
 
 
 @in_loop
-async def test_what_was_served_a_moment_ago_is_sent_on_all_the_while() -> None:
-    """Answers get lost at many replicas, and many ask for the same."""
+async def test_a_recently_served_request_may_be_sent_while_attempts_break() -> (
+    None
+):
+    """A common request runs wherever answers are lost."""
     bench = Bench()
     bench.node.note_served(OTHER_REQUEST)
     for number in range(5):
@@ -217,19 +225,21 @@
 
 
 @in_loop
-async def test_after_a_hold_one_attempt_may_run_at_a_time() -> None:
+async def test_only_one_attempt_may_run_after_a_hold() -> None:
     bench = Bench()
     for number in (1, 2, 3):
-        await bench.end(f'b{number}', 'deadly')
+        await bench.crash(f'b{number}', 'deadly')
     bench.clock.now += HOLD_SECONDS
     assert bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
     assert not bench.node.may_send(DEADLY_REQUEST, 1, bench.clock.now)
-    await bench.end('b4', 'deadly')
+    await bench.crash('b4', 'deadly')
     assert not bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
 
 
 @in_loop
-async def test_one_node_tries_a_part_whose_hold_is_over() -> None:
+async def test_one_node_at_a_time_sends_a_part_whose_hold_has_expired() -> (
+    None
+):
     bench = Bench()
     part = PromptPart(Trait('part-bad'))
     requests = [
@@ -237,7 +247,7 @@
         for number in range(5)
     ]
     for number in (1, 2, 3):
-        await bench.break_off(f'b{number}', requests[number])
+        await bench.break_attempts(f'b{number}', requests[number])
     assert set(bench.node.history.holds) == {part}
     bench.clock.now += HOLD_SECONDS
     bench.node.is_prober = False
@@ -248,18 +258,20 @@
     bench.node.is_prober = True
     bench.node.check(requests[0], bench.clock.now)
     assert bench.node.may_send(requests[0], 0, bench.clock.now)
-    # Another request with the part runs already.
+    # Another request with the part is already running.
     running = Attempt(Mock(), 1, Inbox(), requests[0], bench.clock)
     bench.node._running.add(running)
     assert not bench.node.may_send(requests[4], 0, bench.clock.now)
     bench.node._running.discard(running)
-    await bench.break_off('b4', requests[0])
+    await bench.break_attempts('b4', requests[0])
     assert bench.node.find_release(requests[4], bench.clock.now) > HOLD_SECONDS
 
 
 @in_loop
-async def test_a_node_without_requests_blames_no_part_that_is_served() -> None:
-    """The node that saw the crashes has served the first part all along."""
+async def test_a_node_without_requests_blames_no_part_served_elsewhere() -> (
+    None
+):
+    """The node that saw the crashes has served the first part before."""
     bench = Bench(nodes=2)
     witness = bench.nodes[1]
     first = PromptPart(Trait('part-first'))
@@ -269,16 +281,14 @@
     ]
     witness.note_served(requests[0])
     for number in (1, 2, 3):
-        await bench.break_off(f'b{number}', requests[number], node=1)
-        bench.carry_words()
+        await bench.break_attempts(f'b{number}', requests[number], node=1)
+        bench.deliver_broadcasts()
     assert len(bench.node.history.crashes) == 3
     assert not bench.node.history.holds
 
 
 @in_loop
-async def test_running_attempts_are_broken_off_unless_they_have_begun() -> (
-    None
-):
+async def test_a_hold_cancels_attempts_without_a_begun_answer() -> None:
     bench = Bench()
     inboxes = [Inbox() for _attempt in range(3)]
     attempts = [
@@ -297,72 +307,70 @@
     for attempt in attempts:
         bench.node._running.add(attempt)
     for number in (1, 2, 3):
-        await bench.end(f'b{number}', 'deadly')
+        await bench.crash(f'b{number}', 'deadly')
     assert [inbox.queue.qsize() for inbox in inboxes] == [1, 0, 0]
     fault = inboxes[0].queue.get_nowait()
     assert fault.fault is SendFault.HELD_BACK
 
 
 @in_loop
-async def test_a_request_that_was_served_is_cleared_at_all_nodes() -> None:
+async def test_a_served_request_is_cleared_at_all_nodes() -> None:
     bench = Bench(nodes=2)
     for number in (1, 2):
-        await bench.end(f'b{number}', 'caught', node=1)
-    bench.carry_words()
+        await bench.crash(f'b{number}', 'caught', node=1)
+    bench.deliver_broadcasts()
     caught = Fingerprint('caught')
     assert bench.node.history.count_crashes(caught) == 2
     bench.nodes[1].note_served(RequestTraits(caught))
-    bench.carry_words()
+    bench.deliver_broadcasts()
     assert not bench.node.history.count_crashes(caught)
 
 
 @in_loop
-async def test_a_node_that_started_is_told_what_others_have_served() -> None:
-    """It has served nothing yet when three replicas of a domain end, and one
-    request that many ask for ran at each of them."""
+async def test_a_new_node_learns_what_others_have_served() -> None:
+    """A node that just started has served nothing when three replicas of a
+    domain end, and a common request ran on each of them."""
     bench = Bench(nodes=2)
-    fresh = bench.nodes[1]
-    hot = Fingerprint('hot')
-    bench.node.note_served(RequestTraits(hot))
+    new_node = bench.nodes[1]
+    frequent = Fingerprint('hot')
+    bench.node.note_served(RequestTraits(frequent))
     for number in (1, 2, 3):
-        await bench.end(f'b{number}', 'hot', f'x{number}', node=1)
-    assert fresh.find_release(RequestTraits(hot), bench.clock.now) > 0
-    bench.carry_words()
-    for node, word in bench.node.noted.sent:
+        await bench.crash(f'b{number}', 'hot', f'x{number}', node=1)
+    assert new_node.find_release(RequestTraits(frequent), bench.clock.now) > 0
+    bench.deliver_broadcasts()
+    for node, message in bench.node.recorder.sent:
         assert node == PEER
-        fresh.on_received(PeerLinks.Received(NodeId('n1'), word))
-    assert not fresh.find_release(RequestTraits(hot), bench.clock.now)
-    # What nobody has served is not spoken for.
-    assert len(bench.node.noted.sent) == 3
+        new_node.on_received(PeerLinks.Received(NodeId('n1'), message))
+    assert not new_node.find_release(RequestTraits(frequent), bench.clock.now)
+    # Requests that nobody has served are not cleared.
+    assert len(bench.node.recorder.sent) == 3
 
 
 @in_loop
-async def test_one_end_is_cleared_without_a_word() -> None:
+async def test_a_single_crash_is_cleared_without_a_message() -> None:
     bench = Bench()
-    await bench.end('b1', 'caught')
-    bench.node.noted.broadcasts.clear()
+    await bench.crash('b1', 'caught')
+    bench.node.recorder.broadcasts.clear()
     bench.node.note_served(RequestTraits(Fingerprint('caught')))
-    assert not bench.node.noted.broadcasts
+    assert not bench.node.recorder.broadcasts
     assert not bench.node.history.count_crashes(Fingerprint('caught'))
 
 
 @in_loop
-async def test_ends_are_told_to_who_chooses_replicas_also_those_of_others() -> (
-    None
-):
+async def test_watchers_are_called_for_crashes_seen_by_any_node() -> None:
     bench = Bench(nodes=2)
-    told: list[str] = []
-    bench.node.watch_crashes(lambda key: told.append(key.box))
-    await bench.end('b1', 'deadly', node=1)
-    bench.carry_words()
-    assert told == ['b1']
-    await bench.end('b2', 'deadly')
-    assert told == ['b1', 'b2']
+    crashed: list[str] = []
+    bench.node.watch_crashes(lambda key: crashed.append(key.box))
+    await bench.crash('b1', 'deadly', node=1)
+    bench.deliver_broadcasts()
+    assert crashed == ['b1']
+    await bench.crash('b2', 'deadly')
+    assert crashed == ['b1', 'b2']
 
 
 @in_loop
-async def test_a_known_end_needs_no_question() -> None:
-    """The list shows that the box has started again under its name."""
+async def test_a_known_crash_needs_no_check() -> None:
+    """The box list shows that the box has restarted under its name."""
     bench = Bench()
     bench.node.note_broken(
         make_replica('b1'), DEADLY_REQUEST, has_begun=False, is_over=True
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -80,7 +80,7 @@
     assert len(turns.noted.broadcasts) == 1
     tell(turns, make_told(0.5, 0.1, 0.0))
     assert turns.get_limit(LIFE) == 0.5
-    assert len(turns.noted.passed) == 1
+    assert len(turns.noted.forwarded) == 1
 
 
 def test_a_node_that_knows_a_later_word_says_so(turns: LoneTurns) -> None:
