--- a/tests/replica_paths.py
+++ b/tests/replica_paths.py
@@ -1,4 +1,4 @@
-"""The links of one daemon to all replicas, which can be cut."""
+"""Relays on the links of one daemon to all replicas, which tests can cut."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
     from tests.front_bench import Front
 
 CALL_SECONDS = 60
-"""Longer than any watch of the store waits."""
+"""Timeout in seconds of a store call, longer than the store delays a watch."""
 
 
 class _Listener(ThreadingHTTPServer):
-    def handle_error(self, *_words: object) -> None:
-        """Write nothing: daemons hang up as they like."""
+    def handle_error(self, *_details: object) -> None:
+        """Ignore errors, as daemons may close connections at any time."""
 
 
 class Cut(enum.Enum):
-    """What becomes of connections at a cut."""
+    """Effect of a cut on connections."""
 
     RESET = 'reset'
-    """Those that stand are reset, new ones are refused."""
+    """Existing connections are reset, new ones are refused."""
 
     HANG = 'hang'
-    """Those that stand fall silent, new ones come up never."""
+    """Existing connections fall silent, new ones are never established."""
 
     KEPT = 'kept'
-    """Those that stand live on, new ones are refused."""
+    """Existing connections stay usable, new ones are refused."""
 
 
 class ReplicaRelays:
@@ -44,54 +44,54 @@
     Parameters
     ----------
     ports
-        Ports of the replicas.
+        Ports that the replicas listen on.
     """
 
     def __init__(self, ports: Iterable[int]) -> None:
-        """Put a relay before each replica."""
+        """Start a relay in front of each replica."""
         self._relays = {port: Relay(port) for port in ports}
         self._how: Cut | None = None
 
     @property
     def ports(self) -> dict[int, int]:
-        """Return the relays' ports by those of the replicas."""
+        """Return the relays' ports by the replicas' ports."""
         return {port: relay.port for port, relay in self._relays.items()}
 
     def pass_resets(self) -> None:
-        """Let a reset of one side reset the other."""
+        """Forward a connection reset from one side to the other."""
         for relay in self._relays.values():
             relay.passes_resets = True
 
     def add(self, port: int) -> None:
-        """Put a relay before another replica; cut where the others are."""
+        """Start a relay for another replica, cut if the others are cut."""
         relay = Relay(port)
         relay.passes_resets = any(
-            one.passes_resets for one in self._relays.values()
+            known.passes_resets for known in self._relays.values()
         )
         self._relays[port] = relay
         if self._how is not None:
             _cut(relay, self._how)
 
     def cut(self, how: Cut) -> None:
-        """Take the daemon's links to all replicas away."""
+        """Cut the daemon's links to all replicas."""
         self._how = how
-        cutters = [
+        threads = [
             Thread(target=_cut, args=(relay, how))
             for relay in self._relays.values()
         ]
-        for cutter in cutters:
-            cutter.start()
-        for cutter in cutters:
-            cutter.join()
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
 
     def mend(self) -> None:
-        """Give the links back."""
+        """Restore the links."""
         self._how = None
         for relay in tuple(self._relays.values()):
             relay.mend()
 
     def close(self) -> None:
-        """Forward nothing any more."""
+        """Stop forwarding."""
         for relay in self._relays.values():
             relay.close()
 
@@ -99,42 +99,44 @@
 class ReplicaPaths(ReplicaRelays):
     """Relays between one front daemon and each server.
 
-    The daemon calls the store through a view that shows the relays' ports in
-    place of the servers' own.
+    The daemon calls the store through a proxy that replaces the servers' ports
+    by those of the relays.
 
     Parameters
     ----------
     front
-        The store and the servers; all servers must be there.
+        Store and servers; all servers must have been started.
     """
 
     def __init__(self, front: Front) -> None:
-        """Put a relay before each server."""
+        """Start the proxy and a relay in front of each server."""
         addresses = [
             server.entry['address'] for server in front.servers.values()
         ]
-        super().__init__(int(one.rpartition(':')[2]) for one in addresses)
+        super().__init__(
+            int(address.rpartition(':')[2]) for address in addresses
+        )
         self._store = front.store.address
-        self._shown = {
+        self._relay_addresses = {
             address: f'127.0.0.1:{port}'
             for address, port in zip(
                 addresses, self.ports.values(), strict=True
             )
         }
-        self._view = _Listener(('127.0.0.1', 0), _make_handler(self))
-        self._view.daemon_threads = True
-        Thread(target=self._view.serve_forever, daemon=True).start()
+        self._proxy = _Listener(('127.0.0.1', 0), _make_handler(self))
+        self._proxy.daemon_threads = True
+        Thread(target=self._proxy.serve_forever, daemon=True).start()
 
     @property
     def store(self) -> str:
-        """Return the address of the store's view."""
-        return f'127.0.0.1:{self._view.server_address[1]}'
+        """Return the address of the store's proxy."""
+        return f'127.0.0.1:{self._proxy.server_address[1]}'
 
     def close(self) -> None:
-        """Forward nothing any more."""
+        """Stop forwarding."""
         super().close()
-        self._view.shutdown()
-        self._view.server_close()
+        self._proxy.shutdown()
+        self._proxy.server_close()
 
     def call_store(
         self,
@@ -143,30 +145,32 @@
         body: bytes,
         headers: dict[str, str],
     ) -> tuple[int, dict[str, str], bytes]:
-        """Call the store; return status, headers and body of its answer."""
-        line = http.client.HTTPConnection(self._store, timeout=CALL_SECONDS)
-        line.request(method, path, body, headers)
-        answer = line.getresponse()
+        """Call the store; return the status, headers and body of its answer."""
+        connection = http.client.HTTPConnection(
+            self._store, timeout=CALL_SECONDS
+        )
+        connection.request(method, path, body, headers)
+        answer = connection.getresponse()
         raw = answer.read()
-        line.close()
+        connection.close()
         return answer.status, dict(answer.getheaders()), raw
 
-    def show(self, raw: bytes) -> bytes:
-        """Return an answer of the store with the relays' addresses."""
+    def replace_addresses(self, raw: bytes) -> bytes:
+        """Return an answer of the store with the addresses of the relays."""
         found = json.loads(raw)
         if isinstance(found, dict):
-            listed = [one['object'] for one in found.get('events', ())]
-            for one in (*listed, *found.get('items', ()), found):
-                self._show_object(one)
+            listed = [event['object'] for event in found.get('events', ())]
+            for stored in (*listed, *found.get('items', ()), found):
+                self._replace_address(stored)
         return json.dumps(found).encode()
 
-    def _show_object(self, found: dict[str, Any]) -> None:
+    def _replace_address(self, found: dict[str, Any]) -> None:
         spec = found.get('spec')
         if not isinstance(spec, dict):
             return
         address = spec.get('address', '')
-        if address in self._shown:
-            found['spec'] = {**spec, 'address': self._shown[address]}
+        if address in self._relay_addresses:
+            found['spec'] = {**spec, 'address': self._relay_addresses[address]}
 
 
 def _cut(relay: Relay, how: Cut) -> None:
@@ -183,8 +187,8 @@
     class Handler(BaseHTTPRequestHandler):
         protocol_version = 'HTTP/1.1'
 
-        def log_message(self, *_words: object) -> None:
-            """Write nothing."""
+        def log_message(self, *_details: object) -> None:
+            """Log nothing."""
 
         def do_GET(self) -> None:
             self._forward()
@@ -206,15 +210,15 @@
                     self.command, self.path, body, sent
                 )
             except OSError:
-                # The store has ended with its test.
+                # The store was stopped at the end of the test.
                 self.close_connection = True
                 return
-            shown = paths.show(raw)
+            rewritten = paths.replace_addresses(raw)
             self.send_response(status)
             self.send_header('Store-Era', headers.get('Store-Era', '1'))
             self.send_header('content-type', 'application/json')
-            self.send_header('content-length', str(len(shown)))
+            self.send_header('content-length', str(len(rewritten)))
             self.end_headers()
-            self.wfile.write(shown)
+            self.wfile.write(rewritten)
 
     return Handler
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -1,4 +1,4 @@
-"""How a node finds out that it has lost its links to replicas."""
+"""Detection of lost links between a node and the replicas."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 LLM = ServiceName('llm')
 GROUPS = 8
-"""Groups of two boxes that serve."""
+"""Number of serving groups, each of two boxes."""
 
 HEADS = tuple(f'h{number}' for number in range(GROUPS))
 
 
 @pytest.fixture(autouse=True)
-def probe_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def probe_without_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(partition, 'PROBE_STAGGER', 0)
 
 
@@ -61,27 +61,27 @@
 class _Gossip:
     def __init__(self, table: MembershipTable) -> None:
         self.table = table
-        self.told: list[tuple[str, ...]] = []
+        self.announced: list[tuple[str, ...]] = []
 
-    def keep_streams(self, *_words: object) -> None:
+    def keep_streams(self, *_streams: object) -> None:
         """Open no stream."""
 
     def post(self, message: Gossip.Advance) -> None:
         assert message.lost_services is not None
-        self.told.append(message.lost_services)
+        self.announced.append(message.lost_services)
         self.table.change_own(lost_services=message.lost_services)
 
 
 class _Links:
-    """Delivers at once to the tasks of other nodes."""
+    """Delivers messages immediately to the tasks of other nodes."""
 
     def __init__(self, own: str, nodes: dict[str, Node]) -> None:
         self._own = NodeId(own)
         self._nodes = nodes
         self.queries = 0
 
-    def subscribe(self, *_words: object) -> None:
-        """Take no subscriber."""
+    def subscribe(self, *_kinds: object) -> None:
+        """Ignore a subscription."""
 
     def has_peer(self, node: NodeId) -> bool:
         return node in self._nodes
@@ -93,13 +93,13 @@
 
 
 class Node:
-    """A node with links that a test takes away."""
+    """A node whose links to replicas a test can cut."""
 
     def __init__(self, name: str, names: str, nodes: dict[str, Node]) -> None:
         self.clock = HeldClock()
         self.outlook = make_outlook()
         self.reached: set[str] = set(HEADS)
-        self.restored = 0
+        self.restored_count = 0
         self.connections = 0
         table = MembershipTable(make_node(name), 2.0)
         for other in names:
@@ -115,12 +115,12 @@
                 Random(1),
                 None,
                 self._connect,
-                self._note_restored,
+                self._count_restored,
             ),
         )
 
     def fail(self, *heads: str) -> None:
-        """Let requests fail to connect to some boxes."""
+        """Record failed connections to some boxes."""
         for head in heads:
             box = self.outlook.fleet.boxes[head]
             self.watch.record(box, self.clock.now, is_connected=False)
@@ -129,8 +129,8 @@
         self.connections += 1
         return box.box in self.reached
 
-    def _note_restored(self) -> None:
-        self.restored += 1
+    def _count_restored(self) -> None:
+        self.restored_count += 1
 
 
 def make_nodes(names: str = 'abcd') -> dict[str, Node]:
@@ -140,58 +140,58 @@
     return nodes
 
 
-async def settle() -> None:
+async def run_pending_tasks() -> None:
     for _turn in range(30):
         await asyncio.sleep(0)
 
 
 @in_loop
-async def test_a_node_is_partitioned_where_its_peers_reach_what_it_does_not() -> (
+async def test_a_node_is_partitioned_if_peers_reach_boxes_that_it_cannot() -> (
     None
 ):
     nodes = make_nodes()
     own = nodes['a']
     own.reached.clear()
     own.fail('h0')
-    await settle()
+    await run_pending_tasks()
     assert not own.watch.list_partitioned()
     own.fail('h1')
-    await settle()
+    await run_pending_tasks()
     assert own.watch.is_partitioned(LLM)
-    assert own.gossip.told == [(LLM,)]
+    assert own.gossip.announced == [(LLM,)]
     assert not await own.watch.verify(LLM)
     await own.watch.stop()
 
 
 @in_loop
-async def test_boxes_that_nobody_reaches_are_lost_not_the_node() -> None:
+async def test_boxes_that_no_node_reaches_are_no_partition() -> None:
     nodes = make_nodes()
     for node in nodes.values():
         node.reached.clear()
     own = nodes['a']
     own.fail('h0', 'h1')
-    await settle()
+    await run_pending_tasks()
     assert own.links.queries == reachability_queries.PEERS_QUERIED
     assert await own.watch.verify(LLM)
-    assert not own.gossip.told
+    assert not own.gossip.announced
 
 
 @in_loop
-async def test_a_few_lost_boxes_leave_a_node_its_links() -> None:
+async def test_a_few_lost_boxes_are_no_partition() -> None:
     own = make_nodes()['a']
     own.reached -= {'h0', 'h1', 'h2'}
     own.fail('h0', 'h1', 'h2')
-    await settle()
+    await run_pending_tasks()
     assert not own.links.queries
     assert await own.watch.verify(LLM)
 
 
 @in_loop
-async def test_one_box_that_is_still_reached_hides_no_partition() -> None:
+async def test_one_reachable_box_does_not_hide_a_partition() -> None:
     own = make_nodes()['a']
     own.reached = {'h0'}
     own.fail('h1', 'h2')
-    await settle()
+    await run_pending_tasks()
     assert own.watch.is_partitioned(LLM)
     await own.watch.stop()
 
@@ -203,67 +203,69 @@
         node.reached.clear()
     nodes['a'].fail('h0', 'h1')
     nodes['b'].fail('h0', 'h1')
-    await settle()
+    await run_pending_tasks()
     assert not nodes['a'].watch.list_partitioned()
     assert not nodes['b'].watch.list_partitioned()
 
 
 @in_loop
-async def test_peers_that_report_late_are_waited_for(
+async def test_late_reports_of_peers_are_awaited(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Peers that stood still for 0.3 s cost streams that could go on there."""
+    """Peers that stall for 0.3 s must not cost streams they could take over."""
     monkeypatch.setattr(reachability_queries, 'REPORT_SECONDS', 0.0)
     nodes = make_nodes()
     own = nodes['a']
     own.reached.clear()
     late: list[tuple[NodeId, ReachabilityQuery]] = []
     deliver = own.links.send
-    monkeypatch.setattr(own.links, 'send', lambda *one: late.append(one))
+    monkeypatch.setattr(
+        own.links, 'send', lambda *message: late.append(message)
+    )
     own.fail('h0', 'h1')
     for _turn in range(3):
         await asyncio.sleep(0.01)
     assert len(late) == 3
     assert not own.watch.list_partitioned()
-    for one in late:
-        deliver(*one)
-    await settle()
+    for message in late:
+        deliver(*message)
+    await run_pending_tasks()
     assert own.watch.is_partitioned(LLM)
     await own.watch.stop()
 
 
 @in_loop
-async def test_a_node_without_peers_keeps_its_links() -> None:
+async def test_a_node_without_peers_is_never_partitioned() -> None:
     own = make_nodes('a')['a']
     own.reached.clear()
     own.fail('h0', 'h1')
-    await settle()
+    await run_pending_tasks()
     assert await own.watch.verify(LLM)
 
 
 @in_loop
-async def test_links_that_are_back_are_noticed_and_told_a_while_later(
+async def test_restored_links_are_detected_and_announced_after_a_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(partition, 'PROBE_INTERVAL', 0)
-    monkeypatch.setattr(partition, 'RECOVERY_HOLD_SECONDS', 0.01)
+    monkeypatch.setattr(partition, 'RECOVERY_DELAY_SECONDS', 0.01)
     own = make_nodes()['a']
     own.reached.clear()
     own.fail('h0', 'h1')
-    await settle()
+    await run_pending_tasks()
     assert own.watch.is_partitioned(LLM)
     own.reached.update(HEADS)
-    await settle()
+    await run_pending_tasks()
     assert not own.watch.is_partitioned(LLM)
-    assert own.restored == 1
-    assert own.gossip.told == [(LLM,)]
+    assert own.restored_count == 1
+    assert own.gossip.announced == [(LLM,)]
     await asyncio.sleep(0.05)
-    assert own.gossip.told == [(LLM,), ()]
+    assert own.gossip.announced == [(LLM,), ()]
     await own.watch.stop()
 
 
 @in_loop
-async def test_a_failed_connection_begins_no_second_diagnosis_at_once() -> (
+async def test_failed_connections_start_no_second_diagnosis_within_the_interval() -> (
     None
 ):
     nodes = make_nodes()
@@ -271,19 +273,19 @@
         node.reached.clear()
     own = nodes['a']
     own.fail('h0', 'h1')
-    await settle()
-    asked = own.links.queries
+    await run_pending_tasks()
+    queries_before = own.links.queries
     own.fail('h2', 'h3')
-    await settle()
-    assert own.links.queries == asked
+    await run_pending_tasks()
+    assert own.links.queries == queries_before
     own.clock.now += partition.DIAGNOSIS_INTERVAL
     own.fail('h4')
-    await settle()
-    assert own.links.queries > asked
+    await run_pending_tasks()
+    assert own.links.queries > queries_before
 
 
 @in_loop
-async def test_sound_links_cost_few_connections(
+async def test_working_links_are_verified_with_few_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(partition, 'PROBE_STAGGER', 10.0)
@@ -293,7 +295,7 @@
 
 
 @in_loop
-async def test_a_report_names_only_boxes_that_take_a_connection() -> None:
+async def test_a_report_names_only_boxes_that_accept_a_connection() -> None:
     nodes = make_nodes('ab')
     nodes['b'].reached = {'h1', 'h2'}
     reports: list[ReachabilityReport] = []
@@ -302,18 +304,18 @@
     )
     query = ReachabilityQuery(7, ('h0', 'h1', 'unknown'))
     nodes['b'].watch.on_received(PeerLinks.Received(NodeId('a'), query))
-    await settle()
+    await run_pending_tasks()
     assert reports == [ReachabilityReport(7, ('h1',))]
     assert msgspec.msgpack.encode(reports[0])
 
 
 @in_loop
-async def test_what_a_peer_reached_before_witnesses_nothing() -> None:
+async def test_earlier_connections_of_a_peer_are_no_evidence() -> None:
     nodes = make_nodes('ab')
     for box in nodes['b'].outlook.fleet.boxes.values():
         nodes['b'].watch.record(box, 10.0, is_connected=True)
     for node in nodes.values():
         node.reached.clear()
     nodes['a'].fail('h0', 'h1')
-    await settle()
+    await run_pending_tasks()
     assert not nodes['a'].watch.list_partitioned()
--- a/tests/test_partitioned_entries.py
+++ b/tests/test_partitioned_entries.py
@@ -1,4 +1,4 @@
-"""Entry daemons that have lost their links to targets, not to each other."""
+"""Entry daemons that lost their links to targets but not to each other."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 
     from waywell.client import Answer
 
-SOUND = ('entry-1', 'entry-2')
-CUT = 'entry-3'
+CONNECTED_NODES = ('entry-1', 'entry-2')
+CUT_NODE = 'entry-3'
 GROUPS = 4
-"""Groups of each service."""
+"""Number of groups of each service."""
 
 REQUESTS = 4
-"""Requests of each kind at a node."""
+"""Number of requests of each kind at a node."""
 
 DEADLINE = '1'
-"""Seconds that a request has, also over a link that hangs."""
+"""Deadline in seconds of a request, also over a link that hangs."""
 
-LOOKS = 20
-"""Looks at the groups after a node has noticed its cut."""
+GROUP_CHECKS = 20
+"""Number of checks of the groups after a node has detected its cut links."""
 
 SERVICES = {'llm': 'llm-main', 'app': 'app-main'}
-"""Group set of each service."""
+"""Group set by service."""
 
 
 class Fleet:
-    """Entry nodes with links to all targets, and one that can lose them."""
+    """Two entry nodes with links to all targets, and one whose links can be cut."""
 
     def __init__(self, bench: Bench) -> None:
         self.bench = bench
@@ -66,18 +66,20 @@
         )
         ports = bench.folder / 'ports.json'
         write_ports(ports, self.relays.ports)
-        for name in SOUND:
+        for name in CONNECTED_NODES:
             bench.start_entry(name, timing=QUICK)
         bench.start_entry(
-            CUT, timing=QUICK, module=['tests.rerouted', str(ports), 'waywell']
+            CUT_NODE,
+            timing=QUICK,
+            module=['tests.rerouted', str(ports), 'waywell'],
         )
         configuration = make_configuration(GROUPS, boxes_per_group=1)
         configuration['group_set'][1]['groups'] = GROUPS
-        assert bench.apply(SOUND[0], configuration).status == 200
-        for name in (*SOUND, CUT):
+        assert bench.apply(CONNECTED_NODES[0], configuration).status == 200
+        for name in (*CONNECTED_NODES, CUT_NODE):
             for group_set in SERVICES.values():
                 bench.wait_serving(name, group_set, GROUPS)
-        self.wait_listed((*SOUND, CUT))
+        self.wait_listed((*CONNECTED_NODES, CUT_NODE))
 
     def call(
         self, entry: str, service: str, number: int, method: str = 'GET'
@@ -91,11 +93,11 @@
     def list_entries(self, entry: str) -> list[str]:
         port = self.bench.entries[entry].ports['caller_port']
         listed = call_http(f'http://127.0.0.1:{port}/entries').read_json()
-        return [one['node'] for one in listed['entries']]
+        return [entry['node'] for entry in listed['entries']]
 
     def wait_listed(self, expected: tuple[str, ...]) -> None:
-        """Wait until all nodes name some nodes to callers."""
-        for name in (*SOUND, CUT):
+        """Wait until all nodes list exactly the given entries."""
+        for name in (*CONNECTED_NODES, CUT_NODE):
             wait_until(
                 lambda node=name: (
                     sorted(self.list_entries(node)) == sorted(expected)
@@ -104,37 +106,41 @@
             )
 
     def wait_refused(self, service: str) -> None:
-        """Wait until the node that is cut off refuses a request for it."""
+        """Wait until the cut node refuses a request because of its links."""
         wait_until(
             lambda: (
-                self.call(CUT, service, 0, 'POST').headers.get(CODE_HEADER)
+                self.call(CUT_NODE, service, 0, 'POST').headers.get(
+                    CODE_HEADER
+                )
                 == str(int(Code.NODE_PARTITIONED))
             ),
-            f'{service} refused at {CUT}',
+            f'{service} refused at {CUT_NODE}',
         )
 
     def cut(self, how: Cut) -> None:
-        """Take the links to all targets from one node; wait for its words.
+        """Cut one node's links to all targets and wait for its reaction.
 
-        It tells what its probes say of groups, or that its links are lost.
+        The node reports either evidence against groups or lost links.
         """
-        node = self.bench.entries[CUT]
-        known = len(node.log.read_text())
-        # All links go at the same moment, as the node sees it.
+        node = self.bench.entries[CUT_NODE]
+        log_length = len(node.log.read_text())
+        # The node is stopped, so it sees all links cut at the same moment.
         node.send_signal(signal.SIGSTOP)
-        wait_until(node.is_stopped, f'{CUT} to stand still')
+        wait_until(node.is_stopped, f'{CUT_NODE} to stop')
         self.relays.cut(how)
         node.send_signal(signal.SIGCONT)
         for service in SERVICES:
-            # New connections alone show that no more come up.
-            self.call(CUT, service, 0, 'POST')
+            # Only new connections show that none can be established.
+            self.call(CUT_NODE, service, 0, 'POST')
         wait_until(
             lambda: (
-                'event=group_probed ' in node.log.read_text()[known:]
-                or node.log.read_text()[known:].count('=partition_detected ')
+                'event=group_probed ' in node.log.read_text()[log_length:]
+                or node.log.read_text()[log_length:].count(
+                    '=partition_detected '
+                )
                 == len(SERVICES)
             ),
-            'a word about the cut',
+            'a report about the cut links',
         )
 
     def list_down(self, entry: str) -> list[str]:
@@ -144,18 +150,18 @@
 
 @pytest.fixture
 def fleet(bench: Bench) -> Iterator[Fleet]:
-    made = Fleet(bench)
-    yield made
-    made.relays.close()
+    fleet_bench = Fleet(bench)
+    yield fleet_bench
+    fleet_bench.relays.close()
 
 
 @pytest.mark.parametrize('how', Cut)
-def test_a_node_without_links_to_targets_takes_no_group_from_the_others(
+def test_a_node_without_links_does_not_disable_groups_for_other_nodes(
     fleet: Fleet, how: Cut
 ) -> None:
     fleet.cut(how)
-    for number in range(LOOKS):
-        for name in SOUND:
+    for number in range(GROUP_CHECKS):
+        for name in CONNECTED_NODES:
             assert fleet.list_down(name) == []
             for service, group_set in SERVICES.items():
                 assert fleet.bench.count_serving(name, group_set) == GROUPS
@@ -163,35 +169,35 @@
 
 
 @pytest.mark.parametrize('how', Cut)
-def test_callers_of_a_node_without_links_to_targets_are_sent_elsewhere(
+def test_callers_of_a_node_without_links_are_sent_to_other_nodes(
     fleet: Fleet, how: Cut
 ) -> None:
     fleet.cut(how)
     others = {
         f'127.0.0.1:{fleet.bench.entries[name].ports["caller_port"]}'
-        for name in SOUND
+        for name in CONNECTED_NODES
     }
     for service in SERVICES:
         fleet.wait_refused(service)
         for number, method in product(range(REQUESTS), ('GET', 'POST')):
-            answer = fleet.call(CUT, service, number, method)
-            told = answer.read_json()
+            answer = fleet.call(CUT_NODE, service, number, method)
+            refusal = answer.read_json()
             assert answer.status == 503
-            assert told['code'] == Code.NODE_PARTITIONED
-            assert told['ran'] == 'not_run'
-            assert told['retry_after'] == 0
-            assert set(told['detail'].split()) == others
-    for name in SOUND:
+            assert refusal['code'] == Code.NODE_PARTITIONED
+            assert refusal['ran'] == 'not_run'
+            assert refusal['retry_after'] == 0
+            assert set(refusal['detail'].split()) == others
+    for name in CONNECTED_NODES:
         assert fleet.call(name, 'llm', 0).status == 200
 
 
 @pytest.mark.parametrize('how', Cut)
-def test_callers_are_told_of_entries_with_links_to_targets_only(
+def test_callers_get_only_entries_with_links_to_targets(
     fleet: Fleet, how: Cut
 ) -> None:
     fleet.cut(how)
-    fleet.wait_listed(SOUND)
+    fleet.wait_listed(CONNECTED_NODES)
     fleet.relays.mend()
-    fleet.wait_listed((*SOUND, CUT))
+    fleet.wait_listed((*CONNECTED_NODES, CUT_NODE))
     for service in SERVICES:
-        assert fleet.call(CUT, service, 0).status == 200
+        assert fleet.call(CUT_NODE, service, 0).status == 200
--- a/tests/test_partitioned_nodes.py
+++ b/tests/test_partitioned_nodes.py
@@ -1,4 +1,4 @@
-"""Front daemons that have lost their links to replicas, not to each other."""
+"""Front daemons that lost their links to replicas but not to each other."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     from collections.abc import Iterator
 
 REQUESTS = 8
-"""Requests of each kind; by chance alone none goes another way."""
+"""Number of requests of each kind, too many to avoid a path by chance."""
 
 
 def make_patient_manifest() -> dict[str, Any]:
-    """Return routes that leave a stream attempts after a few pauses."""
+    """Return routes that allow a stream attempts after a few pauses."""
     manifest = make_manifest(2)
     for route in manifest['routes']:
         route['max_attempts'] = 6
@@ -35,17 +35,17 @@
         self.front = front
         front.store.put('config', 'main', make_patient_manifest())
         self.paths = ReplicaPaths(front)
-        # Its own hall, so that it reads the box list from the store's view.
+        # As the only node of its hall it reads the box list from the proxy.
         self.cut = front.start('front-3', self.paths.store, 'hall-b')
         front.wait_serving(self.cut)
-        self.sound = [front.start(f'front-{number}') for number in (1, 2)]
-        for process in self.sound:
+        self.connected = [front.start(f'front-{number}') for number in (1, 2)]
+        for process in self.connected:
             front.wait_serving(process)
         self.wait_listed(3)
 
     def wait_listed(self, count: int) -> None:
-        """Wait until all nodes tell callers of so many."""
-        for process in (self.cut, *self.sound):
+        """Wait until all nodes list the given number of addresses."""
+        for process in (self.cut, *self.connected):
             wait_until(
                 lambda node=process: len(self.list_addresses(node)) == count,
                 f'{count} addresses at {process.ports}',
@@ -81,9 +81,9 @@
 
 @pytest.fixture
 def fleet(front: Front) -> Iterator[Fleet]:
-    made = Fleet(front)
-    yield made
-    made.paths.close()
+    fleet_bench = Fleet(front)
+    yield fleet_bench
+    fleet_bench.paths.close()
 
 
 @pytest.mark.parametrize('how', Cut)
@@ -118,13 +118,13 @@
     fleet.paths.cut(how)
     fleet.front.ask(fleet.cut, '/stock/1')
     fleet.wait_listed(2)
-    assert f'127.0.0.1:{port}' not in fleet.list_addresses(fleet.sound[0])
+    assert f'127.0.0.1:{port}' not in fleet.list_addresses(fleet.connected[0])
     assert fleet.front.is_ready(fleet.cut)
     fleet.paths.mend()
     fleet.wait_listed(3)
 
 
-def test_a_node_serves_by_its_own_links_when_they_are_back(
+def test_a_node_uses_its_own_links_again_when_they_are_restored(
     fleet: Fleet,
 ) -> None:
     fleet.paths.cut(Cut.RESET)
@@ -132,13 +132,13 @@
     fleet.wait_listed(2)
     fleet.paths.mend()
     fleet.wait_listed(3)
-    for process in fleet.sound:
+    for process in fleet.connected:
         process.kill()
     assert fleet.front.ask(fleet.cut, '/stock/2')[0] == 200
 
 
 @pytest.mark.parametrize('how', Cut)
-def test_a_node_without_links_to_replicas_lets_another_form_groups(
+def test_a_node_without_links_hands_over_the_forming_of_groups(
     fleet: Fleet, how: Cut
 ) -> None:
     assert fleet.read_lease() == 'front-3'
@@ -153,12 +153,12 @@
 
 
 def cut_streams(fleet: Fleet, how: Cut) -> list[tuple[int, bytes]]:
-    """Return the answers of streams that run when the links go."""
+    """Return the answers of streams that are running when the links are cut."""
     front = fleet.front
     servers = front.servers.values()
     for server in servers:
         server.goes_on.clear()
-        # A second attempt beside a silent one waits as well.
+        # A second attempt beside a silent one also waits.
         server.script.extend(['wait-3'] * 4)
     answers: list[tuple[int, bytes]] = []
 
@@ -168,12 +168,14 @@
         )
         answers.append((status, body))
 
-    callers = [threading.Thread(target=ask, args=(one,)) for one in range(2)]
+    callers = [
+        threading.Thread(target=ask, args=(number,)) for number in range(2)
+    ]
     for caller in callers:
         caller.start()
     wait_until(
         lambda: len(front.list_runs('m1', 'm2', 'm3', 'm4')) >= 2,
-        'streams that run',
+        'running streams',
     )
     fleet.paths.cut(how)
     for server in servers:
@@ -193,13 +195,13 @@
 
 
 @pytest.mark.parametrize('how', [Cut.RESET, Cut.HANG])
-def test_streams_cut_at_one_node_take_no_replica_from_the_others(
+def test_streams_cut_at_one_node_disable_no_replica_for_other_nodes(
     fleet: Fleet, how: Cut
 ) -> None:
     cut_streams(fleet, how)
     if how is Cut.RESET:
         fleet.wait_logged('crash_unconfirmed')
     fleet.wait_listed(2)
-    for process in (*fleet.sound, fleet.cut):
+    for process in (*fleet.connected, fleet.cut):
         assert fleet.read_dump(process)['quarantine']['ends'] == 0
     assert 'event=replica_ended' not in fleet.read_log()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -69,7 +69,7 @@
         has_ended: bool = True,
     ) -> None:
         """Crash a replica under requests, or only break their attempts."""
-        requests = (RequestTraits(Fingerprint(name)) for name in fingerprints)
+        requests = (RequestTraits(Fingerprint(text)) for text in fingerprints)
         await self.break_attempts(
             name, *requests, node=node, has_ended=has_ended
         )
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Outcomes of a node's own connections to boxes."""
+"""Outcomes of a node's latest connections to boxes."""
 
 from __future__ import annotations
 
@@ -6,9 +6,7 @@
 from waywell.health.reachability import RECENT_SECONDS, ReachabilityTable
 
 
-def test_boxes_that_refuse_connections_are_counted_until_one_comes_up() -> (
-    None
-):
+def test_unreachable_boxes_are_counted_until_a_connection_succeeds() -> None:
     table = ReachabilityTable()
     first, second = make_box('a'), make_box('b')
     for box in (first, second):
@@ -19,7 +17,7 @@
     assert not table.count_unreachable(10.0 + RECENT_SECONDS)
 
 
-def test_outcomes_of_boxes_that_are_gone_are_evicted() -> None:
+def test_outcomes_of_removed_boxes_are_dropped() -> None:
     table = ReachabilityTable()
     first, second = make_box('a'), make_box('b')
     for box in (first, second):
--- a/waywell/health/partition.py
+++ b/waywell/health/partition.py
@@ -58,7 +58,7 @@
 """Minimum time in seconds between two diagnoses started by failed
 connections."""
 
-RECOVERY_HOLD_SECONDS = 1.0
+RECOVERY_DELAY_SECONDS = 1.0
 """Time in seconds that links must work again before callers are sent to this
 node.  It keeps a series of short interruptions from moving callers to and
 fro."""
@@ -291,7 +291,7 @@
         self._announcement = self.spawn(self._announce_recovery())
 
     async def _announce_recovery(self) -> None:
-        await asyncio.sleep(RECOVERY_HOLD_SECONDS)
+        await asyncio.sleep(RECOVERY_DELAY_SECONDS)
         self._announce()
 
     def _announce(self) -> None:
