--- a/tests/test_partitioned_entries.py
+++ b/tests/test_partitioned_entries.py
@@ -46,7 +46,7 @@
 
 
 class Fleet:
-    """Two entry nodes with links to all targets, and one whose links can be cut."""
+    """Entry nodes with links to all targets, and one whose links can be cut."""
 
     def __init__(self, bench: Bench) -> None:
         self.bench = bench
@@ -150,9 +150,9 @@
 
 @pytest.fixture
 def fleet(bench: Bench) -> Iterator[Fleet]:
-    fleet_bench = Fleet(bench)
-    yield fleet_bench
-    fleet_bench.relays.close()
+    fleet_of_entries = Fleet(bench)
+    yield fleet_of_entries
+    fleet_of_entries.relays.close()
 
 
 @pytest.mark.parametrize('how', Cut)
--- a/tests/test_partitioned_nodes.py
+++ b/tests/test_partitioned_nodes.py
@@ -81,9 +81,9 @@
 
 @pytest.fixture
 def fleet(front: Front) -> Iterator[Fleet]:
-    fleet_bench = Fleet(front)
-    yield fleet_bench
-    fleet_bench.paths.close()
+    fleet_of_nodes = Fleet(front)
+    yield fleet_of_nodes
+    fleet_of_nodes.paths.close()
 
 
 @pytest.mark.parametrize('how', Cut)
--- a/waywell/quarantine/crash_history.py
+++ b/waywell/quarantine/crash_history.py
@@ -377,7 +377,7 @@
     Among traits with equally many crashes, a request ranks before a prompt
     part, then the trait with fewer begun answers, then the one that more
     often ran alone.  Of parts that always occurred together, the later one in
-    the prompt ranks first, because sound requests share the first parts.
+    the prompt ranks first, because harmless requests share the first ones.
     """
     unanswered: Counter[Trait] = Counter()
     alone: Counter[Trait] = Counter()
