--- a/tests/lone_rate_limiter.py
+++ b/tests/lone_rate_limiter.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from tests.lone_gossip import LoneGossip
-from tests.lone_quarantine import NotedLinks
+from tests.lone_quarantine import RecordingLinks
 from waywell.limits.rate_limiter import STARTUP_SECONDS, RateLimiter
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     def __init__(self, clock: HeldClock) -> None:
         """Start without limits, with the startup delay over."""
-        self.noted = NotedLinks()
+        self.noted = RecordingLinks()
         now = clock.now
         clock.now = now - STARTUP_SECONDS
         super().__init__(
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -78,13 +78,13 @@
 ) -> None:
     now = limiter._clock.read()
     limiter.note_answer(LIFE, HALL, 1.0, now - 0.1)
-    (report,) = limiter.noted.spread_words
+    (report,) = limiter.noted.broadcasts
     assert report.limit == 1.0
     limiter.note_answer(LIFE, HALL, 1.0, now - 0.1)
-    assert len(limiter.noted.spread_words) == 1
+    assert len(limiter.noted.broadcasts) == 1
     receive(limiter, make_report(0.5, 0.1, 0.0))
     assert limiter.get_limit(LIFE) == 0.5
-    assert len(limiter.noted.passed) == 1
+    assert len(limiter.noted.forwarded) == 1
 
 
 def test_a_node_replies_to_an_outdated_report_with_its_own(
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -25,7 +25,7 @@
 from waywell.membership.membership import MembershipTable
 from waywell.membership.presence import Presence
 from waywell.process.front_settings import PromiseSettings
-from waywell.quarantine.crash_book import CRASHES_HELD, Hold
+from waywell.quarantine.crash_history import CRASHES_TO_HOLD, Hold
 from waywell.quarantine.held_records import HeldRecords
 from waywell.quarantine.quarantine import Quarantine
 
@@ -66,9 +66,9 @@
 ) -> HeldRecords:
     """Return the actor that writes records of requests held back."""
     quarantine = SimpleNamespace(
-        tell=lambda _listener: None,
-        book=SimpleNamespace(held=held),
-        take_stored=lambda *_args: None,
+        subscribe=lambda _listener: None,
+        history=SimpleNamespace(holds=held),
+        add_stored_hold=lambda *_args: None,
     )
     context = WatchContext(
         store,  # type: ignore[arg-type]
@@ -106,7 +106,7 @@
     store = Store()
     cluster = ClusterView(PromiseSettings())
     cluster.eras.observe(StoreEra(1))
-    hold = Hold(CRASHES_HELD, HeldClock.now)
+    hold = Hold(CRASHES_TO_HOLD, HeldClock.now)
     records = make_records(store, {Fingerprint('f'): hold}, cluster)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
     await wait_until(lambda: 'f' in store.objects)
@@ -142,7 +142,7 @@
 async def test_no_record_remains_of_a_request_freed_during_the_write() -> None:
     """Otherwise a node that starts later holds it back for ten minutes."""
     store, held = SlowStore(), {}
-    hold = Hold(CRASHES_HELD, HeldClock.now)
+    hold = Hold(CRASHES_TO_HOLD, HeldClock.now)
     held[Fingerprint('f')] = hold
     records = make_records(store, held)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -1,4 +1,4 @@
-"""Probing groups: a few nodes for each group, the rest hear from them."""
+"""Probing of groups: a few nodes probe each group and inform the others."""
 
 from __future__ import annotations
 
@@ -30,219 +30,219 @@
     from waywell.ids import GroupId, NodeId
     from waywell.membership.membership import NodeRecord
 
-PROBERS = 2
-"""Nodes that probe one group."""
+PROBERS_PER_GROUP = 2
+"""Number of nodes that probe one group."""
 
-REFRESH_SHARE = 0.4
-"""Part of the evidence's lifetime after which a word is said again."""
+REFRESH_FRACTION = 0.4
+"""Fraction of the evidence's lifetime after which it is published again."""
 
-GROUPS_AT_ONCE = 4
-"""Groups that are probed side by side."""
+MAX_CONCURRENT_GROUPS = 4
+"""Maximum number of groups that are probed concurrently."""
 
-RING_POINTS = 8
-"""Places of one node on the ring, for an even spread."""
+POINTS_PER_NODE = 8
+"""Number of points of one node on the ring; several make shares more even."""
 
 
 class ProbeRing:
-    """Tells which nodes probe a group: its next ones on a ring of hashes.
+    """Assigns probers to groups by consistent hashing.
 
     Parameters
     ----------
     nodes
-        Nodes on the ring.
+        Names of the nodes on the ring.
     """
 
     def __init__(self, nodes: list[NodeId]) -> None:
-        """Place the nodes."""
-        places = [
-            (_place(f'{node}/{point}'), node)
+        """Place the nodes on the ring."""
+        points = [
+            (_hash_position(f'{node}/{point}'), node)
             for node in nodes
-            for point in range(RING_POINTS)
+            for point in range(POINTS_PER_NODE)
         ]
-        places.sort()
-        self._places = places
+        points.sort()
+        self._points = points
         self._count = len(nodes)
 
     def list_probers(self, group: GroupId) -> list[NodeId]:
-        """Return the nodes that probe a group."""
-        start = bisect.bisect(self._places, (_place(group), ''))
-        wanted = min(PROBERS, self._count)
-        found: list[NodeId] = []
+        """Return the nodes that follow a group on the ring."""
+        start = bisect.bisect(self._points, (_hash_position(group), ''))
+        count = min(PROBERS_PER_GROUP, self._count)
+        probers: list[NodeId] = []
         position = start
-        while len(found) < wanted:
-            node = self._places[position % len(self._places)][1]
-            if node not in found:
-                found.append(node)
+        while len(probers) < count:
+            node = self._points[position % len(self._points)][1]
+            if node not in probers:
+                probers.append(node)
             position += 1
-        return found
+        return probers
 
 
-def _place(name: str) -> int:
+def _hash_position(name: str) -> int:
     digest = hashlib.blake2b(name.encode(), digest_size=8)
     return int.from_bytes(digest.digest())
 
 
-def pick_probed(
+def select_probed_groups(
     groups: list[Group],
     records: list[NodeRecord],
     own: NodeRecord,
 ) -> list[Group]:
     """Return the groups that a node probes.
 
-    The nodes of a group's own data hall probe it; those of all halls
-    where its own has none.
+    A group is probed by nodes of its own data hall, or by nodes of all halls
+    if its own hall has none.
     """
     live = [record for record in records if record.state is NodeState.LIVE]
     rings: dict[str, ProbeRing] = {}
-    picked = []
+    selected = []
     for group in groups:
         ring = rings.get(group.hall)
         if ring is None:
-            here = [node.node for node in live if node.hall == group.hall]
-            ring = ProbeRing(here or [node.node for node in live])
+            local = [node.node for node in live if node.hall == group.hall]
+            ring = ProbeRing(local or [node.node for node in live])
             rings[group.hall] = ring
         if own.node in ring.list_probers(group.group):
-            picked.append(group)
-    return picked
+            selected.append(group)
+    return selected
 
 
 @attrs.frozen
 class ProberParts:
-    """What a prober works with."""
+    """Dependencies of a prober."""
 
     in_force: InForce
-    """Versions in force."""
+    """Versions of roster and configuration in force."""
 
     health: HealthTable
-    """Where words are kept."""
+    """Table that keeps the evidence."""
 
     loads: LoadTable
-    """Where reported loads are kept."""
+    """Table that keeps the loads of groups."""
 
     gossip: Gossip
-    """Membership, to know which groups to probe."""
+    """Membership, which determines the groups to probe."""
 
     links: PeerLinks
     """Streams to other nodes."""
 
     target: Target
-    """Calls to boxes."""
+    """Client for calls to boxes."""
 
     clock: Clock
-    """Where the time is read."""
+    """Source of the current time."""
 
     timing: TimingSettings
-    """Periods and bounds."""
+    """Timeout of a probe and lifetime of evidence."""
 
     paths: ReplicaPaths
-    """Knows whether this node's links to targets work."""
+    """State of this node's links to targets."""
 
 
 class Prober(Actor):
-    """Probes this node's part of the groups and spreads what is news.
+    """Probes the groups assigned to this node and publishes new evidence.
 
     Parameters
     ----------
     parts
-        What it works with.
+        Dependencies of the prober.
     """
 
     class ProbeTick(Message, frozen=True):
-        """Probes are due."""
+        """A round of probes is due."""
 
     def __init__(self, parts: ProberParts) -> None:
-        """Start without words."""
+        """Start without evidence."""
         super().__init__('prober')
         self._parts = parts
-        self._said: dict[GroupId, Evidence] = {}
-        self._said_at: dict[GroupId, float] = {}
-        self._round: asyncio.Task[None] | None = None
-        self._picked: list[Group] = []
-        self._picked_for: tuple[int, int] = (-1, -1)
+        self._published: dict[GroupId, Evidence] = {}
+        self._published_at: dict[GroupId, float] = {}
+        self._probing: asyncio.Task[None] | None = None
+        self._selected: list[Group] = []
+        self._selected_for: tuple[int, int] = (-1, -1)
         parts.links.subscribe(self, HealthNews, LoadNews)
 
     def on_probe_tick(self, _tick: ProbeTick) -> None:
-        """Begin a round of probes, unless one is still under way.
+        """Start a round of probes unless one is still running.
 
-        It is a task of its own: words of others are not to wait for a
-        box that does not answer.
+        The round is a task of its own, so that a box that does not answer
+        does not delay messages of other nodes.
         """
-        if self._round is None or self._round.done():
-            self._round = self.spawn(self._probe_all())
+        if self._probing is None or self._probing.done():
+            self._probing = self.spawn(self._probe_all())
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in words and loads; pass on what is news."""
+        """Record evidence and loads of other nodes; forward new evidence."""
         message = received.message
         if isinstance(message, LoadNews):
             self._parts.loads.hear(message.loads)
             return
         now = self._parts.clock.read()
         news = tuple(
-            word
-            for word in message.words
-            if self._parts.health.hear(word, now)
+            evidence
+            for evidence in message.words
+            if self._parts.health.add_evidence(evidence, now)
         )
         if news:
             self._parts.links.spread(HealthNews(news), skip=received.node)
 
     def dump(self) -> dict[str, object]:
-        """Return the words against groups as plain values."""
+        """Return the evidence against groups as plain values."""
         down = self._parts.health.list_down(self._parts.clock.read())
         return {
-            'probed': len(self._picked),
+            'probed': len(self._selected),
             'down': {
                 group: {
-                    'verdict': word.verdict.value,
-                    'reporter': word.reporter,
-                    'detail': word.detail,
+                    'verdict': evidence.verdict.value,
+                    'reporter': evidence.reporter,
+                    'detail': evidence.detail,
                 }
-                for group, word in down.items()
+                for group, evidence in down.items()
             },
         }
 
     async def _probe_all(self) -> None:
-        """Probe each group of this node's part."""
-        groups = self._pick_groups()
-        # A probe in flight costs memory, so a few groups go at a time.
-        for start in range(0, len(groups), GROUPS_AT_ONCE):
-            await self._probe_some(groups[start : start + GROUPS_AT_ONCE])
+        """Probe each group that is assigned to this node."""
+        groups = self._select_groups()
+        # Each probe in flight uses memory, so groups are probed in batches.
+        for start in range(0, len(groups), MAX_CONCURRENT_GROUPS):
+            await self._probe_batch(
+                groups[start : start + MAX_CONCURRENT_GROUPS]
+            )
         news = self._parts.loads.take_news()
         if news:
             self._parts.links.spread(LoadNews(news))
 
-    def _pick_groups(self) -> list[Group]:
+    def _select_groups(self) -> list[Group]:
         table = self._parts.gossip.table
         versions = (self._parts.in_force.roster.number, table.digest)
-        if versions != self._picked_for:
-            self._picked_for = versions
+        if versions != self._selected_for:
+            self._selected_for = versions
             serving = [
                 group
                 for group in self._parts.in_force.roster
                 if group.state is GroupState.SERVING
             ]
             records = list(table.records)
-            self._picked = pick_probed(serving, records, table.own)
-            self._forget_words({group.group for group in self._picked})
-            self._parts.health.keep_only(
-                set(self._parts.in_force.roster.groups)
-            )
-        return self._picked
-
-    def _forget_words(self, kept: set[GroupId]) -> None:
-        """Forget what was said of groups that others probe now."""
-        for group in tuple(self._said):
+            self._selected = select_probed_groups(serving, records, table.own)
+            self._drop_published({group.group for group in self._selected})
+            self._parts.health.retain(set(self._parts.in_force.roster.groups))
+        return self._selected
+
+    def _drop_published(self, kept: set[GroupId]) -> None:
+        """Drop the evidence about groups that other nodes probe now."""
+        for group in tuple(self._published):
             if group not in kept:
-                self._said.pop(group)
-                self._said_at.pop(group)
+                self._published.pop(group)
+                self._published_at.pop(group)
 
-    async def _probe_some(self, groups: list[Group]) -> None:
-        """Probe some groups side by side; spread what is news."""
-        verdicts = await asyncio.gather(
+    async def _probe_batch(self, groups: list[Group]) -> None:
+        """Probe some groups concurrently and publish the new evidence."""
+        probed = await asyncio.gather(
             *(self._probe_group(group) for group in groups),
         )
-        words = tuple(word for word in verdicts if word is not None)
-        if words:
-            self._parts.links.spread(HealthNews(words))
+        news = tuple(evidence for evidence in probed if evidence is not None)
+        if news:
+            self._parts.links.spread(HealthNews(news))
 
     async def _probe_group(self, group: Group) -> Evidence | None:
         answers = await asyncio.gather(
@@ -256,47 +256,55 @@
             self._parts.loads.note(group.group, head.load)
         fenced = self._is_fenced(group)
         verdict, detail = judge_probes(group, answers, fenced=fenced)
-        is_news = self._is_news(group, verdict)
-        if None in answers and not await self._verify_links(group, is_news):
+        must_publish = self._must_publish(group, verdict)
+        if None in answers and not await self._verify_links(
+            group, must_publish
+        ):
             return self._withdraw(group)
-        return self._say(group, verdict, detail) if is_news else None
+        return (
+            self._record_evidence(group, verdict, detail)
+            if must_publish
+            else None
+        )
 
-    async def _verify_links(self, group: Group, is_news: bool) -> bool:
-        """Answer whether boxes without an answer are evidence of a group."""
+    async def _verify_links(self, group: Group, must_publish: bool) -> bool:
+        """Return whether missing answers are evidence against a group."""
         service = ServiceName(group.service)
-        if is_news:
+        if must_publish:
             return await self._parts.paths.verify(service)
         return not self._parts.paths.is_partitioned(service)
 
     def _withdraw(self, group: Group) -> Evidence | None:
-        """Take back what this node said while its links were being lost."""
-        said = self._said.get(group.group)
-        if said is None or said.verdict is Verdict.UP:
+        """Retract evidence published while this node was losing its links."""
+        published = self._published.get(group.group)
+        if published is None or published.verdict is Verdict.UP:
             return None
         log_event('evidence_withdrawn', group=group.group)
-        return self._say(group, Verdict.UP, '')
+        return self._record_evidence(group, Verdict.UP, '')
 
     def _is_fenced(self, group: Group) -> bool:
         index = self._parts.in_force.index
         service = index.find_service(group.service)
         return service is not None and service.fenced
 
-    def _is_news(self, group: Group, verdict: Verdict) -> bool:
-        """Answer whether a verdict is to be told to the other nodes."""
-        said = self._said.get(group.group)
-        if said is None:
+    def _must_publish(self, group: Group, verdict: Verdict) -> bool:
+        """Return whether a verdict must be sent to the other nodes."""
+        published = self._published.get(group.group)
+        if published is None:
             return verdict is not Verdict.UP
-        if (said.verdict, said.epoch) != (verdict, group.epoch):
+        if (published.verdict, published.epoch) != (verdict, group.epoch):
             return True
-        age = self._parts.clock.read() - self._said_at[group.group]
-        is_stale = age >= self._parts.timing.evidence * REFRESH_SHARE
+        age = self._parts.clock.read() - self._published_at[group.group]
+        is_stale = age >= self._parts.timing.evidence * REFRESH_FRACTION
         return is_stale and verdict is not Verdict.UP
 
-    def _say(self, group: Group, verdict: Verdict, detail: str) -> Evidence:
-        """Keep a word about a group, and return it to be spread."""
+    def _record_evidence(
+        self, group: Group, verdict: Verdict, detail: str
+    ) -> Evidence:
+        """Record evidence about a group and return it for sending."""
         now = self._parts.clock.read()
         own = self._parts.gossip.table.own
-        word = Evidence(
+        evidence = Evidence(
             group.group,
             group.epoch,
             own.node,
@@ -304,8 +312,8 @@
             verdict,
             detail,
         )
-        said = self._said.get(group.group)
-        if said is None or (said.verdict, said.epoch) != (
+        published = self._published.get(group.group)
+        if published is None or (published.verdict, published.epoch) != (
             verdict,
             group.epoch,
         ):
@@ -315,10 +323,10 @@
                 verdict=verdict.value,
                 detail=detail,
             )
-        self._said[group.group] = word
-        self._said_at[group.group] = now
-        self._parts.health.hear(word, now)
-        return word
+        self._published[group.group] = evidence
+        self._published_at[group.group] = now
+        self._parts.health.add_evidence(evidence, now)
+        return evidence
 
 
 def judge_probes(
@@ -327,11 +335,13 @@
     *,
     fenced: bool,
 ) -> tuple[Verdict, str]:
-    """Return what the answers of a group's boxes mean, and whose."""
+    """Return the verdict on a group and the box that caused it."""
     for member, answer in zip(group.members, answers, strict=True):
         if answer is None or not answer.ready:
             return Verdict.DOWN, member.box
-        ordered = answer.group == group.group and answer.epoch == group.epoch
-        if fenced and not ordered:
+        is_ordered = (
+            answer.group == group.group and answer.epoch == group.epoch
+        )
+        if fenced and not is_ordered:
             return Verdict.DISORDERED, member.box
     return Verdict.UP, ''
