--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -27,14 +27,14 @@
 from waywell.knowledge.outlook import Outlook
 from waywell.membership.membership import NodeRecord
 from waywell.process.front_settings import PromiseSettings
-from waywell.request.ask import AnswerMark, Ask
 from waywell.request.attempt import Attempt
+from waywell.request.decoded_request import AnswerMetadata, DecodedRequest
 from waywell.request.forwarder import Forwarder
 from waywell.request.paths import DirectPaths
 from waywell.request.peer_chooser import make_peer_key
 from waywell.request.placement import Chooser
 from waywell.request.replica_book import ReplicaBook
-from waywell.request.request_context import CallerAnswer, ForwarderParts
+from waywell.request.request_context import AnswerWriter, ForwarderDependencies
 from waywell.request.resend_budget import ResendBudget, ResendLimits
 from waywell.request.shared_loads import SharedLoads
 from waywell.request.stream_events import StreamEvent
@@ -55,7 +55,7 @@
 STREAM_HEADERS = ((b'content-type', b'text/event-stream'),)
 
 
-class StageAnswer(CallerAnswer):
+class StageAnswer(AnswerWriter):
     def __init__(self) -> None:
         self.body = b''
         self.status = 0
@@ -71,7 +71,7 @@
     def finish(self) -> None:
         self.end = 'whole'
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self.end = 'cut'
 
 
@@ -80,7 +80,7 @@
         return ()
 
     def make_forward_headers(
-        self, _ask: Ask, mark: ForwardMark, *_words: object
+        self, _ask: DecodedRequest, mark: ForwardMark, *_words: object
     ) -> tuple:
         return ((FORWARDED_HEADER.encode(), mark.encode().encode()),)
 
@@ -152,7 +152,7 @@
         self.paths = HeldPaths()
         self.budget = ResendBudget(ResendLimits(0.2, 90.0, 10.0), 0.0)
         self.forwarder = Forwarder(
-            ForwarderParts(
+            ForwarderDependencies(
                 outlook=outlook,
                 wire=_Wire(),
                 chooser=Chooser(HallName('port'), SharedLoads(), Random(1)),
@@ -166,7 +166,7 @@
                 raise_doubt=lambda _replica: None,
                 metrics=RequestMetrics(Metrics()),
                 guard=self.quarantine,
-                turns=self.turns,
+                permits=self.turns,
                 running=self.quarantine._running,
             ),
         )
@@ -179,7 +179,7 @@
     ) -> None:
         attempt.started_at = now
         if not self._has_turn(attempt):
-            attempt.tell(Attempt.Fault(attempt, SendFault.NO_TURN))
+            attempt.post(Attempt.Fault(attempt, SendFault.NO_TURN))
             return
         assert not self.connects_at_once or may_send()
         self.may_send = may_send
@@ -188,7 +188,7 @@
     def _has_turn(self, attempt: Attempt) -> bool:
         """Take a turn as an attempt does; the node deals all itself."""
         try:
-            attempt.destination.take_turn().send(None)
+            attempt.destination.acquire_permit().send(None)
         except StopIteration as end:
             return bool(end.value)
         raise AssertionError('the node asked another one')
@@ -198,7 +198,7 @@
         forwarded: ForwardMark | None = None,
         resume_after: int | None = None,
     ) -> asyncio.Task:
-        ask = Ask(
+        ask = DecodedRequest(
             'a1',
             'POST',
             '/x',
@@ -225,22 +225,22 @@
         await self.settle()
 
     async def head(self, attempt: Attempt, **changes: Any) -> None:
-        facts = {'status': 200, 'mark': AnswerMark('a1'), **changes}
-        attempt.take_head(headers=STREAM_HEADERS, length=None, **facts)
+        facts = {'status': 200, 'metadata': AnswerMetadata('a1'), **changes}
+        attempt.receive_head(headers=STREAM_HEADERS, length=None, **facts)
         await self.settle()
 
     async def events(self, attempt: Attempt, *numbers: int) -> None:
         for number in numbers:
             raw = b'id: %d\n\n' % number
-            attempt.tell(Attempt.Piece(attempt, StreamEvent(raw, number)))
+            attempt.post(Attempt.Piece(attempt, StreamEvent(raw, number)))
         await self.settle()
 
     async def end(self, attempt: Attempt, is_whole: bool = True) -> None:
         end = BodyEnd.ANNOUNCED if is_whole else BodyEnd.CUT
-        attempt.tell(Attempt.End(attempt, BodyOutcome(end)))
+        attempt.post(Attempt.End(attempt, BodyOutcome(end)))
         await self.settle()
 
-    async def _serve(self, ask: Ask, answer: StageAnswer) -> None:
+    async def _serve(self, ask: DecodedRequest, answer: StageAnswer) -> None:
         try:
             await self.forwarder.serve(ask, answer)
         except Refusal as refusal:
--- a/tests/lone_quarantine.py
+++ b/tests/lone_quarantine.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from waywell.quarantine.quarantine import Quarantine
-from waywell.request.running import RunningAttempts
+from waywell.request.running_attempts import RunningAttempts
 
 if TYPE_CHECKING:
     from waywell.ids import NodeId
--- a/tests/test_answer_times.py
+++ b/tests/test_answer_times.py
@@ -24,10 +24,10 @@
     tokens: int = 0,
 ) -> SimpleNamespace:
     return SimpleNamespace(
-        ask=SimpleNamespace(answer_tokens=tokens),
+        request=SimpleNamespace(answer_tokens=tokens),
         route=SimpleNamespace(name=route),
         arrived_at=arrived_at,
-        ends_at=arrived_at + seconds,
+        deadline_at=arrived_at + seconds,
     )
 
 
@@ -103,7 +103,7 @@
         stage.clock.now += 0.5
         await stage.end(first)
         assert stage.answer.end == 'whole'
-        stage.forwarder.leave(stage.clock.now + 2.0)
+        stage.forwarder.start_draining(stage.clock.now + 2.0)
         stage.attempts.clear()
         await stage.begin()
         assert len(stage.attempts) == 1
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -16,17 +16,17 @@
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
 from waywell.ids import BoxId, Incarnation
-from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
 from waywell.request.backpressure import (
     LEAVING_SECONDS,
     MOST_KEPT,
     Backpressure,
 )
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.version.fleet import BoxLife
 from waywell.version.lives import EndedLife
 
-REST = AnswerMark('a1', is_rejected=True, rest_seconds=3.0)
+REST = AnswerMetadata('a1', is_rejected=True, rest_seconds=3.0)
 
 
 def make_life(name: str, incarnation: int = 1) -> BoxLife:
@@ -47,19 +47,19 @@
 
     @rule(life=lives, seconds=st.floats(0, 20))
     def ask_for_rest(self, life: BoxLife, seconds: float) -> None:
-        mark = AnswerMark(is_rejected=True, rest_seconds=seconds)
+        mark = AnswerMetadata(is_rejected=True, rest_seconds=seconds)
         self.pressure.note(life, mark, self.now)
         ends_at = self.now + seconds
         self.ends[life] = max(ends_at, self.ends.get(life, 0.0))
 
     @rule(life=lives)
     def leave(self, life: BoxLife) -> None:
-        self.pressure.note(life, AnswerMark(is_leaving=True), self.now)
+        self.pressure.note(life, AnswerMetadata(is_leaving=True), self.now)
         self.leaving.add(life)
 
     @rule(life=lives)
     def answer(self, life: BoxLife) -> None:
-        self.pressure.note(life, AnswerMark('a1'), self.now)
+        self.pressure.note(life, AnswerMetadata('a1'), self.now)
 
     @rule(life=lives)
     def end(self, life: BoxLife) -> None:
@@ -107,7 +107,7 @@
 
 def test_a_word_of_leaving_is_bounded_as_well() -> None:
     pressure = Backpressure()
-    leaves = AnswerMark(is_leaving=True)
+    leaves = AnswerMetadata(is_leaving=True)
     for number in range(MOST_KEPT + 10):
         pressure.note(make_life(f'b{number}'), leaves, 0.0)
     assert pressure.count(0.0)['leaving'] <= MOST_KEPT
@@ -123,7 +123,7 @@
         (first,) = stage.attempts
         # The caller leaves while the head of the answer is on its way.
         task.cancel()
-        await stage.head(first, status=503, mark=REST)
+        await stage.head(first, status=503, metadata=REST)
         for _request in range(6):
             await stage.begin()
             assert stage.attempts[-1].replica != first.replica
@@ -135,7 +135,7 @@
     async def play() -> None:
         await stage.begin()
         (first,) = stage.attempts
-        await stage.head(first, status=503, mark=REST)
+        await stage.head(first, status=503, metadata=REST)
         head, member = (
             ('a', 'b') if first.replica.head.box == 'a' else ('c', 'd')
         )
@@ -156,11 +156,11 @@
         await stage.begin()
         (first,) = stage.attempts
         stage.outlook.listen_for_ends(
-            stage.forwarder._parts.backpressure.forget_ended
+            stage.forwarder._dependencies.backpressure.forget_ended
         )
-        await stage.head(first, status=503, mark=REST)
+        await stage.head(first, status=503, metadata=REST)
         life = first.replica.key.life
-        pressure = stage.forwarder._parts.backpressure
+        pressure = stage.forwarder._dependencies.backpressure
         assert not pressure.may_send(life, stage.clock.now)
         await stage.restart(life.box)
         assert pressure.may_send(life, stage.clock.now)
@@ -175,12 +175,12 @@
         await stage.begin()
         (first,) = stage.attempts
         stage.connects_at_once = False
-        await stage.head(first, status=503, mark=REST)
+        await stage.head(first, status=503, metadata=REST)
         (_first, second) = stage.attempts
         # Another request got the wish of the second one meanwhile.
-        second.destination.on_mark(REST, second.sent_at, stage.clock.now)
+        second.destination.on_metadata(REST, second.sent_at, stage.clock.now)
         assert not stage.may_send()
-        second.tell(Attempt.Fault(second, SendFault.TOO_LATE))
+        second.post(Attempt.Fault(second, SendFault.TOO_LATE))
         await stage.settle()
 
     asyncio.run(play())
@@ -192,13 +192,13 @@
 def test_callers_are_told_when_the_first_replica_is_rested(
     stage: Stage,
 ) -> None:
-    longer = AnswerMark('a1', is_rejected=True, rest_seconds=5.0)
-    shorter = AnswerMark('a1', is_rejected=True, rest_seconds=1.5)
+    longer = AnswerMetadata('a1', is_rejected=True, rest_seconds=5.0)
+    shorter = AnswerMetadata('a1', is_rejected=True, rest_seconds=1.5)
 
     async def play() -> None:
         await stage.begin()
-        await stage.head(stage.attempts[0], status=503, mark=longer)
-        await stage.head(stage.attempts[1], status=503, mark=shorter)
+        await stage.head(stage.attempts[0], status=503, metadata=longer)
+        await stage.head(stage.attempts[1], status=503, metadata=shorter)
         await stage.begin()
 
     asyncio.run(play())
@@ -212,7 +212,7 @@
     stage: Stage,
 ) -> None:
     paid = []
-    budget = stage.forwarder._parts.budget
+    budget = stage.forwarder._dependencies.budget
     spend = budget.spend
 
     def note_spent(*words: object) -> bool:
@@ -223,8 +223,8 @@
 
     async def play() -> None:
         await stage.begin()
-        await stage.head(stage.attempts[0], status=503, mark=REST)
-        await stage.head(stage.attempts[1], status=503, mark=REST)
+        await stage.head(stage.attempts[0], status=503, metadata=REST)
+        await stage.head(stage.attempts[1], status=503, metadata=REST)
         await stage.begin()
 
     asyncio.run(play())
@@ -244,7 +244,7 @@
             for one in stage.outlook.list_replicas('llm', 'notes')
             if one != stream.replica
         )
-        stage.forwarder._parts.backpressure.note(
+        stage.forwarder._dependencies.backpressure.note(
             other.key.life, REST, stage.clock.now
         )
         # Neither beside a silent attempt, nor in place of a broken one.
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -7,13 +7,13 @@
 
 from waywell.ids import Incarnation, NodeId, RequestId
 from waywell.request.claim import (
-    CLAIM_SECONDS,
-    MOST_CLAIMS,
+    ISSUED_ID_SECONDS,
+    MAX_CLAIMS,
     ClaimKey,
     ClaimState,
     ClaimTable,
-    issue_prefix,
-    read_issued,
+    make_id_prefix,
+    parse_issued_id,
 )
 
 HOME = NodeId('home')
@@ -24,23 +24,23 @@
 
 
 def test_issued_ids_can_be_read_back() -> None:
-    prefix = issue_prefix(HOME, Incarnation(7), 12.9)
-    issued = read_issued(RequestId(f'{prefix}x:y'))
+    prefix = make_id_prefix(HOME, Incarnation(7), 12.9)
+    issued = parse_issued_id(RequestId(f'{prefix}x:y'))
     assert issued is not None
     assert (issued.node, issued.incarnation, issued.second) == (HOME, 7, 12)
 
 
 def test_own_ids_are_told_apart() -> None:
     for name in ('abc', 'a:b:c', 'home:7:1:', 'home:x:1:y', 'home:7:-1:y'):
-        assert read_issued(RequestId(name)) is None
+        assert parse_issued_id(RequestId(name)) is None
 
 
 def test_home_that_took_another_incarnation_gives_out_its_ids() -> None:
     table = ClaimTable(HOME, Incarnation(7))
-    table.take_incarnation(Incarnation(9))
+    table.change_incarnation(Incarnation(9))
     states = {
         incarnation: table.claim(
-            make_key(f'{issue_prefix(HOME, Incarnation(incarnation), 1)}x'),
+            make_key(f'{make_id_prefix(HOME, Incarnation(incarnation), 1)}x'),
             HOME,
             9,
             1.0,
@@ -52,7 +52,7 @@
 
 def test_id_of_the_future_or_the_past_is_not_good() -> None:
     table = ClaimTable(HOME, Incarnation(7))
-    for second, now in ((100, 50.0), (0, CLAIM_SECONDS + 1)):
+    for second, now in ((100, 50.0), (0, ISSUED_ID_SECONDS + 1)):
         name = f'home:7:{second}:x'
         state = table.claim(make_key(name), HOME, 7, now)
         assert state is ClaimState.EXPIRED
@@ -62,18 +62,18 @@
     table = ClaimTable(HOME, Incarnation(7))
     key = make_key('home:7:0:x')
     assert table.claim(key, HOME, 7, 1) is ClaimState.GRANTED
-    for now in range(0, int(CLAIM_SECONDS * 4), 100):
-        table.forget(now)
+    for now in range(0, int(ISSUED_ID_SECONDS * 4), 100):
+        table.forget_expired(now)
         assert table.claim(key, HOME, 7, now) is not ClaimState.GRANTED
 
 
 def test_full_table_refuses() -> None:
     table = ClaimTable(HOME, Incarnation(7))
-    for number in range(MOST_CLAIMS):
+    for number in range(MAX_CLAIMS):
         table.claim(make_key(f'home:7:0:{number}'), HOME, 7, 1)
     state = table.claim(make_key('home:7:0:more'), HOME, 7, 1)
     assert state is ClaimState.FULL
-    assert len(table) == MOST_CLAIMS
+    assert len(table) == MAX_CLAIMS
 
 
 class ClaimMachine(RuleBasedStateMachine):
@@ -92,7 +92,7 @@
 
     @rule()
     def issue(self) -> None:
-        prefix = issue_prefix(HOME, Incarnation(self.incarnation), self.now)
+        prefix = make_id_prefix(HOME, Incarnation(self.incarnation), self.now)
         self.names.append(f'{prefix}{len(self.names)}')
 
     @rule(
@@ -125,13 +125,13 @@
     def kill(self, node: str, seen: bool) -> None:
         self.holders[node] = []
         if seen:
-            self.table.lose_holder(NodeId(node), self.lives[node])
+            self.table.mark_holder_lost(NodeId(node), self.lives[node])
         self.lives[node] += 1
 
     @rule(node=st.sampled_from(['n1', 'n2']))
     def suspect_wrongly(self, node: str) -> None:
         """The holder is thought lost but runs on."""
-        self.table.lose_holder(NodeId(node), self.lives[node])
+        self.table.mark_holder_lost(NodeId(node), self.lives[node])
 
     @rule()
     def restart_home(self) -> None:
@@ -141,7 +141,7 @@
     @rule(seconds=st.sampled_from([1, 100, 899, 901, 2000]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.table.forget(self.now)
+        self.table.forget_expired(self.now)
 
     @invariant()
     def nothing_runs_twice(self) -> None:
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -9,13 +9,17 @@
 
 from waywell.ids import AccountName, Fingerprint
 from waywell.request import fingerprint
-from waywell.request.ask import Ask
+from waywell.request.decoded_request import DecodedRequest
 
 SHOP = AccountName('shop')
-ASK = Ask('a1', 'POST', '/notes/1?x=2', 'shop.example', (), b'{"a": 1}')
+ASK = DecodedRequest(
+    'a1', 'POST', '/notes/1?x=2', 'shop.example', (), b'{"a": 1}'
+)
 
 
-def make_fingerprint(ask: Ask, account: AccountName | None) -> Fingerprint:
+def make_fingerprint(
+    ask: DecodedRequest, account: AccountName | None
+) -> Fingerprint:
     return fingerprint.make_fingerprint(
         ask.method, ask.target, ask.body, account
     )
@@ -24,11 +28,11 @@
 def test_each_repeat_has_the_same() -> None:
     repeat = msgspec.structs.replace(
         ASK,
-        attempt='a2',
+        attempt_id='a2',
         host='SHOP.example:8000',
         headers=((b'x', b'y'),),
-        key='the new one',
-        seconds=3.0,
+        api_key='the new one',
+        timeout_seconds=3.0,
         resume_after=4,
     )
     assert make_fingerprint(repeat, SHOP) == make_fingerprint(ASK, SHOP)
@@ -63,8 +67,8 @@
     account: str,
     body: bytes,
 ) -> None:
-    one = Ask('a', 'GET', target, 'h', (), body)
-    longer = Ask('a', 'GET', f'{target}x', 'h', (), body)
+    one = DecodedRequest('a', 'GET', target, 'h', (), body)
+    longer = DecodedRequest('a', 'GET', f'{target}x', 'h', (), body)
     assert make_fingerprint(longer, AccountName(account)) != make_fingerprint(
         one, AccountName(f'x{account}')
     )
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -20,8 +20,8 @@
 )
 from waywell.ids import ServiceName
 from waywell.platform.messages import ServerWire
-from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.version.routes import RouteKind
 
 LLM = ServiceName('llm')
@@ -55,8 +55,8 @@
 async def refuse(
     stage: Stage, attempt: Attempt, code: Code, ran: Ran = Ran.NOT_RUN
 ) -> None:
-    mark = AnswerMark(refusal=PeerRefusal(code, ran, 0.7))
-    await stage.head(attempt, status=503, mark=mark)
+    mark = AnswerMetadata(refusal=PeerRefusal(code, ran, 0.7))
+    await stage.head(attempt, status=503, metadata=mark)
 
 
 def run(work: Any) -> None:
@@ -132,7 +132,7 @@
     async def play() -> None:
         await lost_once.begin()
         attempt = lost_once.attempts[0]
-        attempt.tell(Attempt.Fault(attempt, SendFault.BROKEN))
+        attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
         await lost_once.settle()
         assert lost_once.refusal is not None
         assert lost_once.refusal.ran is Ran.MAY_HAVE_RUN
@@ -148,7 +148,7 @@
         lost.connects_at_once = False
         await lost.begin()
         attempt = lost.attempts[0]
-        attempt.tell(Attempt.Fault(attempt, SendFault.NOT_SENT))
+        attempt.post(Attempt.Fault(attempt, SendFault.NOT_SENT))
         await lost.settle()
         assert name_peers(lost) == ['b', 'c']
         assert not lost.quarantine.ended
@@ -201,7 +201,7 @@
         await stage.begin()
         for number in range(2):
             attempt = stage.attempts[number]
-            attempt.tell(Attempt.Fault(attempt, SendFault.NOT_SENT))
+            attempt.post(Attempt.Fault(attempt, SendFault.NOT_SENT))
             await stage.settle()
         assert name_peers(stage)[-1] == 'b'
         assert stage.refusal is None
@@ -213,7 +213,7 @@
     async def play() -> None:
         await lost.begin()
         attempt = lost.attempts[0]
-        attempt.tell(Attempt.Fault(attempt, SendFault.BROKEN))
+        attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
         await lost.settle()
         assert not lost.quarantine.ended
         assert not lost.book.list_loads()
@@ -234,8 +234,12 @@
     sent = wire.make_forward_headers(ask, ForwardMark('own', 3), 2.5, 4)
     again = wire.read_ask('POST', '/notes/1', sent, b'body')
     assert again.forwarded == ForwardMark('own', 3)
-    assert (again.host, again.attempt) == ('shop.example', 'a1')
-    assert (again.key, again.seconds, again.resume_after) == ('secret', 2.5, 4)
+    assert (again.host, again.attempt_id) == ('shop.example', 'a1')
+    assert (again.api_key, again.timeout_seconds, again.resume_after) == (
+        'secret',
+        2.5,
+        4,
+    )
     names = [name.lower() for name, _text in again.headers]
     assert b'x-own' in names
     assert FORWARDED_HEADER.encode() not in names
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -10,8 +10,8 @@
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
 from waywell.ids import BoxId
-from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.stream_events import StreamEvent
 from waywell.version.fleet import ReplicaKey
 from waywell.version.routes import RouteKind
@@ -93,7 +93,7 @@
         second = stage.attempts[1]
         # No third replica is allowed, so the failure is the last word.
         await stage.head(second, status=500)
-        second.tell(Attempt.Piece(second, StreamEvent(b'{}', None)))
+        second.post(Attempt.Piece(second, StreamEvent(b'{}', None)))
         await stage.end(second)
 
     asyncio.run(play())
@@ -106,8 +106,8 @@
         await stage.begin()
         (first,) = stage.attempts
         # Both wait in the queue when the first of them drops the attempt.
-        first.tell(Attempt.Fault(first, SendFault.NOT_SENT))
-        first.tell(Attempt.Fault(first, SendFault.BROKEN))
+        first.post(Attempt.Fault(first, SendFault.NOT_SENT))
+        first.post(Attempt.Fault(first, SendFault.BROKEN))
         await stage.settle()
         second = stage.attempts[-1]
         await stage.head(second)
@@ -128,7 +128,7 @@
         await stage.begin()
         for _failure in range(2):
             attempt = stage.attempts[-1]
-            attempt.tell(Attempt.Fault(attempt, SendFault.BROKEN))
+            attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
             await stage.settle()
 
     asyncio.run(play())
@@ -165,9 +165,9 @@
 
     async def play() -> None:
         await stage.begin()
-        rejected = AnswerMark('a1', is_rejected=True)
+        rejected = AnswerMetadata('a1', is_rejected=True)
         for _rejection in range(2):
-            await stage.head(stage.attempts[-1], status=503, mark=rejected)
+            await stage.head(stage.attempts[-1], status=503, metadata=rejected)
 
     asyncio.run(play())
     assert len(stage.attempts) == 2
@@ -266,7 +266,7 @@
         await stage.end(first, is_whole=False)
         second = stage.attempts[1]
         stage.quarantine.ended.add(second.replica.key.box)
-        second.tell(Attempt.Fault(second, SendFault.BROKEN))
+        second.post(Attempt.Fault(second, SendFault.BROKEN))
         await stage.settle()
 
     asyncio.run(play())
@@ -280,7 +280,9 @@
     async def play() -> None:
         await stage.begin()
         await _end_three(stage)
-        stage.quarantine._running.spare(stage.attempts[0].traits.fingerprint)
+        stage.quarantine._running.fail_quarantined(
+            stage.attempts[0].traits.fingerprint
+        )
         await stage.settle()
 
     asyncio.run(play())
@@ -300,8 +302,8 @@
         (first,) = stage.attempts
         await stage.head(first)
         # The piece waits in the queue when the word comes.
-        first.tell(Attempt.Piece(first, StreamEvent(b'id: 1\n\n', 1)))
-        stage.quarantine._running.spare(first.traits.fingerprint)
+        first.post(Attempt.Piece(first, StreamEvent(b'id: 1\n\n', 1)))
+        stage.quarantine._running.fail_quarantined(first.traits.fingerprint)
         await stage.settle()
         await stage.events(first, 2)
         await stage.end(first)
@@ -319,7 +321,7 @@
         await _end_three(stage)
         assert not stage.may_send()
         (first,) = stage.attempts
-        first.tell(Attempt.Fault(first, SendFault.TOO_LATE))
+        first.post(Attempt.Fault(first, SendFault.TOO_LATE))
         await stage.settle()
 
     asyncio.run(play())
@@ -353,7 +355,7 @@
         await stage.begin()
         (first,) = stage.attempts
         stage.quarantine.ended.add(first.replica.key.box)
-        first.tell(Attempt.Fault(first, SendFault.BROKEN))
+        first.post(Attempt.Fault(first, SendFault.BROKEN))
         await stage.settle()
         assert (
             stage.quarantine.book.count_crashes(first.traits.fingerprint) == 1
@@ -376,7 +378,7 @@
         (first,) = stage.attempts
         await stage.head(first)
         event = StreamEvent(b'data: a\n\n', None)
-        first.tell(Attempt.Piece(first, event))
+        first.post(Attempt.Piece(first, event))
         await stage.settle()
         await stage.pass_time(0.25)
         assert stage.attempts == [first]
@@ -395,7 +397,7 @@
         await stage.begin(resume_after=2)
         (first,) = stage.attempts
         await stage.head(first)
-        first.tell(Attempt.Piece(first, StreamEvent(b'part', None)))
+        first.post(Attempt.Piece(first, StreamEvent(b'part', None)))
         await stage.settle()
         await stage.end(first, is_whole=False)
         assert stage.attempts == [first]
--- a/tests/test_front_channel.py
+++ b/tests/test_front_channel.py
@@ -10,8 +10,8 @@
 from waywell.connection.forwarding import CODE_HEADER
 from waywell.connection.front import FrontBackend, FrontSite
 from waywell.platform.messages import ServerWire
-from waywell.request.ask import Ask
-from waywell.request.request_context import CallerAnswer
+from waywell.request.decoded_request import DecodedRequest
+from waywell.request.request_context import AnswerWriter
 from waywell.version.routes import CallerLimits
 
 
@@ -35,13 +35,13 @@
             is_leaving=lambda: False,
             report=lambda *_words: None,
         )
-        self.served: list[Ask] = []
+        self.served: list[DecodedRequest] = []
         self.channel = FrontSite(backend).buildProtocol(None)
         self.channel.callLater = self.clock.callLater
         self.transport = _Transport()
         self.channel.makeConnection(self.transport)
 
-    async def _serve(self, ask: Ask, _answer: CallerAnswer) -> None:
+    async def _serve(self, ask: DecodedRequest, _answer: AnswerWriter) -> None:
         self.served.append(ask)
 
     def wait(self, seconds: float) -> None:
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -11,7 +11,7 @@
 
 from tests.forwarder_stage import Stage
 from tests.front_bench import WHOLE, Front
-from waywell.request.ask import AnswerMark
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import wait_until
 
 REQUESTS = 12
@@ -74,12 +74,12 @@
 def test_a_stream_that_runs_at_a_replica_that_leaves_goes_on(
     stage: Stage,
 ) -> None:
-    says_so = AnswerMark('a1', is_leaving=True)
+    says_so = AnswerMetadata('a1', is_leaving=True)
 
     async def play() -> None:
         task = await stage.begin()
         (stream,) = stage.attempts
-        await stage.head(stream, mark=says_so)
+        await stage.head(stream, metadata=says_so)
         await stage.events(stream, 1, 2)
         await stage.end(stream)
         await task
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -10,7 +10,7 @@
 from waywell.codes import Code, Refusal
 from waywell.ids import AccountName
 from waywell.platform.messages import ServerWire
-from waywell.request.ask import Ask, Delivery
+from waywell.request.decoded_request import DecodedRequest, DeliveryParameters
 
 WIRE = ServerWire()
 HEADERS = (
@@ -29,12 +29,12 @@
 )
 
 
-def read(*extra: tuple[bytes, bytes]) -> Ask:
+def read(*extra: tuple[bytes, bytes]) -> DecodedRequest:
     return WIRE.read_ask('POST', '/notes/1?x=2', (*HEADERS, *extra), b'body')
 
 
-def write(ask: Ask, **changes: object) -> dict[bytes, bytes]:
-    delivery = Delivery(
+def write(ask: DecodedRequest, **changes: object) -> dict[bytes, bytes]:
+    delivery = DeliveryParameters(
         **{'account': AccountName('shop'), 'seconds': 2.5, **changes},
     )
     headers = WIRE.make_headers(ask, delivery, make_box('i-1'))
@@ -45,10 +45,10 @@
 
 def test_an_ask_says_what_the_headers_say() -> None:
     ask = read()
-    assert ask.attempt == 'a1'
+    assert ask.attempt_id == 'a1'
     assert ask.path == '/notes/1'
-    assert ask.key == 'secret'
-    assert ask.seconds == 8.0
+    assert ask.api_key == 'secret'
+    assert ask.timeout_seconds == 8.0
     assert (ask.prompt_tokens, ask.answer_tokens) == (1460, 80)
 
 
@@ -101,7 +101,7 @@
 
 def test_marks_of_an_answer() -> None:
     ran = WIRE.read_mark(500, ((b'X-Request-Attempt-Id', b'a1'),))
-    assert (ran.attempt, ran.is_rejected) == ('a1', False)
+    assert (ran.attempt_id, ran.is_rejected) == ('a1', False)
     assert WIRE.read_mark(503, ((b'X-Not-Executed', b'1'),)).is_rejected
     assert WIRE.read_mark(421, ()).is_misdirected
 
@@ -147,4 +147,4 @@
     except Refusal as refusal:
         assert refusal.code is Code.BAD_HEADER
         return
-    assert ask.attempt == 'a1'
+    assert ask.attempt_id == 'a1'
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from waywell.ids import ModelName
-from waywell.request.ask import Ask
+from waywell.request.decoded_request import DecodedRequest
 from waywell.request.hedge_timeouts import (
     LEAST_GAP_PART,
     MOST_GAP_PART,
@@ -18,7 +18,7 @@
 
 MODEL = ModelName('notes')
 ROUTE = Route('r', 'h', '/', RouteKind.STREAM, 6.0, 0.5, (), gap_goal=0.3)
-ASK = Ask('a', 'POST', '/', 'h', (), b'')
+ASK = DecodedRequest('a', 'POST', '/', 'h', (), b'')
 
 
 @pytest.mark.parametrize('scale', [0.03, 0.06])
--- a/tests/test_resting_replicas.py
+++ b/tests/test_resting_replicas.py
@@ -22,7 +22,7 @@
 from tests.forwarder_stage import Stage
 from tests.front_bench import Front
 from tests.house import Server
-from waywell.request.ask import AnswerMark
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import Process, wait_until
 
 LONG_REST = '600'
@@ -69,7 +69,7 @@
 
 
 def test_a_stream_that_goes_on_takes_no_rest_back(stage: Stage) -> None:
-    asks_rest = AnswerMark('a1', is_rejected=True, rest_seconds=3.0)
+    asks_rest = AnswerMetadata('a1', is_rejected=True, rest_seconds=3.0)
 
     async def play() -> None:
         await stage.begin()
@@ -79,7 +79,7 @@
         resting = stream.replica
         while stage.attempts[-1].replica != resting or len(stage.attempts) < 2:
             await stage.begin()
-        await stage.head(stage.attempts[-1], status=503, mark=asks_rest)
+        await stage.head(stage.attempts[-1], status=503, metadata=asks_rest)
         await stage.events(stream, 2, 3)
         await stage.end(stream)
         for _request in range(REQUESTS):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -11,7 +11,7 @@
 from waywell.ids import Fingerprint, SessionId
 from waywell.request.facts import RequestFacts
 from waywell.request.routing import hash_session
-from waywell.request.submission import Submission, Work
+from waywell.request.submission import PendingRequest, Submission
 from waywell.request.traits import RequestTraits
 from waywell.standins.harness import (
     BoxSpec,
@@ -101,7 +101,7 @@
 
 def test_another_accounts_session_is_another_session() -> None:
     account = Account('a')
-    work = Work(
+    work = PendingRequest(
         submission=Submission('GET', '/', {}, (), b''),
         caller=None,
         facts=RequestFacts('llm', '/', 'key', session=SessionId('s')),
--- a/tests/test_stream_events.py
+++ b/tests/test_stream_events.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from waywell.connection.event_boundary import EventBoundary
-from waywell.request.stream_events import EventCutter
+from waywell.request.stream_events import EventSplitter
 
 STREAM = b''.join(
     b'id: %d\ndata: token %d\n\n' % (number, number) for number in range(1, 9)
@@ -24,19 +24,21 @@
     cuts: list[int], line_end: bytes
 ) -> None:
     stream = STREAM.replace(b'\n', line_end)
-    cutter = EventCutter()
+    splitter = EventSplitter()
     edges = [0, *sorted(cuts), len(stream)]
     events = []
     for begin, end in zip(edges, edges[1:], strict=False):
-        events.extend(cutter.feed(stream[begin:end]))
+        events.extend(splitter.feed(stream[begin:end]))
     numbers = [one.number for one in events if one.number is not None]
     assert numbers == list(range(1, 9))
-    assert b''.join(event.raw for event in events) + cutter.rest == stream
+    assert (
+        b''.join(event.raw for event in events) + splitter.remainder == stream
+    )
     # Only the second half of a CR LF may come after the last event.
-    assert cutter.rest in {b'', b'\n'}
-    assert cutter.count_unfinished() == 0
+    assert splitter.remainder in {b'', b'\n'}
+    assert splitter.count_unfinished_bytes() == 0
     if line_end == b'\n':
-        assert cutter.rest == b''
+        assert splitter.remainder == b''
         assert [event.number for event in events] == list(range(1, 9))
 
 
@@ -48,37 +50,37 @@
     cut: int, line_end: bytes
 ) -> None:
     stream = STREAM.replace(b'\n', line_end)[:cut]
-    cutter = EventCutter()
-    events = cutter.feed(stream)
+    splitter = EventSplitter()
+    events = splitter.feed(stream)
     ended = sum(one.number is not None for one in events)
     begun = stream.count(b'i')
-    assert (cutter.count_unfinished() > 0) == (begun > ended)
+    assert (splitter.count_unfinished_bytes() > 0) == (begun > ended)
 
 
 @given(pieces=st.lists(st.sampled_from([b'a', b':', b'\r', b'\n', b'id: 1'])))
 def test_nothing_is_lost_of_any_stream(pieces: list[bytes]) -> None:
-    cutter = EventCutter()
-    events = [event for piece in pieces for event in cutter.feed(piece)]
+    splitter = EventSplitter()
+    events = [event for piece in pieces for event in splitter.feed(piece)]
     passed = b''.join(event.raw for event in events)
-    assert passed + cutter.rest == b''.join(pieces)
+    assert passed + splitter.remainder == b''.join(pieces)
 
 
 def test_half_an_event_is_kept_back() -> None:
-    cutter = EventCutter()
-    events = cutter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
+    splitter = EventSplitter()
+    events = splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
     assert [event.number for event in events] == [1]
-    assert cutter.rest == b'id: 2\nda'
+    assert splitter.remainder == b'id: 2\nda'
 
 
 def test_an_event_without_a_number_has_none() -> None:
-    (event,) = EventCutter().feed(b'data: a\n\n')
+    (event,) = EventSplitter().feed(b'data: a\n\n')
     assert event.number is None
-    (odd,) = EventCutter().feed(b'id: x1\n\n')
+    (odd,) = EventSplitter().feed(b'id: x1\n\n')
     assert odd.number is None
 
 
 def test_a_number_that_no_counter_reaches_is_none() -> None:
-    (event,) = EventCutter().feed(b'id: ' + b'9' * 5000 + b'\n\n')
+    (event,) = EventSplitter().feed(b'id: ' + b'9' * 5000 + b'\n\n')
     assert event.number is None
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -23,8 +23,8 @@
 from waywell.ids import BoxId, HallName, Incarnation, NodeId
 from waywell.limits.turns import START_SECONDS, TURN_SECONDS
 from waywell.membership.links import PeerLinks
-from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.turn_source import MOST_MISSED
 from waywell.version.fleet import BoxLife
 
@@ -32,10 +32,10 @@
 HALL = HallName('h')
 OTHER = NodeId('other')
 
-LIMITED = AnswerMark('a1', limit=1.0)
+LIMITED = AnswerMetadata('a1', rate_limit=1.0)
 """What a replica with a limit says of its answer."""
 
-REJECTED = AnswerMark('a1', is_rejected=True, limit=1.0)
+REJECTED = AnswerMetadata('a1', is_rejected=True, rate_limit=1.0)
 """The same where it did not run the request."""
 
 
@@ -209,8 +209,8 @@
         for _request in range(8):
             await stage.begin()
             for attempt in tuple(stage.attempts):
-                if attempt.head is None and not attempt._is_over:
-                    await stage.head(attempt, status=503, mark=REJECTED)
+                if attempt.head is None and not attempt._is_abandoned:
+                    await stage.head(attempt, status=503, metadata=REJECTED)
 
     asyncio.run(play())
     assert stage.refusal is not None
@@ -228,9 +228,11 @@
         await stage.begin()
         (attempt,) = stage.attempts
         # Another request was answered with the limit meanwhile.
-        attempt.destination.on_mark(LIMITED, attempt.sent_at, stage.clock.now)
+        attempt.destination.on_metadata(
+            LIMITED, attempt.sent_at, stage.clock.now
+        )
         assert not stage.may_send()
-        attempt.tell(Attempt.Fault(attempt, SendFault.TOO_LATE))
+        attempt.post(Attempt.Fault(attempt, SendFault.TOO_LATE))
         await stage.settle()
         assert stage.attempts[-1].replica != attempt.replica
 
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -27,7 +27,7 @@
 from waywell.membership.membership import MembershipTable, NodeRecord
 from waywell.process.loads import LoadTable
 from waywell.request.balance import Balance
-from waywell.request.claim import ClaimKey, ClaimTable, issue_prefix
+from waywell.request.claim import ClaimKey, ClaimTable, make_id_prefix
 from waywell.request.routing import choose_for_session, choose_less_loaded
 from waywell.standins.harness import hash_text
 from waywell.version.assembly import AssemblyView, plan_assembly
@@ -265,7 +265,7 @@
 def measure_claims(claims: int) -> dict[str, Any]:
     """Measure a home that keeps some claims."""
     table = ClaimTable(NodeId('entry-1'), Incarnation(1))
-    prefix = issue_prefix(NodeId('entry-1'), Incarnation(1), 1)
+    prefix = make_id_prefix(NodeId('entry-1'), Incarnation(1), 1)
     keys = [
         ClaimKey('account', RequestId(f'{prefix}{number:08}'))
         for number in range(claims)
--- a/waywell/connection/caller.py
+++ b/waywell/connection/caller.py
@@ -20,7 +20,7 @@
     GROUP_HEADER,
     PRIORITY_HEADER,
 )
-from waywell.request.submission import CallerPort, Submission
+from waywell.request.submission import CallerConnection, Submission
 from waywell.version.objects import Service, ServiceType
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
 class CallerBackend(msgspec.Struct, frozen=True):
     """What the port needs of the node."""
 
-    serve: Callable[[Submission, CallerPort], Awaitable[None]]
+    serve: Callable[[Submission, CallerConnection], Awaitable[None]]
     """Serves a request; raises a refusal."""
 
     list_entries: Callable[[], dict[str, Any]]
@@ -128,16 +128,16 @@
                 name: texts[-1].decode('latin-1')
                 for name, texts in headers.items()
             },
-            passed=passed,
+            forwarded_headers=passed,
             body=self.content.getvalue(),
         )
 
 
-class _RequestPort(CallerPort):
+class _RequestPort(CallerConnection):
     def __init__(self, request: CallerRequest) -> None:
         self._request = request
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         return self._request.is_gone
 
     async def relay(self, answer: TargetAnswer, service: Service) -> bool:
--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -23,8 +23,8 @@
     RAN_HEADER,
 )
 from waywell.connection.wire import Wire
-from waywell.request.ask import Ask
-from waywell.request.request_context import CallerAnswer
+from waywell.request.decoded_request import DecodedRequest
+from waywell.request.request_context import AnswerWriter
 from waywell.version.routes import CallerLimits
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
     wire: Wire
     """How requests look."""
 
-    serve: Callable[[Ask, CallerAnswer], Awaitable[None]]
+    serve: Callable[[DecodedRequest, AnswerWriter], Awaitable[None]]
     """Serves a request; raises a refusal."""
 
     get_limits: Callable[[], CallerLimits]
@@ -111,7 +111,7 @@
             raw_headers,
             self.content.getvalue(),
         )
-        self.attempt = ask.attempt
+        self.attempt = ask.attempt_id
         await self.backend.serve(ask, _FrontAnswer(self))
         self.backend.report(self, Code.OK, Ran.RAN)
 
@@ -127,7 +127,7 @@
 
 
 @implementer(IPushProducer)
-class _FrontAnswer(CallerAnswer):
+class _FrontAnswer(AnswerWriter):
     """Writes an answer, as fast as the caller reads."""
 
     def __init__(self, request: FrontRequest) -> None:
@@ -160,7 +160,7 @@
         self._unregister()
         self._request.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self._unregister()
         self._request.loseConnection()
 
--- a/waywell/connection/wire.py
+++ b/waywell/connection/wire.py
@@ -7,7 +7,11 @@
 
 if TYPE_CHECKING:
     from waywell.connection.forwarding import ForwardMark
-    from waywell.request.ask import AnswerMark, Ask, Delivery
+    from waywell.request.decoded_request import (
+        AnswerMetadata,
+        DecodedRequest,
+        DeliveryParameters,
+    )
     from waywell.version.fleet import FleetBox
 
 RawHeaders = tuple[tuple[bytes, bytes], ...]
@@ -24,7 +28,7 @@
         target: str,
         headers: RawHeaders,
         body: bytes,
-    ) -> Ask:
+    ) -> DecodedRequest:
         """Return what a caller asks.
 
         Raises
@@ -36,8 +40,8 @@
     @abc.abstractmethod
     def make_headers(
         self,
-        ask: Ask,
-        delivery: Delivery,
+        ask: DecodedRequest,
+        delivery: DeliveryParameters,
         box: FleetBox,
     ) -> RawHeaders:
         """Return the headers of a request to a replica's head."""
@@ -45,7 +49,7 @@
     @abc.abstractmethod
     def make_forward_headers(
         self,
-        ask: Ask,
+        ask: DecodedRequest,
         mark: ForwardMark,
         seconds: float,
         resume_after: int | None,
@@ -65,5 +69,5 @@
         """
 
     @abc.abstractmethod
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMark:
+    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMetadata:
         """Return what a replica says of its answer."""
--- a/waywell/experiment/call.py
+++ b/waywell/experiment/call.py
@@ -17,7 +17,7 @@
 from waywell.experiment.timeline import Timeline
 from waywell.ids import ModelName
 from waywell.knowledge.outlook import Outlook
-from waywell.request.ask import Ask
+from waywell.request.decoded_request import DecodedRequest
 from waywell.request.hedge_timeouts import (
     HedgeTimeouts,
     measure_hedge_timeouts,
@@ -159,8 +159,8 @@
 
     def _measure_patience(self) -> HedgeTimeouts:
         arrival = self.arrival
-        ask = Ask(
-            attempt='',
+        ask = DecodedRequest(
+            attempt_id='',
             method='POST',
             target='/',
             host='',
--- a/waywell/health/node_paths.py
+++ b/waywell/health/node_paths.py
@@ -10,7 +10,7 @@
 from waywell.health.partition import PartitionParts, PartitionWatch
 from waywell.health.probed_boxes import ProbedBoxes
 from waywell.ids import ModelName
-from waywell.request.attempt import CONNECT_SECONDS
+from waywell.request.attempt import CONNECT_TIMEOUT_SECONDS
 from waywell.request.peer_chooser import PeerChooser
 from waywell.request.replica_book import ReplicaBook
 
@@ -112,4 +112,4 @@
 
 
 async def _connect(box: FleetBox) -> bool:
-    return await is_reachable(box.host, box.port, CONNECT_SECONDS)
+    return await is_reachable(box.host, box.port, CONNECT_TIMEOUT_SECONDS)
--- a/waywell/platform/messages.py
+++ b/waywell/platform/messages.py
@@ -16,7 +16,11 @@
 from waywell.connection.retry_after import REST_HEADER, read_rest
 from waywell.connection.wire import RawHeaders, Wire
 from waywell.ids import ModelName
-from waywell.request.ask import AnswerMark, Ask, Delivery
+from waywell.request.decoded_request import (
+    AnswerMetadata,
+    DecodedRequest,
+    DeliveryParameters,
+)
 from waywell.request.prompt_parts import decode_prompt_parts
 
 if TYPE_CHECKING:
@@ -73,7 +77,7 @@
         target: str,
         headers: RawHeaders,
         body: bytes,
-    ) -> Ask:
+    ) -> DecodedRequest:
         """Return what a caller asks."""
         texts = MappingProxyType(
             {
@@ -83,28 +87,30 @@
         )
         prompt, answer = _read_tokens(texts.get(TOKENS_HEADER, ''))
         milliseconds = _read_number(texts, DEADLINE_HEADER)
-        return Ask(
-            attempt=texts.get(ATTEMPT_HEADER, ''),
+        return DecodedRequest(
+            attempt_id=texts.get(ATTEMPT_HEADER, ''),
             method=method,
             target=target,
             host=texts.get('host', ''),
             headers=_pass_on(headers),
             body=body,
-            key=_read_key(texts.get(KEY_HEADER, '')),
-            seconds=None if milliseconds is None else milliseconds / 1000,
+            api_key=_read_key(texts.get(KEY_HEADER, '')),
+            timeout_seconds=None
+            if milliseconds is None
+            else milliseconds / 1000,
             resume_after=_read_number(texts, RESUME_HEADER),
             model=ModelName(texts.get(MODEL_HEADER, '')),
             prompt_tokens=prompt,
             answer_tokens=answer,
-            likely_tokens=_read_number(texts, HINT_HEADER) or 0,
+            expected_answer_tokens=_read_number(texts, HINT_HEADER) or 0,
             prompt_parts=decode_prompt_parts(texts.get(PROMPT_HEADER, '')),
             forwarded=read_forward_mark(texts.get(FORWARDED_HEADER, '')),
         )
 
     def make_headers(
         self,
-        ask: Ask,
-        delivery: Delivery,
+        ask: DecodedRequest,
+        delivery: DeliveryParameters,
         box: FleetBox,
     ) -> RawHeaders:
         """Return the headers of a request to a server."""
@@ -122,7 +128,7 @@
 
     def make_forward_headers(
         self,
-        ask: Ask,
+        ask: DecodedRequest,
         mark: ForwardMark,
         seconds: float,
         resume_after: int | None,
@@ -132,26 +138,28 @@
             DEADLINE_HEADER: _write_seconds(seconds),
             FORWARDED_HEADER: mark.encode(),
         }
-        if ask.key:
-            own[KEY_HEADER] = f'{KEY_SCHEME} {ask.key}'
+        if ask.api_key:
+            own[KEY_HEADER] = f'{KEY_SCHEME} {ask.api_key}'
         if resume_after is not None:
             own[RESUME_HEADER] = str(resume_after)
         return _add_headers(ask.headers, own)
 
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMark:
+    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMetadata:
         """Return what a server says of its answer."""
         texts = {
             name.decode('latin-1').lower(): text.decode('latin-1')
             for name, text in headers
         }
         misdirected = status == MISDIRECTED
-        return AnswerMark(
-            attempt=texts.get(ATTEMPT_HEADER, ''),
+        return AnswerMetadata(
+            attempt_id=texts.get(ATTEMPT_HEADER, ''),
             is_rejected=REJECTED_HEADER in texts,
             is_misdirected=misdirected,
             rest_seconds=read_rest(status, texts.get(REST_HEADER, '')),
             is_leaving=texts.get(LEAVING_HEADER, '').strip() == LEAVING_TEXT,
-            limit=None if misdirected else read_limit(texts.get(LIMIT_HEADER)),
+            rate_limit=None
+            if misdirected
+            else read_limit(texts.get(LIMIT_HEADER)),
         )
 
 
--- a/waywell/process/claims.py
+++ b/waywell/process/claims.py
@@ -18,7 +18,7 @@
     ClaimKey,
     ClaimState,
     ClaimTable,
-    read_issued,
+    parse_issued_id,
 )
 
 if TYPE_CHECKING:
@@ -91,11 +91,11 @@
     def note_node(self, record: NodeRecord) -> None:
         """Take in a change of the membership."""
         if record.node == self._members.own_name:
-            self.table.take_incarnation(record.incarnation)
+            self.table.change_incarnation(record.incarnation)
         elif record.state is NodeState.LOST:
-            self.table.lose_holder(record.node, record.incarnation)
+            self.table.mark_holder_lost(record.node, record.incarnation)
         else:
-            self.table.lose_holder(record.node, record.incarnation - 1)
+            self.table.mark_holder_lost(record.node, record.incarnation - 1)
 
     async def claim(self, key: ClaimKey) -> ClaimState | None:
         """Claim an id at its home."""
@@ -103,7 +103,7 @@
 
     def settle(self, key: ClaimKey, state: ClaimState) -> None:
         """Tell the home how the run ended."""
-        issued = read_issued(key.request_id)
+        issued = parse_issued_id(key.request_id)
         if issued is None or issued.node == self._members.own_name:
             self.table.settle(key, state)
             return
@@ -126,7 +126,7 @@
             own.incarnation,
             settle,
         )
-        issued = read_issued(key.request_id)
+        issued = parse_issued_id(key.request_id)
         if issued is None or issued.node == own.node:
             return self.answer(ask).state
         home = self._members.find(issued.node)
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -39,7 +39,7 @@
 from waywell.quarantine.tasks import make_lone_quarantine
 from waywell.request.admission import Admission
 from waywell.request.balance import Balance
-from waywell.request.claim import ClaimTable, issue_prefix
+from waywell.request.claim import ClaimTable, make_id_prefix
 from waywell.request.dispatcher import Dispatcher, NodeFacts, Parts
 from waywell.request.facts import REQUEST_ID_HEADER
 from waywell.request.request_claims import RequestClaims
@@ -182,7 +182,7 @@
         live.sort(
             key=lambda record: (record.hall != self.own.hall, record.node),
         )
-        prefix = issue_prefix(
+        prefix = make_id_prefix(
             self.own.node,
             self.own.incarnation,
             self.clock.read(),
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -40,7 +40,7 @@
 from waywell.request.forwarder import Forwarder
 from waywell.request.placement import Chooser
 from waywell.request.replica_book import ReplicaBook
-from waywell.request.request_context import CallerAnswer, ForwarderParts
+from waywell.request.request_context import AnswerWriter, ForwarderDependencies
 from waywell.request.resend_budget import ResendBudget
 from waywell.request.shared_loads import SharedLoads
 from waywell.telemetry.events import log_event
@@ -54,7 +54,7 @@
     from waywell.connection.peer_stream import StreamListener
     from waywell.process.front_adapter import FrontAdapter
     from waywell.process.front_settings import FrontSettings
-    from waywell.request.ask import Ask
+    from waywell.request.decoded_request import DecodedRequest
 
 TEND_SECONDS = 0.25
 """Seconds between two looks at whether this node is still ready and whether it
@@ -156,7 +156,7 @@
         """
         promises = self.settings.promises
         ends_at = self.clock.read() + promises.stop_within - STOP_MARGIN
-        self._forwarder.leave(ends_at)
+        self._forwarder.start_draining(ends_at)
         await self._leave()
         cut = await self._drain(ends_at)
         for helper in self._helpers:
@@ -355,7 +355,7 @@
     def _make_forwarder(self) -> Forwarder:
         node = self.settings.node
         return Forwarder(
-            ForwarderParts(
+            ForwarderDependencies(
                 outlook=self.outlook,
                 wire=self._adapter.wire,
                 chooser=Chooser(
@@ -378,7 +378,7 @@
                 guard=self.quarantine.quarantine,
                 running=self.quarantine.running,
                 backpressure=self.backpressure,
-                turns=self.turns,
+                permits=self.turns,
             ),
         )
 
@@ -437,7 +437,7 @@
             await asyncio.sleep(DRAIN_LOOK_SECONDS)
         return cut
 
-    async def _serve(self, ask: Ask, answer: CallerAnswer) -> None:
+    async def _serve(self, ask: DecodedRequest, answer: AnswerWriter) -> None:
         self.in_flight += 1
         try:
             await self._forwarder.serve(ask, answer)
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -42,7 +42,7 @@
 
     from waywell.ids import NodeId
     from waywell.process.clock import Clock
-    from waywell.request.running import RunningAttempts
+    from waywell.request.running_attempts import RunningAttempts
     from waywell.request.traits import RequestTraits
     from waywell.version.fleet import FleetBox, Replica
 
@@ -260,7 +260,7 @@
             return True
         if trait in self.book.held:
             # Its hold is over; one attempt tells whether it still crashes.
-            is_tried = bool(running) or self._running.has(trait)
+            is_tried = bool(running) or self._running.has_trait(trait)
             return self._is_prober() and not is_tried
         return known + running < CRASHES_HELD
 
@@ -390,7 +390,7 @@
             seconds=round(hold.until - self._clock.read(), 1),
             by=by,
         )
-        self._running.spare(trait)
+        self._running.fail_quarantined(trait)
         if trait in self._witnessed:
             self._publish(self.Held(trait, hold))
 
--- a/waywell/quarantine/tasks.py
+++ b/waywell/quarantine/tasks.py
@@ -10,8 +10,8 @@
 from waywell.connection.exchange import is_reachable
 from waywell.quarantine.held_records import HeldRecords
 from waywell.quarantine.quarantine import Quarantine
-from waywell.request.attempt import CONNECT_SECONDS
-from waywell.request.running import RunningAttempts
+from waywell.request.attempt import CONNECT_TIMEOUT_SECONDS
+from waywell.request.running_attempts import RunningAttempts
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -76,7 +76,7 @@
     Asked at once, 18 of 39 targets that had ended still took one.
     """
     await asyncio.sleep(ENDING_SECONDS)
-    return await is_reachable(box.host, box.port, CONNECT_SECONDS)
+    return await is_reachable(box.host, box.port, CONNECT_TIMEOUT_SECONDS)
 
 
 def make_lone_quarantine(
--- a/waywell/request/answer_times.py
+++ b/waywell/request/answer_times.py
@@ -82,9 +82,9 @@
         found = self._find(context, now)
         pace = max(found.present, found.last)
         if not pace:
-            return context.ends_at
+            return context.deadline_at
         seconds = pace * _count_tokens(context) * MARGIN
-        return min(context.ends_at, now + seconds)
+        return min(context.deadline_at, now + seconds)
 
     def _find(self, context: RequestContext, now: float) -> _Slowest:
         found = self._slowest.get(_make_key(context), _Slowest(now))
@@ -97,4 +97,4 @@
 
 def _count_tokens(context: RequestContext) -> int:
     """Return the most tokens of an answer; plain ones count as one."""
-    return max(1, context.ask.answer_tokens)
+    return max(1, context.request.answer_tokens)
--- a/waywell/request/attempt.py
+++ b/waywell/request/attempt.py
@@ -20,8 +20,8 @@
     open_exchange,
 )
 from waywell.connection.wire import RawHeaders
-from waywell.request.ask import AnswerMark
-from waywell.request.stream_events import EventCutter, StreamEvent
+from waywell.request.decoded_request import AnswerMetadata
+from waywell.request.stream_events import EventSplitter, StreamEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,15 +31,15 @@
     from waywell.request.traits import RequestTraits
     from waywell.version.fleet import Replica
 
-CONNECT_SECONDS = 0.15
+CONNECT_TIMEOUT_SECONDS = 0.15
 """For a connection to come up: a few times the longest way between halls;
 a box without power says nothing at all."""
 
-GATHERED_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 """Most bytes of a plain answer that wait for its end, so that an answer that
 breaks off can be asked for again; a longer one is passed on as it comes."""
 
-MOST_WAITING = 64
+MAX_QUEUED_PIECES = 64
 """Pieces that wait for the caller until the replica is read no further."""
 
 
@@ -57,7 +57,7 @@
 
     def pause_if_full(self, reader: _BodyReader) -> None:
         """Stop a reader while the caller is slower than the replica."""
-        if self.queue.qsize() > MOST_WAITING:
+        if self.queue.qsize() > MAX_QUEUED_PIECES:
             reader.pause()
             self._paused.add(reader)
 
@@ -104,7 +104,7 @@
         headers: RawHeaders
         """Headers to pass on."""
 
-        mark: AnswerMark
+        metadata: AnswerMetadata
         """What the replica says of the answer."""
 
         length: int | None
@@ -158,8 +158,8 @@
         self._open_request: OpenRequest | None = None
         self._exchange: Exchange | None = None
         self.head: Attempt.Head | None = None
-        self._is_over = False
-        self._is_released = False
+        self._is_abandoned = False
+        self._awaits_head_only = False
 
     @property
     def replica(self) -> Replica | None:
@@ -175,10 +175,10 @@
 
     def stop(self) -> None:
         """Break it off, unless only the head of its answer is waited for."""
-        if not self._is_released:
+        if not self._awaits_head_only:
             self._abort()
 
-    def release(self, seconds: float) -> None:
+    def await_head_only(self, seconds: float) -> None:
         """Give up the answer, but for what its head says of the replica.
 
         Parameters
@@ -190,36 +190,38 @@
             return
         if self._task is None or self._task.done():
             return
-        self._is_over = True
-        self._is_released = True
+        self._is_abandoned = True
+        self._awaits_head_only = True
         self._open_request.close_write()
         end = asyncio.get_running_loop().call_later(seconds, self._abort)
         self._task.add_done_callback(lambda _task: end.cancel())
 
-    def tell(self, message: object) -> None:
+    def post(self, message: object) -> None:
         """Put a message into the inbox, unless it was broken off."""
-        if not self._is_over:
+        if not self._is_abandoned:
             self._inbox.put(message)
 
-    def take_head(
+    def receive_head(
         self,
         status: int,
         headers: RawHeaders,
-        mark: AnswerMark,
+        metadata: AnswerMetadata,
         length: int | None,
     ) -> None:
         """Take in the head of the answer, and tell it."""
-        self.destination.on_mark(mark, self.sent_at, self._clock.read())
-        self.tell(self.Head(self, status, headers, mark, length))
+        self.destination.on_metadata(
+            metadata, self.sent_at, self._clock.read()
+        )
+        self.post(self.Head(self, status, headers, metadata, length))
 
     def _abort(self) -> None:
-        self._is_over = True
+        self._is_abandoned = True
         if self._task is not None:
             self._task.cancel()
         if self._exchange is not None:
             self._exchange.abort()
 
-    def _keep_open_request(self, request: OpenRequest) -> None:
+    def _on_connected(self, request: OpenRequest) -> None:
         self.destination.on_connected(self._clock.read())
         self._open_request = request
 
@@ -228,26 +230,29 @@
         outgoing: Outgoing,
         may_send: Callable[[], bool],
     ) -> None:
-        if not await self.destination.take_turn():
-            self.tell(self.Fault(self, SendFault.NO_TURN))
+        if not await self.destination.acquire_permit():
+            self.post(self.Fault(self, SendFault.NO_TURN))
             return
         opened = await open_exchange(
-            outgoing, CONNECT_SECONDS, may_send, self._keep_open_request
+            outgoing,
+            CONNECT_TIMEOUT_SECONDS,
+            may_send,
+            self._on_connected,
         )
         if isinstance(opened, Failure):
             if opened.failure() is SendFault.NOT_SENT:
                 self.destination.on_unreachable(self._clock.read())
-            self.tell(self.Fault(self, opened.failure()))
+            self.post(self.Fault(self, opened.failure()))
             return
         exchange = opened.unwrap()
         self._exchange = exchange
-        self.take_head(
+        self.receive_head(
             exchange.status,
             exchange.headers,
-            self.destination.read_mark(exchange.status, exchange.headers),
+            self.destination.read_metadata(exchange.status, exchange.headers),
             exchange.length,
         )
-        if self._is_over:
+        if self._is_abandoned:
             exchange.abort()
             return
         exchange.deliver(_make_reader(self, exchange, self._inbox))
@@ -270,12 +275,12 @@
         return self._exchange.was_closed
 
     def on_end(self, end: BodyEnd) -> None:
-        outcome = self._judge(end)
+        outcome = self._make_outcome(end)
         if outcome.is_complete:
             self._flush()
-        self._attempt.tell(Attempt.End(self._attempt, outcome))
+        self._attempt.post(Attempt.End(self._attempt, outcome))
 
-    def _judge(self, end: BodyEnd) -> BodyOutcome:
+    def _make_outcome(self, end: BodyEnd) -> BodyOutcome:
         """Return whether the body is complete."""
         return BodyOutcome(end)
 
@@ -283,8 +288,8 @@
         """Tell what was held back."""
         raise NotImplementedError
 
-    def _tell(self, event: StreamEvent) -> None:
-        self._attempt.tell(Attempt.Piece(self._attempt, event))
+    def _post_piece(self, event: StreamEvent) -> None:
+        self._attempt.post(Attempt.Piece(self._attempt, event))
         self._inbox.pause_if_full(self)
 
 
@@ -292,43 +297,43 @@
 class _EventReader(_BodyReader):
     """Tells whole events only: a replica may break off within one."""
 
-    _cutter: EventCutter = attrs.field(factory=EventCutter, init=False)
+    _splitter: EventSplitter = attrs.field(factory=EventSplitter, init=False)
     """Where the events are cut from the bytes."""
 
     _has_events: bool = attrs.field(default=False, init=False)
     """Whether an event has come."""
 
     def on_bytes(self, raw: bytes) -> None:
-        for event in self._cutter.feed(raw):
+        for event in self._splitter.feed(raw):
             self._has_events = self._has_events or event.has_fields
-            self._tell(event)
+            self._post_piece(event)
 
-    def _judge(self, end: BodyEnd) -> BodyOutcome:
-        unfinished = self._cutter.count_unfinished()
+    def _make_outcome(self, end: BodyEnd) -> BodyOutcome:
+        unfinished = self._splitter.count_unfinished_bytes()
         return BodyOutcome(end, unfinished, self._has_events)
 
     def _flush(self) -> None:
         # Comments and empty lines: no event that a caller could take up.
-        if self._cutter.rest:
-            self._tell(StreamEvent(self._cutter.rest, None))
+        if self._splitter.remainder:
+            self._post_piece(StreamEvent(self._splitter.remainder, None))
 
 
 @attrs.define(eq=False, repr=False, slots=False)
 class _PlainReader(_BodyReader):
     """Gathers a body of moderate size and tells it whole."""
 
-    _gathered: bytearray = attrs.field(factory=bytearray, init=False)
+    _buffer: bytearray = attrs.field(factory=bytearray, init=False)
     """What was not told yet."""
 
     def on_bytes(self, raw: bytes) -> None:
-        self._gathered += raw
-        if len(self._gathered) > GATHERED_BYTES:
+        self._buffer += raw
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
             self._flush()
 
     def _flush(self) -> None:
-        if self._gathered:
-            self._tell(StreamEvent(bytes(self._gathered), None))
-            self._gathered.clear()
+        if self._buffer:
+            self._post_piece(StreamEvent(bytes(self._buffer), None))
+            self._buffer.clear()
 
 
 def _make_reader(
@@ -337,5 +342,5 @@
     inbox: Inbox,
 ) -> _BodyReader:
     is_stream = is_event_stream(exchange.headers)
-    maker = _EventReader if is_stream else _PlainReader
-    return maker(attempt, exchange, inbox)
+    reader_class = _EventReader if is_stream else _PlainReader
+    return reader_class(attempt, exchange, inbox)
--- a/waywell/request/backpressure.py
+++ b/waywell/request/backpressure.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from waywell.request.ask import AnswerMark
+    from waywell.request.decoded_request import AnswerMetadata
     from waywell.version.fleet import BoxLife, Replica
     from waywell.version.lives import EndedLife
 
@@ -36,7 +36,7 @@
         self._rests: dict[BoxLife, float] = {}
         self._leaving: dict[BoxLife, float] = {}
 
-    def note(self, life: BoxLife, mark: AnswerMark, now: float) -> None:
+    def note(self, life: BoxLife, mark: AnswerMetadata, now: float) -> None:
         """Take in what an answer asks.
 
         Parameters
--- a/waywell/request/claim.py
+++ b/waywell/request/claim.py
@@ -18,13 +18,13 @@
 
 from waywell.ids import Incarnation, NodeId, RequestId
 
-CLAIM_SECONDS = 900.0
+ISSUED_ID_SECONDS = 900.0
 """Seconds for which an id is good after it was given out."""
 
-MOST_CLAIMS = 50_000
+MAX_CLAIMS = 50_000
 """Claims that one home keeps."""
 
-ID_PARTS = 4
+ID_PART_COUNT = 4
 """Node, incarnation, second of issue and the caller's own part."""
 
 
@@ -76,15 +76,15 @@
     """Second of issue, by the home's own clock."""
 
 
-def issue_prefix(node: NodeId, incarnation: Incarnation, now: float) -> str:
+def make_id_prefix(node: NodeId, incarnation: Incarnation, now: float) -> str:
     """Return the prefix of request ids that a home gives out at ``now``."""
     return f'{node}:{incarnation}:{int(now)}:'
 
 
-def read_issued(request_id: RequestId) -> IssuedId | None:
+def parse_issued_id(request_id: RequestId) -> IssuedId | None:
     """Return the parts of an id, or ``None`` for a caller's own id."""
-    parts = request_id.split(':', ID_PARTS - 1)
-    if len(parts) < ID_PARTS or not parts[ID_PARTS - 1]:
+    parts = request_id.split(':', ID_PART_COUNT - 1)
+    if len(parts) < ID_PART_COUNT or not parts[ID_PART_COUNT - 1]:
         return None
     node, incarnation, second, _own = parts
     if not (incarnation.isdecimal() and second.isdecimal()):
@@ -140,19 +140,19 @@
         now
             Present time by the home's clock, in seconds.
         """
-        issued = read_issued(key.request_id)
-        if issued is None or not self._is_good(issued, now):
+        issued = parse_issued_id(key.request_id)
+        if issued is None or not self._is_valid(issued, now):
             return ClaimState.EXPIRED
         earlier = self._claims.get(key)
         if earlier is not None:
             state = earlier.state
             return ClaimState.RUNNING if state is ClaimState.GRANTED else state
-        if len(self._claims) >= MOST_CLAIMS:
-            self.forget(now)
-        if len(self._claims) >= MOST_CLAIMS:
+        if len(self._claims) >= MAX_CLAIMS:
+            self.forget_expired(now)
+        if len(self._claims) >= MAX_CLAIMS:
             return ClaimState.FULL
         # The claim outlives the id, so an id can't be claimed afresh.
-        until = issued.second + 2 * CLAIM_SECONDS
+        until = issued.second + 2 * ISSUED_ID_SECONDS
         self._claims[key] = _Claim(
             ClaimState.GRANTED,
             until,
@@ -161,7 +161,7 @@
         )
         return ClaimState.GRANTED
 
-    def take_incarnation(self, incarnation: Incarnation) -> None:
+    def change_incarnation(self, incarnation: Incarnation) -> None:
         """Give out ids of another incarnation; those of before have expired.
 
         Parameters
@@ -177,7 +177,7 @@
         if claim is not None:
             claim.state = state
 
-    def lose_holder(self, node: NodeId, incarnation: int) -> None:
+    def mark_holder_lost(self, node: NodeId, incarnation: int) -> None:
         """Mark what a lost entry box held as of unknown outcome."""
         for claim in self._claims.values():
             held = claim.holder == node
@@ -185,15 +185,15 @@
             if held and earlier and claim.state is ClaimState.GRANTED:
                 claim.state = ClaimState.UNKNOWN
 
-    def forget(self, now: float) -> None:
+    def forget_expired(self, now: float) -> None:
         """Drop the claims of ids that can't be claimed any more."""
         old = [key for key, claim in self._claims.items() if claim.until < now]
         for key in old:
             self._claims.pop(key)
 
-    def _is_good(self, issued: IssuedId, now: float) -> bool:
+    def _is_valid(self, issued: IssuedId, now: float) -> bool:
         if issued.node != self._node:
             return False
         if issued.incarnation != self._incarnation:
             return False
-        return 0 <= now - issued.second < CLAIM_SECONDS
+        return 0 <= now - issued.second < ISSUED_ID_SECONDS
--- a/waywell/request/ask.py
+++ b/waywell/request/decoded_request.py
@@ -9,10 +9,10 @@
 from waywell.ids import AccountName, ModelName, PromptPart
 
 
-class Ask(msgspec.Struct, frozen=True):
+class DecodedRequest(msgspec.Struct, frozen=True):
     """What a caller asks, and what it says of the request."""
 
-    attempt: str
+    attempt_id: str
     """The caller's id of this attempt; each attempt has its own."""
 
     method: str
@@ -30,10 +30,10 @@
     body: bytes
     """Body, untouched."""
 
-    key: str = ''
+    api_key: str = ''
     """Key of the client account; empty where none was sent."""
 
-    seconds: float | None = None
+    timeout_seconds: float | None = None
     """For which the caller will wait, from the arrival."""
 
     resume_after: int | None = None
@@ -48,7 +48,7 @@
     answer_tokens: int = 0
     """Most tokens of the answer."""
 
-    likely_tokens: int = 0
+    expected_answer_tokens: int = 0
     """Tokens that the caller expects; 0 where it does not say."""
 
     prompt_parts: tuple[PromptPart, ...] = ()
@@ -63,7 +63,7 @@
         return self.target.partition('?')[0]
 
 
-class Delivery(msgspec.Struct, frozen=True):
+class DeliveryParameters(msgspec.Struct, frozen=True):
     """What is added to an ask on its way to a replica."""
 
     account: AccountName | None
@@ -79,10 +79,10 @@
     """Rank among the replica's requests, 0 first."""
 
 
-class AnswerMark(msgspec.Struct, frozen=True):
+class AnswerMetadata(msgspec.Struct, frozen=True):
     """What a replica says of its answer, beside status and body."""
 
-    attempt: str = ''
+    attempt_id: str = ''
     """Id of the attempt that it answers."""
 
     is_rejected: bool = False
@@ -97,7 +97,7 @@
     is_leaving: bool = False
     """Whether the replica says that it is about to end."""
 
-    limit: float | None = None
+    rate_limit: float | None = None
     """Requests a second that the replica takes from all nodes together;
     ``None`` where the answer says nothing of it."""
 
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -6,13 +6,16 @@
 from typing import TYPE_CHECKING
 
 from waywell.connection.exchange import Outgoing
-from waywell.request.ask import Delivery
+from waywell.request.decoded_request import DeliveryParameters
 
 if TYPE_CHECKING:
     from waywell.connection.wire import RawHeaders
-    from waywell.request.ask import AnswerMark
+    from waywell.request.decoded_request import AnswerMetadata
     from waywell.request.replica_book import ReplicaBook
-    from waywell.request.request_context import ForwarderParts, RequestContext
+    from waywell.request.request_context import (
+        ForwarderDependencies,
+        RequestContext,
+    )
     from waywell.request.turn_source import Turn
     from waywell.version.fleet import Replica, ReplicaKey
 
@@ -46,10 +49,12 @@
         """Return how many replicas the attempt may reach."""
 
     @abc.abstractmethod
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMark:
+    def read_metadata(
+        self, status: int, headers: RawHeaders
+    ) -> AnswerMetadata:
         """Return what the head of an answer says of it."""
 
-    async def take_turn(self) -> bool:
+    async def acquire_permit(self) -> bool:
         """Answer whether a request may go there by its limit."""
         return True
 
@@ -59,7 +64,9 @@
     def on_unreachable(self, now: float) -> None:
         """Take in that no connection came up."""
 
-    def on_mark(self, mark: AnswerMark, sent_at: float, now: float) -> None:
+    def on_metadata(
+        self, metadata: AnswerMetadata, sent_at: float, now: float
+    ) -> None:
         """Take in what an answer says, also where nobody waits for it."""
 
     def on_failed(self, now: float) -> None:
@@ -96,17 +103,17 @@
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        dependencies: ForwarderDependencies,
         context: RequestContext,
         replica: Replica,
     ) -> None:
         """Send nothing yet."""
         self.replica: Replica = replica
         self.key = replica.key
-        self.book = parts.book
-        self._parts = parts
+        self.book = dependencies.book
+        self._dependencies = dependencies
         self._context = context
-        self._turn: Turn | None = None
+        self._permit: Turn | None = None
 
     def describe(self) -> dict[str, object]:
         """Return what log lines tell of it."""
@@ -116,9 +123,9 @@
         """Return the request as it is sent there at ``now``."""
         context = self._context
         holder = context.holder
-        delivery = Delivery(
+        delivery = DeliveryParameters(
             account=None if holder is None else holder.account,
-            seconds=context.ends_at - now,
+            seconds=context.deadline_at - now,
             resume_after=context.last_event,
             priority=context.priority if context.engine else None,
         )
@@ -126,33 +133,38 @@
         return Outgoing(
             head.host,
             head.port,
-            context.ask.method,
-            context.ask.target,
-            self._parts.wire.make_headers(context.ask, delivery, head),
-            context.ask.body,
+            context.request.method,
+            context.request.target,
+            self._dependencies.wire.make_headers(
+                context.request, delivery, head
+            ),
+            context.request.body,
         )
 
-    async def take_turn(self) -> bool:
+    async def acquire_permit(self) -> bool:
         """Answer whether a request may go there by its limit."""
-        self._turn = await self._parts.turns.take_turn(
+        self._permit = await self._dependencies.permits.take_turn(
             self.key.life, self.replica.head.hall, self._context.priority
         )
-        if self._turn is None:
-            self._context.turns_missed += 1
-        return self._turn is not None
+        if self._permit is None:
+            self._context.permits_missed += 1
+        return self._permit is not None
 
     def may_send(self, now: float) -> bool:
         """Answer, in the turn of the write, whether the request may go."""
         life = self.key.life
-        if not self._parts.backpressure.may_send(life, now):
+        if not self._dependencies.backpressure.may_send(life, now):
             return False
-        if not self._parts.turns.may_send(life, self._turn, now):
+        if not self._dependencies.permits.may_send(life, self._permit, now):
             return False
-        outlook = self._parts.outlook
+        outlook = self._dependencies.outlook
         if self._context.holder is not None:
             if not outlook.are_keys_fresh(now):
                 return False
-            if outlook.index.find_holder(self._context.ask.key) is None:
+            if (
+                outlook.index.find_holder(self._context.request.api_key)
+                is None
+            ):
                 return False
         return outlook.may_send_to(self.replica)
 
@@ -160,25 +172,35 @@
         """Return how many replicas the attempt may reach."""
         return 1
 
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMark:
+    def read_metadata(
+        self, status: int, headers: RawHeaders
+    ) -> AnswerMetadata:
         """Return what the head of an answer says of it."""
-        return self._parts.wire.read_mark(status, headers)
+        return self._dependencies.wire.read_mark(status, headers)
 
     def on_connected(self, now: float) -> None:
         """Take in that a connection came up."""
-        self._parts.paths.record(self.replica.head, now, is_connected=True)
+        self._dependencies.paths.record(
+            self.replica.head, now, is_connected=True
+        )
 
     def on_unreachable(self, now: float) -> None:
         """Take in that no connection came up."""
-        self._parts.paths.record(self.replica.head, now, is_connected=False)
+        self._dependencies.paths.record(
+            self.replica.head, now, is_connected=False
+        )
 
-    def on_mark(self, mark: AnswerMark, sent_at: float, now: float) -> None:
+    def on_metadata(
+        self, metadata: AnswerMetadata, sent_at: float, now: float
+    ) -> None:
         """Take in what an answer says, also where nobody waits for it."""
         life = self.key.life
-        self._parts.backpressure.note(life, mark, now)
-        if mark.limit is not None:
+        self._dependencies.backpressure.note(life, metadata, now)
+        if metadata.rate_limit is not None:
             hall = self.replica.head.hall
-            self._parts.turns.note_answer(life, hall, mark.limit, sent_at)
+            self._dependencies.permits.note_answer(
+                life, hall, metadata.rate_limit, sent_at
+            )
 
     def on_failed(self, now: float) -> None:
         """Take in that an answer failed, broke off or was refused."""
@@ -186,11 +208,11 @@
 
     def on_silent(self) -> None:
         """Take in that nothing comes although it has work."""
-        self._parts.raise_doubt(self.replica)
+        self._dependencies.raise_doubt(self.replica)
 
     def on_broken(self, *, has_begun: bool, is_over: bool) -> None:
         """Take in that an attempt broke after bytes had left."""
-        self._parts.guard.note_broken(
+        self._dependencies.guard.note_broken(
             self.replica,
             self._context.traits,
             has_begun=has_begun,
@@ -199,11 +221,11 @@
 
     def on_misdirected(self) -> None:
         """Take in that it is not what it was taken for."""
-        self._parts.outlook.doubt(self.replica)
+        self._dependencies.outlook.doubt(self.replica)
 
     def on_pause(self, seconds: float) -> None:
         """Take in for how long it was silent between two pieces."""
-        self._parts.pauses.note(self.replica.model, seconds)
+        self._dependencies.pauses.note(self.replica.model, seconds)
 
     def on_first_piece(self, ratio: float) -> None:
         """Take in how slowly an answer began, as a part of what is usual."""
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -18,10 +18,10 @@
 from waywell.process.clock import Clock
 from waywell.process.documents import InForce
 from waywell.request.admission import Admission
-from waywell.request.ask import AnswerMark
 from waywell.request.backpressure import Backpressure
 from waywell.request.balance import Balance
 from waywell.request.claim import ClaimKey, ClaimState
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.facts import read_facts
 from waywell.request.fingerprint import make_fingerprint
 from waywell.request.group_views import (
@@ -43,7 +43,11 @@
     choose_for_session,
     choose_less_loaded,
 )
-from waywell.request.submission import CallerPort, Submission, Work
+from waywell.request.submission import (
+    CallerConnection,
+    PendingRequest,
+    Submission,
+)
 from waywell.request.traits import RequestTraits
 from waywell.request.turn_source import Turn, TurnSource
 from waywell.request.unroutable import explain_unroutable
@@ -164,7 +168,9 @@
         self._parts = parts
         self._describe_node = describe_node
 
-    async def serve(self, submission: Submission, caller: CallerPort) -> None:
+    async def serve(
+        self, submission: Submission, caller: CallerConnection
+    ) -> None:
         """Serve a request to its end.
 
         Raises
@@ -219,9 +225,9 @@
     def _identify(
         self,
         submission: Submission,
-        caller: CallerPort,
+        caller: CallerConnection,
         facts: RequestFacts,
-    ) -> Work:
+    ) -> PendingRequest:
         """Find account, service and groups."""
         in_force = self._parts.in_force
         if not in_force.numbers.configuration:
@@ -242,7 +248,7 @@
         if not index.list_rules(shape):
             raise Refusal(Code.NOT_ADMITTED)
         seconds = facts.deadline or service.timeout
-        return Work(
+        return PendingRequest(
             submission=submission,
             caller=caller,
             facts=facts,
@@ -261,7 +267,7 @@
             ),
         )
 
-    def _admit(self, work: Work) -> None:
+    def _admit(self, work: PendingRequest) -> None:
         """Count the request in, or refuse it."""
         nodes = self._describe_node().live_nodes
         now = self._parts.clock.read()
@@ -284,7 +290,7 @@
             refusal.retry_after,
         )
 
-    async def _run(self, work: Work, key: ClaimKey | None) -> None:
+    async def _run(self, work: PendingRequest, key: ClaimKey | None) -> None:
         """Make attempts, and settle the claim by how they ended."""
         state = ClaimState.UNKNOWN
         try:
@@ -298,7 +304,7 @@
             if key is not None:
                 self._parts.claims.settle(key, state)
 
-    async def _attempt_all(self, work: Work) -> bool:
+    async def _attempt_all(self, work: PendingRequest) -> bool:
         """Make attempts until one is answered."""
         for attempt in range(MOST_ATTEMPTS):
             self._check_links(work)
@@ -313,7 +319,7 @@
                 raise self._refuse(work, answer)
         raise self._refuse(work, DispatchFault.NOT_SENT)
 
-    def _check_links(self, work: Work) -> None:
+    def _check_links(self, work: PendingRequest) -> None:
         """Refuse a request for targets that peers alone reach.
 
         Raises
@@ -335,7 +341,9 @@
             retry_after=0 if named else NO_GROUP_RETRY_SECONDS,
         )
 
-    async def _choose_with_turn(self, work: Work) -> tuple[Choice, Turn]:
+    async def _choose_with_turn(
+        self, work: PendingRequest
+    ) -> tuple[Choice, Turn]:
         """Choose a group that has a turn for the request."""
         while True:
             choice = self._choose(work)
@@ -346,9 +354,9 @@
             if turn is not None:
                 return choice, turn
             work.tried.add(group.group)
-            work.turns_missed += 1
+            work.permits_missed += 1
 
-    def _choose(self, work: Work) -> Choice:
+    def _choose(self, work: PendingRequest) -> Choice:
         """Choose a group, or refuse where none can serve."""
         # The index may be a newer one than at the attempt before.
         groups = self._parts.in_force.index.list_groups(work.shape)
@@ -370,7 +378,7 @@
 
     def _explain_unroutable(
         self,
-        work: Work,
+        work: PendingRequest,
         groups: Sequence[Group],
         now: float,
     ) -> Refusal:
@@ -392,7 +400,7 @@
             )
         return Refusal(unroutable.code, _get_ran(work), retry_after=seconds)
 
-    def _can_use(self, work: Work, group: Group) -> bool:
+    def _can_use(self, work: PendingRequest, group: Group) -> bool:
         if group.state is not GroupState.SERVING or group.group in work.tried:
             return False
         if not work.service.fenced:
@@ -403,13 +411,13 @@
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return False
-        if not self._parts.turns.may_ask(life, work.turns_missed, now):
+        if not self._parts.turns.may_ask(life, work.permits_missed, now):
             return False
         return self._parts.health.is_usable(group.group, group.epoch, now)
 
     async def _attempt(
         self,
-        work: Work,
+        work: PendingRequest,
         choice: Choice,
         turn: Turn,
     ) -> TargetAnswer | DispatchFault:
@@ -463,7 +471,7 @@
         """Note what the head of an answer says of its group."""
         now = self._parts.clock.read()
         if answer.rest_seconds:
-            mark = AnswerMark(rest_seconds=answer.rest_seconds)
+            mark = AnswerMetadata(rest_seconds=answer.rest_seconds)
             self._parts.backpressure.note(make_life(group), mark, now)
         if answer.limit is not None:
             self._parts.turns.note_answer(
@@ -491,7 +499,7 @@
 
     def _take_fault(
         self,
-        work: Work,
+        work: PendingRequest,
         group: Group,
         fault: DispatchFault,
     ) -> DispatchFault:
@@ -504,9 +512,11 @@
         self._note('attempt_failed', work, group, fault=fault.value)
         return fault
 
-    def _may_send(self, work: Work, group: Group, turn: Turn) -> bool:
+    def _may_send(
+        self, work: PendingRequest, group: Group, turn: Turn
+    ) -> bool:
         """Answer, right before the write, whether it is still wanted."""
-        if work.caller.is_gone():
+        if work.caller.is_disconnected():
             return False
         now = self._parts.clock.read()
         life = make_life(group)
@@ -518,7 +528,7 @@
 
     async def _relay(
         self,
-        work: Work,
+        work: PendingRequest,
         choice: Choice,
         answer: TargetAnswer,
     ) -> bool:
@@ -537,7 +547,7 @@
 
     def _note_broken(
         self,
-        work: Work,
+        work: PendingRequest,
         group: Group,
         *,
         has_begun: bool,
@@ -552,7 +562,7 @@
 
     def _may_retry(
         self,
-        work: Work,
+        work: PendingRequest,
         fault: DispatchFault,
         attempt: int,
     ) -> bool:
@@ -565,7 +575,7 @@
             return False
         return self._parts.budget.spend(work.account.name)
 
-    def _refuse(self, work: Work, fault: DispatchFault) -> Refusal:
+    def _refuse(self, work: PendingRequest, fault: DispatchFault) -> Refusal:
         code = _CODE_BY_FAULT[fault]
         if fault in _LAST_FAULTS:
             return Refusal(code, _get_ran(work))
@@ -579,7 +589,7 @@
     def _note(
         self,
         event: str,
-        work: Work,
+        work: PendingRequest,
         group: Group,
         **pairs: object,
     ) -> None:
@@ -600,9 +610,9 @@
     return outcome.unwrap()
 
 
-def _get_ran(work: Work) -> Ran:
+def _get_ran(work: PendingRequest) -> Ran:
     return Ran.MAY_HAVE_RUN if work.may_have_run else Ran.NOT_RUN
 
 
-def _get_service(work: Work) -> ServiceName:
+def _get_service(work: PendingRequest) -> ServiceName:
     return ServiceName(work.service.name)
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -8,8 +8,8 @@
 from waywell.codes import Code, Refusal
 from waywell.request.fingerprint import make_fingerprint
 from waywell.request.request_context import (
-    CallerAnswer,
-    ForwarderParts,
+    AnswerWriter,
+    ForwarderDependencies,
     RequestContext,
 )
 from waywell.request.request_execution import RequestExecution
@@ -17,7 +17,7 @@
 from waywell.request.traits import RequestTraits
 
 if TYPE_CHECKING:
-    from waywell.request.ask import Ask
+    from waywell.request.decoded_request import DecodedRequest
     from waywell.version.routes import KeyHolder, Route
 
 
@@ -30,13 +30,13 @@
         What it works with.
     """
 
-    def __init__(self, parts: ForwarderParts) -> None:
-        """Keep the parts."""
-        self._parts = parts
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        """Keep the dependencies."""
+        self._dependencies = dependencies
         self._node_ends_at = math.inf
-        parts.outlook.listen_for_ends(parts.running.break_off)
+        dependencies.outlook.listen_for_ends(dependencies.running.fail_ended)
 
-    def leave(self, ends_at: float) -> None:
+    def start_draining(self, ends_at: float) -> None:
         """Take nothing more that can't be expected to end by a moment.
 
         Callers do better elsewhere: of the streams that came within the last
@@ -45,7 +45,7 @@
         """
         self._node_ends_at = ends_at
 
-    async def serve(self, ask: Ask, answer: CallerAnswer) -> None:
+    async def serve(self, ask: DecodedRequest, answer: AnswerWriter) -> None:
         """Serve a request to its end.
 
         Raises
@@ -53,55 +53,57 @@
         Refusal
             When no answer was begun.
         """
-        context = self._identify(ask)
-        self._parts.guard.check(context.traits, context.arrived_at)
-        self._check_end(context)
+        context = self._resolve(ask)
+        self._dependencies.guard.check(context.traits, context.arrived_at)
+        self._check_node_end(context)
         if ask.forwarded is None:
             # A forwarded request counts at the node that its caller asked.
-            self._parts.budget.note_request(
+            self._dependencies.budget.note_request(
                 context.service, context.arrived_at
             )
-        await RequestExecution(self._parts, context, answer).run()
+        await RequestExecution(self._dependencies, context, answer).run()
 
-    def _check_end(self, context: RequestContext) -> None:
+    def _check_node_end(self, context: RequestContext) -> None:
         """Refuse what would be cut by the end of this node."""
         if math.isinf(self._node_ends_at):
             return
-        times = self._parts.answer_times
+        times = self._dependencies.answer_times
         if (
             times.estimate_end(context, context.arrived_at)
             > self._node_ends_at
         ):
             raise Refusal(Code.NODE_LEAVING, retry_after=0)
 
-    def _identify(self, ask: Ask) -> RequestContext:
+    def _resolve(self, ask: DecodedRequest) -> RequestContext:
         """Find route, account and service."""
-        now = self._parts.clock.read()
-        outlook = self._parts.outlook
+        now = self._dependencies.clock.read()
+        outlook = self._dependencies.outlook
         outlook.check_routes(now)
         route = outlook.index.find_route(ask.host, ask.path)
         if route is None:
             raise Refusal(Code.NO_ROUTE)
         holder = self._find_holder(ask, route, now)
-        name = route.pick_service(self._parts.draw())
+        name = route.pick_service(self._dependencies.draw())
         service = None if name is None else outlook.index.find_service(name)
         if service is None:
             raise Refusal(
                 Code.NO_WHOLE_GROUP,
                 retry_after=advise_return(
-                    ReturnReason.NO_GROUP, route.timeout, self._parts.draw()
+                    ReturnReason.NO_GROUP,
+                    route.timeout,
+                    self._dependencies.draw(),
                 ),
             )
         seconds = route.timeout
-        if ask.seconds is not None:
-            seconds = min(seconds, ask.seconds)
+        if ask.timeout_seconds is not None:
+            seconds = min(seconds, ask.timeout_seconds)
         return RequestContext(
             ask,
             route,
             service.name,
             holder,
             arrived_at=now,
-            ends_at=now + seconds,
+            deadline_at=now + seconds,
             traits=RequestTraits(
                 make_fingerprint(
                     ask.method,
@@ -113,26 +115,26 @@
             ),
             engine=service.engine,
             last_event=ask.resume_after,
-            most_sends=_count_sends(ask, route),
+            max_sends=_count_sends(ask, route),
         )
 
     def _find_holder(
         self,
-        ask: Ask,
+        ask: DecodedRequest,
         route: Route,
         now: float,
     ) -> KeyHolder | None:
-        outlook = self._parts.outlook
+        outlook = self._dependencies.outlook
         if route.public or not outlook.index.table.has_accounts:
             return None
         outlook.check_keys(now)
-        holder = outlook.index.find_holder(ask.key)
+        holder = outlook.index.find_holder(ask.api_key)
         if holder is None:
             raise Refusal(Code.UNKNOWN_KEY)
         return holder
 
 
-def _count_sends(ask: Ask, route: Route) -> int:
+def _count_sends(ask: DecodedRequest, route: Route) -> int:
     """Return how many replicas this node may send a request to."""
     if ask.forwarded is None:
         return route.most_targets
--- a/waywell/request/group_views.py
+++ b/waywell/request/group_views.py
@@ -9,11 +9,11 @@
 from waywell.version.fleet import BoxLife, FleetBox, Replica, ReplicaKey
 
 if TYPE_CHECKING:
-    from waywell.request.submission import Work
+    from waywell.request.submission import PendingRequest
     from waywell.version.roster import Group, Member
 
 
-def make_dispatch(work: Work, group: Group) -> Dispatch:
+def make_dispatch(work: PendingRequest, group: Group) -> Dispatch:
     """Return a request on its way to a group."""
     return Dispatch(
         member=group.head,
@@ -21,7 +21,7 @@
         epoch=group.epoch,
         method=work.submission.method,
         path=work.facts.path,
-        headers=work.submission.passed,
+        headers=work.submission.forwarded_headers,
         body=work.submission.body,
         priority=work.account.priority,
         # A kept connection may be closed by the target in the moment of
@@ -35,7 +35,7 @@
     return BoxLife(group.head.box, Incarnation(group.head.boot))
 
 
-def make_replica(work: Work, group: Group) -> Replica:
+def make_replica(work: PendingRequest, group: Group) -> Replica:
     """Return a group as the guard knows replicas."""
     head = group.head
     box = FleetBox(
--- a/waywell/request/hedge_timeouts.py
+++ b/waywell/request/hedge_timeouts.py
@@ -9,7 +9,7 @@
 from waywell.version.routes import RouteKind
 
 if TYPE_CHECKING:
-    from waywell.request.ask import Ask
+    from waywell.request.decoded_request import DecodedRequest
     from waywell.version.routes import Engine, Route
 
 PLAIN_PART = 0.6
@@ -54,7 +54,7 @@
 def measure_hedge_timeouts(
     route: Route,
     engine: Engine | None,
-    ask: Ask,
+    ask: DecodedRequest,
     usual_pause: float = 0.0,
 ) -> HedgeTimeouts:
     """Return the silences that an attempt is granted.
@@ -81,7 +81,7 @@
     return HedgeTimeouts(goal * FIRST_PART, gap, _expect_first(engine, ask))
 
 
-def _expect_first(engine: Engine | None, ask: Ask) -> float:
+def _expect_first(engine: Engine | None, ask: DecodedRequest) -> float:
     if engine is None or not engine.read_per_second:
         return 0.0
     model = engine.find_model(ask.model)
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -6,14 +6,17 @@
 
 from waywell.connection.exchange import Outgoing
 from waywell.connection.forwarding import ForwardMark, read_refusal
-from waywell.request.ask import AnswerMark
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.destination import Destination
 from waywell.request.peer_chooser import make_peer_key
 
 if TYPE_CHECKING:
     from waywell.connection.wire import RawHeaders
     from waywell.membership.membership import NodeRecord
-    from waywell.request.request_context import ForwarderParts, RequestContext
+    from waywell.request.request_context import (
+        ForwarderDependencies,
+        RequestContext,
+    )
 
 
 class PeerDestination(Destination):
@@ -34,17 +37,17 @@
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        dependencies: ForwarderDependencies,
         context: RequestContext,
         peer: NodeRecord,
     ) -> None:
         """Send nothing yet."""
         self.key = make_peer_key(peer)
-        self.book = parts.peer_book
-        self._parts = parts
+        self.book = dependencies.peer_book
+        self._dependencies = dependencies
         self._context = context
         self._peer = peer
-        self._sends = max(1, context.most_sends - context.sends)
+        self._sends = max(1, context.max_sends - context.sends)
 
     def describe(self) -> dict[str, object]:
         """Return what log lines tell of it."""
@@ -56,15 +59,15 @@
         return Outgoing(
             self._peer.host,
             self._peer.caller_port,
-            context.ask.method,
-            context.ask.target,
-            self._parts.wire.make_forward_headers(
-                context.ask,
-                ForwardMark(self._parts.node, self._sends),
-                context.ends_at - now,
+            context.request.method,
+            context.request.target,
+            self._dependencies.wire.make_forward_headers(
+                context.request,
+                ForwardMark(self._dependencies.node, self._sends),
+                context.deadline_at - now,
                 context.last_event,
             ),
-            context.ask.body,
+            context.request.body,
         )
 
     def may_send(self, now: float) -> bool:
@@ -75,12 +78,14 @@
         """Return how many replicas the attempt may reach."""
         return self._sends
 
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMark:
+    def read_metadata(
+        self, status: int, headers: RawHeaders
+    ) -> AnswerMetadata:
         """Return what the head of an answer says of it.
 
         What a replica tells of itself there was told to the peer.
         """
-        mark = self._parts.wire.read_mark(status, headers)
-        if mark.attempt:
-            return AnswerMark(mark.attempt)
-        return AnswerMark(refusal=read_refusal(headers))
+        metadata = self._dependencies.wire.read_mark(status, headers)
+        if metadata.attempt_id:
+            return AnswerMetadata(metadata.attempt_id)
+        return AnswerMetadata(refusal=read_refusal(headers))
--- a/waywell/request/attempts.py
+++ b/waywell/request/request_attempts.py
@@ -14,14 +14,17 @@
 from waywell.telemetry.events import log_event
 
 if TYPE_CHECKING:
-    from waywell.request.request_context import ForwarderParts, RequestContext
+    from waywell.request.request_context import (
+        ForwarderDependencies,
+        RequestContext,
+    )
     from waywell.version.fleet import Replica
 
-MOST_LOGGED = 8
+MAX_LOGGED_PARTS = 8
 """Maximum number of prompt parts on a log line."""
 
 
-class Attempts:
+class RequestAttempts:
     """Starts and drops the attempts at one request.
 
     Parameters
@@ -36,7 +39,7 @@
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        dependencies: ForwarderDependencies,
         context: RequestContext,
         inbox: Inbox,
     ) -> None:
@@ -45,17 +48,19 @@
         self.hedge_timeouts = measure_hedge_timeouts(
             context.route,
             context.engine,
-            context.ask,
-            parts.pauses.get(context.ask.model),
+            context.request,
+            dependencies.pauses.get(context.request.model),
         )
-        self._parts = parts
+        self._dependencies = dependencies
         self._context = context
         self._inbox = inbox
 
     def start(self) -> bool:
         """Start an attempt at the best replica left; answer whether so."""
-        now = self._parts.clock.read()
-        destination = self._choose(now) if self._may_risk(0, now) else None
+        now = self._dependencies.clock.read()
+        destination = (
+            self._choose(now) if self._may_expose_replica(0, now) else None
+        )
         if destination is None:
             return False
         self._send(destination, now)
@@ -65,15 +70,15 @@
         """Start an attempt at a peer, where this node's links are lost."""
         return await self._check_links() and self.start()
 
-    async def start_paid_anywhere(self, now: float) -> bool:
+    async def start_resend_anywhere(self, now: float) -> bool:
         """Start a second attempt; where none is left, find out about links."""
-        if self.start_paid(now):
+        if self.start_resend(now):
             return True
         if not self.has_sends_left() or not await self._check_links():
             return False
-        return self.start_paid(self._parts.clock.read())
+        return self.start_resend(self._dependencies.clock.read())
 
-    def start_paid(self, now: float, beside: int = 0) -> bool:
+    def start_resend(self, now: float, concurrent: int = 0) -> bool:
         """Start a second attempt within the budget; answer whether so.
 
         Parameters
@@ -83,15 +88,17 @@
         beside
             Attempts that go on beside it.
         """
-        if not self.has_sends_left() or not self._may_risk(beside, now):
+        if not self.has_sends_left() or not self._may_expose_replica(
+            concurrent, now
+        ):
             return False
         destination = self._choose(now)
         # Nothing is paid for an attempt that no replica is left for.
-        nodes = self._parts.count_nodes()
+        nodes = self._dependencies.count_nodes()
         service = self._context.service
         if destination is None:
             return False
-        if not self._parts.budget.spend(service, nodes, now):
+        if not self._dependencies.budget.spend(service, nodes, now):
             return False
         self._send(destination, now)
         return True
@@ -100,7 +107,7 @@
         """Break an attempt off, unless it was dropped before."""
         if attempt in self.running:
             self.running.remove(attempt)
-            self._parts.running.discard(attempt)
+            self._dependencies.running.discard(attempt)
             destination = attempt.destination
             destination.book.note_end(destination.key)
             attempt.stop()
@@ -111,10 +118,10 @@
         A replica that is asked no more may still answer that it wants no
         requests for a while, or that it leaves.
         """
-        seconds = self._context.ends_at - self._parts.clock.read()
+        seconds = self._context.deadline_at - self._dependencies.clock.read()
         for other in tuple(self.running):
             if other is not attempt:
-                other.release(seconds)
+                other.await_head_only(seconds)
                 self.drop(other)
 
     def drop_all(self) -> None:
@@ -126,16 +133,16 @@
         """Answer whether a second attempt may run beside the first."""
         return (
             len(self.running) == 1
-            and self._context.may_move
+            and self._context.may_retry_elsewhere
             and self.has_sends_left()
-            and self._may_risk(1, self._parts.clock.read())
+            and self._may_expose_replica(1, self._dependencies.clock.read())
         )
 
     def has_sends_left(self) -> bool:
         """Answer whether the route allows one more replica."""
-        return self._context.sends < self._context.most_sends
+        return self._context.sends < self._context.max_sends
 
-    def get_hedge_at(self) -> float:
+    def get_hedge_time(self) -> float:
         """Return when the one attempt has been silent for too long."""
         attempt = self.running[0]
         destination = attempt.destination
@@ -147,15 +154,15 @@
     def hedge(self, now: float) -> None:
         """Start a second attempt beside a silent one, or wait once more."""
         attempt = self.running[0]
-        self.note_silence(now)
-        if self.start_paid(now, beside=1):
+        self.record_silence(now)
+        if self.start_resend(now, concurrent=1):
             self.log('hedged', attempt, now)
             return
         attempt.started_at = now
         destination = attempt.destination
         destination.book.get(destination.key).heard_at = now
 
-    def note_silence(self, now: float) -> None:
+    def record_silence(self, now: float) -> None:
         """Let a replica rest from which nothing at all comes any more."""
         for attempt in self.running:
             destination = attempt.destination
@@ -176,12 +183,12 @@
         context = self._context
         if context.may_have_run:
             return
-        self._parts.guard.check(context.traits, now)
+        self._dependencies.guard.check(context.traits, now)
         if context.holder is None:
             return
-        outlook = self._parts.outlook
+        outlook = self._dependencies.outlook
         outlook.check_keys(now)
-        if outlook.index.find_holder(context.ask.key) is None:
+        if outlook.index.find_holder(context.request.api_key) is None:
             raise Refusal(Code.UNKNOWN_KEY)
 
     def log(
@@ -193,11 +200,11 @@
     ) -> None:
         """Log what becomes of an attempt."""
         context = self._context
-        outlook = self._parts.outlook
-        self._parts.metrics.count_attempt(event, context.service)
+        outlook = self._dependencies.outlook
+        self._dependencies.metrics.count_attempt(event, context.service)
         log_event(
             event,
-            request=context.ask.attempt,
+            request=context.request.attempt_id,
             fingerprint=context.traits.fingerprint,
             route=context.route.name,
             attempt=attempt.number,
@@ -211,14 +218,17 @@
 
     def explain_unroutable(self, now: float) -> Unroutable:
         """Return why no replica is left for the request."""
-        if self._is_partitioned() and self._context.ask.forwarded is not None:
+        if (
+            self._is_partitioned()
+            and self._context.request.forwarded is not None
+        ):
             return Unroutable(Code.NODE_PARTITIONED, ReturnReason.NO_GROUP)
-        backpressure = self._parts.backpressure
+        backpressure = self._dependencies.backpressure
         replicas = self._list_replicas()
         wanting = backpressure.list_open(replicas, now)
         return explain_unroutable(
             backpressure.find_release([one.key.life for one in replicas], now),
-            self._parts.turns.find_wait(
+            self._dependencies.permits.find_wait(
                 [one.key.life for one in wanting], now
             ),
             self._context.rejections,
@@ -232,10 +242,10 @@
             len(context.tried),
             self._inbox,
             context.traits,
-            self._parts.clock,
+            self._dependencies.clock,
         )
         self.running.append(attempt)
-        self._parts.running.add(attempt)
+        self._dependencies.running.add(attempt)
         record = destination.book.get(destination.key)
         if not record.in_flight:
             # Silence is counted from when it has work.
@@ -249,68 +259,72 @@
             now,
             load=record.in_flight,
             rests=rests,
-            limit=self._parts.turns.get_limit(destination.key.life),
-            prompt_parts=','.join(context.ask.prompt_parts[:MOST_LOGGED]),
+            limit=self._dependencies.permits.get_limit(destination.key.life),
+            prompt_parts=','.join(
+                context.request.prompt_parts[:MAX_LOGGED_PARTS]
+            ),
         )
 
     def _list_replicas(self) -> list[Replica]:
         context = self._context
-        return self._parts.outlook.list_replicas(
-            context.service, context.ask.model
+        return self._dependencies.outlook.list_replicas(
+            context.service, context.request.model
         )
 
     async def _check_links(self) -> bool:
         """Answer whether a peer may reach replicas that this node can't."""
-        if self._context.ask.forwarded is not None:
+        if self._context.request.forwarded is not None:
             return False
-        await self._parts.paths.await_diagnosis(self._context.service)
+        await self._dependencies.paths.await_diagnosis(self._context.service)
         return self._is_partitioned()
 
     def _is_partitioned(self) -> bool:
         """Answer whether this node has lost its links to the service."""
-        return self._parts.paths.is_partitioned(self._context.service)
+        return self._dependencies.paths.is_partitioned(self._context.service)
 
     def _choose(self, now: float) -> Destination | None:
         if not self._is_partitioned():
             return self._choose_replica(now)
-        if self._context.ask.forwarded is not None:
+        if self._context.request.forwarded is not None:
             # Its sender has other peers.
             return None
         context = self._context
-        peer = self._parts.paths.choose_peer(
+        peer = self._dependencies.paths.choose_peer(
             context.service, context.tried, now
         )
         if peer is None:
             return self._choose_replica(now)
-        return PeerDestination(self._parts, context, peer)
+        return PeerDestination(self._dependencies, context, peer)
 
     def _choose_replica(self, now: float) -> ReplicaDestination | None:
         # A replica that has asked for rest, or has no turn, is no last resort.
-        replicas = self._parts.backpressure.list_open(
+        replicas = self._dependencies.backpressure.list_open(
             self._list_replicas(), now
         )
-        missed = self._context.turns_missed
-        replica = self._parts.chooser.choose(
-            self._parts.turns.list_open(replicas, missed, now),
+        missed = self._context.permits_missed
+        replica = self._dependencies.chooser.choose(
+            self._dependencies.permits.list_open(replicas, missed, now),
             self._context.tried,
-            self._parts.book,
+            self._dependencies.book,
             now,
         )
         if replica is None:
             return None
-        return ReplicaDestination(self._parts, self._context, replica)
+        return ReplicaDestination(self._dependencies, self._context, replica)
 
-    def _may_risk(self, beside: int, now: float) -> bool:
+    def _may_expose_replica(self, concurrent: int, now: float) -> bool:
         """Answer whether the request may put one more replica at risk."""
-        return self._parts.guard.may_send(self._context.traits, beside, now)
+        return self._dependencies.guard.may_send(
+            self._context.traits, concurrent, now
+        )
 
     def _may_send(self, attempt: Attempt) -> bool:
         """Answer, in the turn of the write, whether it still may go out."""
         context = self._context
-        now = self._parts.clock.read()
-        if now >= context.ends_at:
+        now = self._dependencies.clock.read()
+        if now >= context.deadline_at:
             return False
-        if self._parts.guard.find_release(context.traits, now):
+        if self._dependencies.guard.find_release(context.traits, now):
             return False
         if not attempt.destination.may_send(now):
             return False
--- a/waywell/request/request_claims.py
+++ b/waywell/request/request_claims.py
@@ -9,11 +9,11 @@
 
 from waywell.codes import Code, Ran, Refusal
 from waywell.process.claims import Claimer
-from waywell.request.claim import ClaimKey, ClaimState, read_issued
+from waywell.request.claim import ClaimKey, ClaimState, parse_issued_id
 from waywell.telemetry.history import History
 
 if TYPE_CHECKING:
-    from waywell.request.submission import Work
+    from waywell.request.submission import PendingRequest
 
 NO_GROUP_RETRY_SECONDS = 2.0
 """Advice to callers while no group can serve."""
@@ -34,16 +34,16 @@
 class RequestClaims:
     """Claims ids where they have their home, and settles them there."""
 
-    home: Claimer
+    issued_ids: Claimer
     """Claims of ids that an entry box gave out."""
 
-    own: Claimer
+    caller_ids: Claimer
     """Claims of ids that callers made up."""
 
     history: History
     """Where claims are noted."""
 
-    async def claim(self, work: Work) -> ClaimKey | None:
+    async def claim(self, work: PendingRequest) -> ClaimKey | None:
         """Claim the id of a request that may not be repeated.
 
         Returns
@@ -82,6 +82,6 @@
         self._get_claimer(key).settle(key, state)
 
     def _get_claimer(self, key: ClaimKey) -> Claimer:
-        if read_issued(key.request_id) is None:
-            return self.own
-        return self.home
+        if parse_issued_id(key.request_id) is None:
+            return self.caller_ids
+        return self.issued_ids
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -13,15 +13,15 @@
 from waywell.knowledge.outlook import Outlook
 from waywell.process.clock import Clock
 from waywell.request.answer_times import AnswerTimes
-from waywell.request.ask import Ask
 from waywell.request.backpressure import Backpressure
+from waywell.request.decoded_request import DecodedRequest
 from waywell.request.guard import RequestGuard
 from waywell.request.paths import DirectPaths, ReplicaPaths
 from waywell.request.pauses import PauseGauge
 from waywell.request.placement import Chooser
 from waywell.request.replica_book import ReplicaBook
 from waywell.request.resend_budget import ResendBudget
-from waywell.request.running import RunningAttempts
+from waywell.request.running_attempts import RunningAttempts
 from waywell.request.traits import RequestTraits
 from waywell.request.turn_source import TurnSource
 from waywell.telemetry.request_metrics import RequestMetrics
@@ -32,7 +32,7 @@
     from waywell.connection.wire import RawHeaders
 
 
-class CallerAnswer(abc.ABC):
+class AnswerWriter(abc.ABC):
     """The caller's side of a request."""
 
     @abc.abstractmethod
@@ -53,12 +53,12 @@
         """End a whole answer."""
 
     @abc.abstractmethod
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection, so that the answer can't look whole."""
 
 
 @attrs.frozen
-class ForwarderParts:
+class ForwarderDependencies:
     """What a forwarder works with."""
 
     outlook: Outlook
@@ -94,7 +94,7 @@
     guard: RequestGuard
     """Knows which requests crash replicas."""
 
-    turns: TurnSource
+    permits: TurnSource
     """Knows the limits of replicas."""
 
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
@@ -123,7 +123,7 @@
 class RequestContext:
     """A request while it is served."""
 
-    ask: Ask
+    request: DecodedRequest
     """What the caller asks."""
 
     route: Route
@@ -138,7 +138,7 @@
     arrived_at: float
     """When it came, in seconds."""
 
-    ends_at: float
+    deadline_at: float
     """When it is given up, in seconds."""
 
     traits: RequestTraits = RequestTraits(Fingerprint(Trait('')))
@@ -150,7 +150,7 @@
     tried: frozenset[ReplicaKey] = frozenset()
     """Replicas that it was sent to."""
 
-    most_sends: int = 1
+    max_sends: int = 1
     """Replicas that it may be sent to."""
 
     sends: int = 0
@@ -159,7 +159,7 @@
     rejections: int = 0
     """Attempts of which a replica said that it ran nothing."""
 
-    turns_missed: int = 0
+    permits_missed: int = 0
     """Replicas with a limit that had no turn for it."""
 
     last_event: int | None = None
@@ -168,21 +168,21 @@
     is_begun: bool = False
     """Whether the head of an answer was passed on."""
 
-    passed_number: bool = False
+    passed_numbered_event: bool = False
     """Whether an event with a number was passed on."""
 
-    passed_unnumbered: bool = False
+    passed_unnumbered_part: bool = False
     """Whether a part without a number was passed on, comments aside."""
 
     @property
     def can_resume(self) -> bool:
         """Return whether the rest of a begun answer can come from another."""
-        if not self.route.resumable or self.passed_unnumbered:
+        if not self.route.resumable or self.passed_unnumbered_part:
             return False
-        return self.passed_number
+        return self.passed_numbered_event
 
     @property
-    def may_move(self) -> bool:
+    def may_retry_elsewhere(self) -> bool:
         """Return whether another replica may take over from here."""
         if not self.route.may_repeat:
             return False
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -9,7 +9,7 @@
 from waywell.connection.exchange import SendFault
 from waywell.process.actor import get_handler_name
 from waywell.request.attempt import Attempt, Inbox
-from waywell.request.attempts import Attempts
+from waywell.request.request_attempts import RequestAttempts
 from waywell.request.return_advice import advise_return
 from waywell.telemetry.events import log_event
 from waywell.version.routes import RouteKind
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from waywell.connection.forwarding import PeerRefusal
     from waywell.request.request_context import (
-        CallerAnswer,
-        ForwarderParts,
+        AnswerWriter,
+        ForwarderDependencies,
         RequestContext,
     )
     from waywell.request.stream_events import StreamEvent
 
-SERVER_ERROR = 500
+MIN_SERVER_ERROR = 500
 """Lowest HTTP status that speaks against the replica."""
 
 
@@ -54,16 +54,16 @@
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        dependencies: ForwarderDependencies,
         context: RequestContext,
-        answer: CallerAnswer,
+        answer: AnswerWriter,
     ) -> None:
         """Send nothing yet."""
-        self._parts = parts
+        self._dependencies = dependencies
         self._context = context
         self._answer = answer
         self._inbox = Inbox()
-        self._attempts = Attempts(parts, context, self._inbox)
+        self._attempts = RequestAttempts(dependencies, context, self._inbox)
         self._begun_status = 0
 
     async def run(self) -> None:
@@ -86,14 +86,14 @@
         attempt = piece.attempt
         if attempt not in self._attempts.running or attempt.head is None:
             return
-        now = self._parts.clock.read()
-        self._note_pause(attempt, now)
+        now = self._dependencies.clock.read()
+        self._record_pause(attempt, now)
         attempt.destination.book.note_event(attempt.destination.key, now)
         if not self._is_next(piece):
             # Another attempt was ahead of this one, or it skips an event.
             await self._fail(attempt, now, f'event_{piece.event.number}')
             return
-        self._settle_on(attempt, now)
+        self._select_attempt(attempt, now)
         self._record_event(piece.event)
         self._begin(attempt.head)
         await self._answer.write(piece.event.raw)
@@ -103,22 +103,22 @@
         attempt = head.attempt
         if attempt not in self._attempts.running:
             return
-        now = self._parts.clock.read()
-        if head.mark.refusal is not None:
-            self._take_refusal(attempt, head.mark.refusal, now)
+        now = self._dependencies.clock.read()
+        if head.metadata.refusal is not None:
+            self._handle_refusal(attempt, head.metadata.refusal, now)
             return
-        if head.mark.attempt != self._context.ask.attempt:
+        if head.metadata.attempt_id != self._context.request.attempt_id:
             await self._fail(attempt, now, 'foreign_answer')
             return
-        if head.mark.is_rejected or head.mark.is_misdirected:
-            self._take_rejection(head, now)
+        if head.metadata.is_rejected or head.metadata.is_misdirected:
+            self._handle_rejection(head, now)
             return
         if self._context.is_begun and head.status != self._begun_status:
             # Its body is no rest of the answer that the caller has begun.
             await self._fail(attempt, now, f'status_{head.status}')
             return
         attempt.destination.book.note_heard(attempt.destination.key, now)
-        if head.status >= SERVER_ERROR:
+        if head.status >= MIN_SERVER_ERROR:
             attempt.destination.on_failed(now)
             if await self._retry(attempt, now, f'status_{head.status}'):
                 return
@@ -129,7 +129,7 @@
         attempt = end.attempt
         if attempt not in self._attempts.running or attempt.head is None:
             return
-        now = self._parts.clock.read()
+        now = self._dependencies.clock.read()
         if not end.outcome.is_complete:
             attempt.destination.on_broken(
                 has_begun=attempt.has_begun, is_over=False
@@ -143,14 +143,16 @@
         self._begin(attempt.head)
         self._answer.finish()
         status = attempt.head.status
-        if status < SERVER_ERROR:
+        if status < MIN_SERVER_ERROR:
             cleared = self._context.traits.list_cleared(status)
-            self._parts.guard.note_served(cleared)
+            self._dependencies.guard.note_served(cleared)
         self._attempts.log(
             'answered', attempt, now, status=status, **end.outcome.describe()
         )
-        self._parts.answer_times.note(self._context, now)
-        self._parts.metrics.time_answer(self._context.service, self._get_age())
+        self._dependencies.answer_times.note(self._context, now)
+        self._dependencies.metrics.time_answer(
+            self._context.service, self._get_age()
+        )
         raise _Answered
 
     async def on_fault(self, fault: Attempt.Fault) -> None:
@@ -158,9 +160,9 @@
         attempt = fault.attempt
         if attempt not in self._attempts.running:
             return
-        now = self._parts.clock.read()
+        now = self._dependencies.clock.read()
         if fault.fault is SendFault.HELD_BACK and self._context.may_have_run:
-            self._spare(attempt, now)
+            self._drop_quarantined(attempt, now)
             return
         if self._may_have_reached(fault):
             is_over = fault.fault is SendFault.REPLICA_ENDED
@@ -188,39 +190,42 @@
 
     async def _run(self) -> None:
         if not self._attempts.start():
-            now = self._parts.clock.read()
+            now = self._dependencies.clock.read()
             unroutable = self._attempts.explain_unroutable(now)
-            raise Refusal(unroutable.code, retry_after=self._advise(now))
+            raise Refusal(
+                unroutable.code, retry_after=self._compute_retry_after(now)
+            )
         while self._attempts.running:
             await self._step()
         self._give_up(Code.TARGET_FAILED)
 
     async def _step(self) -> None:
         """Take in one message, or what its absence means."""
-        now = self._parts.clock.read()
-        if now >= self._context.ends_at:
-            self._attempts.note_silence(now)
+        now = self._dependencies.clock.read()
+        if now >= self._context.deadline_at:
+            self._attempts.record_silence(now)
             self._give_up(Code.DEADLINE_PASSED)
-        message = await self._inbox.get(self._get_wait(now))
+        message = await self._inbox.get(self._get_wait_seconds(now))
         if message is None:
-            self._take_silence()
+            self._handle_timeout()
             return
         outcome = getattr(self, get_handler_name(message))(message)
         if inspect.isawaitable(outcome):
             await outcome
 
-    def _get_wait(self, now: float) -> float:
+    def _get_wait_seconds(self, now: float) -> float:
         """Return the seconds until silence means something."""
-        wait = self._context.ends_at - now
+        wait = self._context.deadline_at - now
         if self._attempts.can_hedge():
-            wait = min(wait, self._attempts.get_hedge_at() - now)
+            wait = min(wait, self._attempts.get_hedge_time() - now)
         return max(0.0, wait)
 
-    def _take_silence(self) -> None:
+    def _handle_timeout(self) -> None:
         """Try elsewhere when the one attempt has been silent for too long."""
-        now = self._parts.clock.read()
+        now = self._dependencies.clock.read()
         is_due = (
-            self._attempts.can_hedge() and now >= self._attempts.get_hedge_at()
+            self._attempts.can_hedge()
+            and now >= self._attempts.get_hedge_time()
         )
         if is_due:
             self._attempts.hedge(now)
@@ -231,27 +236,27 @@
             return self._context.may_have_run
         return fault.fault is SendFault.BROKEN
 
-    def _take_rejection(self, head: Attempt.Head, now: float) -> None:
+    def _handle_rejection(self, head: Attempt.Head, now: float) -> None:
         """Go on after a replica that says that it ran nothing."""
         attempt = head.attempt
         self._context.rejections += 1
         attempt.destination.on_failed(now)
-        if head.mark.is_misdirected:
+        if head.metadata.is_misdirected:
             attempt.destination.on_misdirected()
         self._attempts.log(
             'rejected',
             attempt,
             now,
             status=head.status,
-            rest_asked=head.mark.rest_seconds,
-            leaving=head.mark.is_leaving,
+            rest_asked=head.metadata.rest_seconds,
+            leaving=head.metadata.is_leaving,
         )
         self._attempts.drop(attempt)
         if not self._attempts.running:
-            if not self._attempts.start_paid(now):
+            if not self._attempts.start_resend(now):
                 self._give_up(self._attempts.explain_unroutable(now).code)
 
-    def _take_refusal(
+    def _handle_refusal(
         self,
         attempt: Attempt,
         refusal: PeerRefusal,
@@ -281,9 +286,9 @@
         """Record what is passed on, for an attempt that resumes after it."""
         if event.number is not None:
             self._context.last_event = event.number
-            self._context.passed_number = True
-        elif not self._context.passed_unnumbered:
-            self._context.passed_unnumbered = event.has_fields
+            self._context.passed_numbered_event = True
+        elif not self._context.passed_unnumbered_part:
+            self._context.passed_unnumbered_part = event.has_fields
 
     def _is_next(self, piece: Attempt.Piece) -> bool:
         """Answer whether a piece goes on where the answer stands."""
@@ -291,14 +296,14 @@
         number = piece.event.number
         return number is None or last is None or number == last + 1
 
-    def _note_pause(self, attempt: Attempt, now: float) -> None:
+    def _record_pause(self, attempt: Attempt, now: float) -> None:
         """Note for how long a replica was silent that has work."""
         if attempt.has_begun:
             destination = attempt.destination
             heard_at = destination.book.get(destination.key).heard_at
             destination.on_pause(now - heard_at)
 
-    def _settle_on(self, attempt: Attempt, now: float) -> None:
+    def _select_attempt(self, attempt: Attempt, now: float) -> None:
         """Go on with the attempt that brought a piece, and no other."""
         self._attempts.drop_others(attempt)
         if attempt.has_begun:
@@ -313,7 +318,7 @@
         if not self._context.is_begun:
             self._context.is_begun = True
             self._begun_status = head.status
-            self._parts.metrics.time_first(
+            self._dependencies.metrics.time_first(
                 self._context.service, self._get_age()
             )
             length = head.length
@@ -323,9 +328,9 @@
 
     def _get_age(self) -> float:
         """Return the seconds since the request arrived."""
-        return self._parts.clock.read() - self._context.arrived_at
+        return self._dependencies.clock.read() - self._context.arrived_at
 
-    def _spare(self, attempt: Attempt, now: float) -> None:
+    def _drop_quarantined(self, attempt: Attempt, now: float) -> None:
         """Drop an attempt whose replica would end under it as others did."""
         if attempt.has_begun:
             # A piece came before the word: its replica goes on.
@@ -347,10 +352,10 @@
 
     async def _retry(self, attempt: Attempt, now: float, why: str) -> bool:
         """Replace an attempt where the request may run again."""
-        if not self._context.may_move:
+        if not self._context.may_retry_elsewhere:
             return False
         is_alone = len(self._attempts.running) == 1
-        if is_alone and not await self._attempts.start_paid_anywhere(now):
+        if is_alone and not await self._attempts.start_resend_anywhere(now):
             return False
         self._attempts.log('retried', attempt, now, why=why)
         self._attempts.drop(attempt)
@@ -359,32 +364,32 @@
     def _give_up(self, code: Code, retry_after: float | None = None) -> None:
         """End a request that has no whole answer."""
         context = self._context
-        now = self._parts.clock.read()
+        now = self._dependencies.clock.read()
         log_event(
             'given_up',
-            request=context.ask.attempt,
+            request=context.request.attempt_id,
             code=int(code),
             sends=context.sends,
             begun=context.is_begun,
             age=round(now - context.arrived_at, 3),
         )
         if context.is_begun:
-            self._answer.cut()
+            self._answer.abort()
             raise _Answered
         if context.may_have_run:
             raise Refusal(code, Ran.MAY_HAVE_RUN)
         if retry_after is None:
-            retry_after = self._advise(now)
+            retry_after = self._compute_retry_after(now)
         raise Refusal(code, retry_after=retry_after)
 
-    def _advise(self, now: float) -> float:
+    def _compute_retry_after(self, now: float) -> float:
         """Return when the caller should come back, in seconds."""
         unroutable = self._attempts.explain_unroutable(now)
-        seconds_left = self._context.ends_at - now
+        seconds_left = self._context.deadline_at - now
         return advise_return(
             unroutable.reason,
             seconds_left,
-            self._parts.draw(),
+            self._dependencies.draw(),
             unroutable.rest,
         )
 
--- a/waywell/request/running.py
+++ b/waywell/request/running_attempts.py
@@ -34,11 +34,11 @@
         """Count an attempt out."""
         self._attempts.discard(attempt)
 
-    def has(self, trait: Trait) -> bool:
+    def has_trait(self, trait: Trait) -> bool:
         """Answer whether an attempt with a trait runs."""
         return any(trait in attempt.traits for attempt in self._attempts)
 
-    def break_off(self, ended: Iterable[EndedLife]) -> None:
+    def fail_ended(self, ended: Iterable[EndedLife]) -> None:
         """Tell the attempts at lives that are over, or at their groups.
 
         A group that lost a member stands still, so its streams would wait for
@@ -52,9 +52,9 @@
                 continue
             if replica.key.life in lives or _is_in(replica, groups):
                 fault = SendFault.REPLICA_ENDED
-                attempt.tell(Attempt.Fault(attempt, fault))
+                attempt.post(Attempt.Fault(attempt, fault))
 
-    def spare(self, trait: Trait) -> None:
+    def fail_quarantined(self, trait: Trait) -> None:
         """Break off the attempts with a trait that crashes what runs it.
 
         One that has brought a piece of its answer has not crashed its replica
@@ -63,7 +63,7 @@
         for attempt in tuple(self._attempts):
             if trait in attempt.traits and not attempt.has_begun:
                 fault = SendFault.HELD_BACK
-                attempt.tell(Attempt.Fault(attempt, fault))
+                attempt.post(Attempt.Fault(attempt, fault))
 
 
 def _is_in(replica: Replica, groups: set[GroupId]) -> bool:
--- a/waywell/request/submission.py
+++ b/waywell/request/submission.py
@@ -31,18 +31,18 @@
     headers: Mapping[str, str]
     """Headers with names in lower case, the last value of each."""
 
-    passed: tuple[tuple[bytes, bytes], ...]
+    forwarded_headers: tuple[tuple[bytes, bytes], ...]
     """Headers that go on to the target."""
 
     body: bytes
     """Body, untouched."""
 
 
-class CallerPort(abc.ABC):
+class CallerConnection(abc.ABC):
     """The caller's side of a request."""
 
     @abc.abstractmethod
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Answer whether the caller has hung up."""
 
     @abc.abstractmethod
@@ -51,13 +51,13 @@
 
 
 @attrs.define
-class Work:
+class PendingRequest:
     """A request on its way."""
 
     submission: Submission
     """The request as it came in."""
 
-    caller: CallerPort
+    caller: CallerConnection
     """Who waits for the answer."""
 
     facts: RequestFacts
@@ -81,7 +81,7 @@
     tried: set[GroupId] = attrs.Factory(set)
     """Groups that failed it."""
 
-    turns_missed: int = 0
+    permits_missed: int = 0
     """Groups with a limit that had no turn for it."""
 
     may_have_run: bool = False
