--- a/waywell/codes.py
+++ b/waywell/codes.py
@@ -1,4 +1,4 @@
-"""Result codes: one number for each way in which a request can end."""
+"""Result codes: a number for each outcome of a request."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class Ran(enum.Enum):
-    """Whether a refused request can have reached a target."""
+    """Whether a request may have reached a target."""
 
     NOT_RUN = 'not_run'
     """No byte of the request can have reached a target."""
 
     MAY_HAVE_RUN = 'may_have_run'
-    """Bytes may have left and the outcome is not known."""
+    """Bytes may have been sent, and the outcome is unknown."""
 
     RAN = 'ran'
     """The request has run."""
 
 
 class Code(enum.IntEnum):
-    """Numbered results, listed with their advice in docs/CODES.md."""
+    """Result codes; docs/CODES.md lists them with advice for callers."""
 
     OK = 0
 
@@ -70,13 +70,13 @@
 
 
 class CodeFacts(msgspec.Struct, frozen=True):
-    """What a code means on HTTP and for the person who reads it."""
+    """HTTP status and explanation of a code."""
 
     status: int
-    """HTTP status that carries the code."""
+    """HTTP status of answers with this code."""
 
     text: str
-    """One sentence for the caller."""
+    """Explanation for the caller, in one sentence."""
 
 
 CODE_FACTS = MappingProxyType(
@@ -172,18 +172,18 @@
 
 
 class Refusal(Exception):
-    """A request ends here, with a code and the word whether it ran.
+    """Ends a request with a code and a statement of whether it ran.
 
     Parameters
     ----------
     code
-        Why.
+        Reason of the refusal.
     ran
-        Whether the request can have reached a target.
+        Whether the request may have reached a target.
     detail
-        Words for the caller beyond the code's own text.
+        Details for the caller, in addition to the text of the code.
     retry_after
-        Seconds until a repeat has a chance, or ``None``.
+        Seconds after which the caller may retry; ``None`` for no advice.
     """
 
     def __init__(
@@ -193,7 +193,7 @@
         detail: str = '',
         retry_after: float | None = None,
     ) -> None:
-        """Keep the parts for the answer."""
+        """Store the values that the answer reports."""
         super().__init__(code.name, ran.value, detail)
         self.code = code
         self.ran = ran
@@ -202,11 +202,11 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status that carries the code."""
+        """Return the HTTP status of the code."""
         return CODE_FACTS[self.code].status
 
     def describe(self) -> dict[str, object]:
-        """Return the answer's body as plain JSON values."""
+        """Return the body of the answer as JSON-compatible values."""
         return {
             'code': int(self.code),
             'name': self.code.name,
@@ -218,7 +218,7 @@
 
 
 def render_codes() -> str:
-    """Return the table of docs/CODES.md."""
+    """Return the table of codes in docs/CODES.md, as Markdown."""
     rows = [
         f'| {code:d} | {code.name} | {facts.status} | {facts.text} |'
         for code, facts in CODE_FACTS.items()
--- a/waywell/request/attempt.py
+++ b/waywell/request/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: a task that sends it and tells what comes back."""
+"""One attempt at a request: sends it and posts the outcome to an inbox."""
 
 from __future__ import annotations
 
@@ -32,37 +32,40 @@
     from waywell.version.fleet import Replica
 
 CONNECT_TIMEOUT_SECONDS = 0.15
-"""For a connection to come up: a few times the longest way between halls;
-a box without power says nothing at all."""
+"""Timeout for establishing a connection: a few times the longest latency
+between halls. A box without power does not refuse the connection, so only the
+timeout detects it."""
 
 MAX_BUFFERED_BYTES = 262_144
-"""Most bytes of a plain answer that wait for its end, so that an answer that
-breaks off can be asked for again; a longer one is passed on as it comes."""
+"""Maximum size of a plain answer that is buffered until its end, so that the
+request can be retried if the answer is truncated. Longer answers are relayed
+as they arrive."""
 
 MAX_QUEUED_PIECES = 64
-"""Pieces that wait for the caller until the replica is read no further."""
+"""Pieces waiting for the caller above which reading from the replica is
+paused."""
 
 
 class Inbox:
-    """Where the attempts at one request put what comes."""
+    """Message queue that the attempts at one request post to."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self.queue: asyncio.Queue[object] = asyncio.Queue()
         self._paused: set[_BodyReader] = set()
 
     def put(self, message: object) -> None:
-        """Put a message in."""
+        """Append a message."""
         self.queue.put_nowait(message)
 
     def pause_if_full(self, reader: _BodyReader) -> None:
-        """Stop a reader while the caller is slower than the replica."""
+        """Pause a reader while the caller is slower than the replica."""
         if self.queue.qsize() > MAX_QUEUED_PIECES:
             reader.pause()
             self._paused.add(reader)
 
     async def get(self, seconds: float) -> object | None:
-        """Return the next message, or ``None`` when none comes in time."""
+        """Return the next message, or ``None`` after a timeout in seconds."""
         try:
             async with asyncio.timeout(seconds):
                 message = await self.queue.get()
@@ -81,61 +84,61 @@
     Parameters
     ----------
     destination
-        Where it goes.
+        Replica or peer that the request is sent to.
     number
-        Place among the attempts at the request, from 1.
+        Sequence number among the attempts at the request, from 1.
     inbox
-        Where what comes is put.
+        Queue that receives the messages of the attempt.
     traits
-        What the request may be blamed by.
+        Properties of the request that crashes of replicas are attributed to.
     clock
-        Where the time is read.
+        Clock of the node.
     """
 
     class Head(msgspec.Struct, frozen=True):
-        """The head of an answer came."""
+        """The head of an answer has arrived."""
 
         attempt: Attempt
-        """Sender."""
+        """Attempt that posts this message."""
 
         status: int
-        """HTTP status."""
+        """HTTP status code of the answer."""
 
         headers: RawHeaders
-        """Headers to pass on."""
+        """Headers to relay to the caller."""
 
         metadata: AnswerMetadata
-        """What the replica says of the answer."""
+        """Metadata from the headers of the answer."""
 
         length: int | None
-        """Length of the body, where it is told."""
+        """Body length in bytes; ``None`` if the answer does not state it."""
 
     class Piece(msgspec.Struct, frozen=True):
-        """A piece of the body came; of a stream, one whole event."""
+        """A piece of the body has arrived; in a stream, a complete event."""
 
         attempt: Attempt
-        """Sender."""
+        """Attempt that posts this message."""
 
         event: StreamEvent
-        """The piece."""
+        """Bytes of the piece, with the event number if it has one."""
 
     class End(msgspec.Struct, frozen=True):
-        """The body has ended."""
+        """The body has ended, complete or truncated."""
 
         attempt: Attempt
-        """Sender."""
+        """Attempt that posts this message."""
 
         outcome: BodyOutcome
-        """Whether all of it came."""
+        """How the body ended and whether it is complete."""
 
     class Fault(msgspec.Struct, frozen=True):
-        """No answer came."""
+        """The attempt failed without an answer."""
 
         attempt: Attempt
-        """Sender."""
+        """Attempt that posts this message."""
 
         fault: SendFault
-        """Why."""
+        """Cause of the failure."""
 
     def __init__(
         self,
@@ -145,7 +148,7 @@
         traits: RequestTraits,
         clock: Clock,
     ) -> None:
-        """Send nothing yet."""
+        """Prepare the attempt without sending anything."""
         self.destination = destination
         self.traits = traits
         self.number = number
@@ -163,28 +166,28 @@
 
     @property
     def replica(self) -> Replica | None:
-        """Return the replica; ``None`` where a peer chooses it."""
+        """Return the replica; ``None`` if a peer selects it."""
         return self.destination.replica
 
     def start(self, may_send: Callable[[], bool], now: float) -> None:
-        """Begin to send."""
+        """Start the task that sends the request."""
         self.started_at = now
         outgoing = self.destination.make_outgoing(now)
-        work = self._run(outgoing, may_send)
-        self._task = asyncio.get_running_loop().create_task(work)
+        sending = self._run(outgoing, may_send)
+        self._task = asyncio.get_running_loop().create_task(sending)
 
     def stop(self) -> None:
-        """Break it off, unless only the head of its answer is waited for."""
+        """Abort the attempt, unless it only waits for the answer's head."""
         if not self._awaits_head_only:
             self._abort()
 
     def await_head_only(self, seconds: float) -> None:
-        """Give up the answer, but for what its head says of the replica.
+        """Discard the answer, but still process the metadata in its head.
 
         Parameters
         ----------
         seconds
-            For how long the head is waited for.
+            Timeout for the head of the answer.
         """
         if self._open_request is None or self._exchange is not None:
             return
@@ -193,11 +196,11 @@
         self._is_abandoned = True
         self._awaits_head_only = True
         self._open_request.close_write()
-        end = asyncio.get_running_loop().call_later(seconds, self._abort)
-        self._task.add_done_callback(lambda _task: end.cancel())
+        timer = asyncio.get_running_loop().call_later(seconds, self._abort)
+        self._task.add_done_callback(lambda _task: timer.cancel())
 
     def post(self, message: object) -> None:
-        """Put a message into the inbox, unless it was broken off."""
+        """Post a message to the inbox, unless the attempt was abandoned."""
         if not self._is_abandoned:
             self._inbox.put(message)
 
@@ -208,7 +211,7 @@
         metadata: AnswerMetadata,
         length: int | None,
     ) -> None:
-        """Take in the head of the answer, and tell it."""
+        """Process the metadata of the answer and post its head."""
         self.destination.on_metadata(
             metadata, self.sent_at, self._clock.read()
         )
@@ -260,16 +263,16 @@
 
 @attrs.define(eq=False, repr=False, slots=False)
 class _BodyReader(BodySink):
-    """Tells the pieces of a body."""
+    """Posts the pieces of a body to the inbox."""
 
     _attempt: Attempt
-    """Whose answer it is."""
+    """Attempt that receives this body."""
 
     _exchange: Exchange
-    """Where the body is read."""
+    """Exchange that the body is read from."""
 
     _inbox: Inbox
-    """Where what comes is put."""
+    """Queue whose length decides when reading is paused."""
 
     def was_closed(self) -> bool:
         return self._exchange.was_closed
@@ -281,11 +284,11 @@
         self._attempt.post(Attempt.End(self._attempt, outcome))
 
     def _make_outcome(self, end: BodyEnd) -> BodyOutcome:
-        """Return whether the body is complete."""
+        """Return how the body ended, with what is known of its events."""
         return BodyOutcome(end)
 
     def _flush(self) -> None:
-        """Tell what was held back."""
+        """Post the bytes that are still buffered."""
         raise NotImplementedError
 
     def _post_piece(self, event: StreamEvent) -> None:
@@ -295,13 +298,13 @@
 
 @attrs.define(eq=False, repr=False, slots=False)
 class _EventReader(_BodyReader):
-    """Tells whole events only: a replica may break off within one."""
+    """Posts complete events only, as a replica may fail within an event."""
 
     _splitter: EventSplitter = attrs.field(factory=EventSplitter, init=False)
-    """Where the events are cut from the bytes."""
+    """Splits the received bytes into events."""
 
     _has_events: bool = attrs.field(default=False, init=False)
-    """Whether an event has come."""
+    """Whether a complete event has arrived."""
 
     def on_bytes(self, raw: bytes) -> None:
         for event in self._splitter.feed(raw):
@@ -313,17 +316,17 @@
         return BodyOutcome(end, unfinished, self._has_events)
 
     def _flush(self) -> None:
-        # Comments and empty lines: no event that a caller could take up.
+        # Only comments and empty lines, so no event to resume after.
         if self._splitter.remainder:
             self._post_piece(StreamEvent(self._splitter.remainder, None))
 
 
 @attrs.define(eq=False, repr=False, slots=False)
 class _PlainReader(_BodyReader):
-    """Gathers a body of moderate size and tells it whole."""
+    """Buffers a body up to a maximum size and posts it in one piece."""
 
     _buffer: bytearray = attrs.field(factory=bytearray, init=False)
-    """What was not told yet."""
+    """Bytes that were not posted yet."""
 
     def on_bytes(self, raw: bytes) -> None:
         self._buffer += raw
--- a/waywell/request/claim.py
+++ b/waywell/request/claim.py
@@ -1,13 +1,13 @@
-"""Claims: a request that may not be repeated runs at most once.
+"""Claims, by which a request that may not be repeated runs at most once.
 
-An entry box gives out request ids that name it and its incarnation: it
-is their home and keeps their claims in memory.  A repeat that arrives
-elsewhere asks the home.  A home that is gone, or that has another
-incarnation, means that the outcome is unknown, and nothing is run.
+An entry box issues request ids that contain its name and incarnation.  It is
+the home node of these ids and keeps their claims in memory.  An entry box that
+receives a repeat asks the home node.  If the home node is lost or has another
+incarnation, the outcome is unknown and the request is not run.
 
-An id has one fate: once it was granted it is never granted again, also
-when the request was refused before it ran, so that a word "not run"
-stays true whatever submissions of the id are still on their way.
+An id is granted at most once, even if the request was refused before it ran:
+other submissions of the id may still be in flight, and the answer "not run"
+has to stay true.
 """
 
 from __future__ import annotations
@@ -19,74 +19,75 @@
 from waywell.ids import Incarnation, NodeId, RequestId
 
 ISSUED_ID_SECONDS = 900.0
-"""Seconds for which an id is good after it was given out."""
+"""Seconds for which an id can be claimed after it was issued."""
 
 MAX_CLAIMS = 50_000
-"""Claims that one home keeps."""
+"""Maximum number of claims that a home node keeps."""
 
 ID_PART_COUNT = 4
-"""Node, incarnation, second of issue and the caller's own part."""
+"""Node, incarnation, time of issue in seconds, and a part that the caller
+chooses."""
 
 
 class ClaimState(enum.Enum):
-    """What a home knows of a request id."""
+    """State of a request id at its home node."""
 
     GRANTED = 'granted'
-    """The asker, and nobody else, may run it."""
+    """The submission that made the claim, and no other, may run it."""
 
     RUNNING = 'running'
-    """Another submission holds it."""
+    """Another submission was granted the id and has not settled it."""
 
     DONE = 'done'
-    """It has run."""
+    """The request has run."""
 
     UNKNOWN = 'unknown'
-    """It may have run."""
+    """The request may have run."""
 
     REFUSED = 'refused'
-    """It was refused before it ran, and will not run any more."""
+    """The request was refused before it ran and will never run."""
 
     EXPIRED = 'expired'
-    """The id is too old, or was never given out."""
+    """The id is too old, or was not issued by this incarnation."""
 
     FULL = 'full'
-    """The home keeps too many claims to take another."""
+    """The home node keeps the maximum number of claims."""
 
 
 class ClaimKey(msgspec.Struct, frozen=True):
-    """A request id within its client account."""
+    """A request id, scoped to its client account."""
 
     account: str
-    """Client account: another account's id is another request."""
+    """Client account; equal ids of two accounts are separate requests."""
 
     request_id: RequestId
-    """Request id."""
+    """Id from the request, issued by an entry box or made by the caller."""
 
 
 class IssuedId(msgspec.Struct, frozen=True):
-    """The parts of a request id that an entry box gave out."""
+    """The parts of a request id that an entry box issued."""
 
     node: NodeId
-    """Home."""
+    """Entry box that issued the id and keeps its claim."""
 
     incarnation: Incarnation
-    """Incarnation of the home."""
+    """Incarnation of that entry box when it issued the id."""
 
     second: int
-    """Second of issue, by the home's own clock."""
+    """Time of issue in whole seconds, by the clock of the home node."""
 
 
 def make_id_prefix(node: NodeId, incarnation: Incarnation, now: float) -> str:
-    """Return the prefix of request ids that a home gives out at ``now``."""
+    """Return the prefix of the request ids that a node issues at ``now``."""
     return f'{node}:{incarnation}:{int(now)}:'
 
 
 def parse_issued_id(request_id: RequestId) -> IssuedId | None:
-    """Return the parts of an id, or ``None`` for a caller's own id."""
+    """Return the parts of an id, or ``None`` if no entry box issued it."""
     parts = request_id.split(':', ID_PART_COUNT - 1)
     if len(parts) < ID_PART_COUNT or not parts[ID_PART_COUNT - 1]:
         return None
-    node, incarnation, second, _own = parts
+    node, incarnation, second, _caller_part = parts
     if not (incarnation.isdecimal() and second.isdecimal()):
         return None
     return IssuedId(NodeId(node), Incarnation(int(incarnation)), int(second))
@@ -94,30 +95,30 @@
 
 class _Claim(msgspec.Struct):
     state: ClaimState
-    until: float
+    expires_at: float
     holder: NodeId
     holder_incarnation: int
 
 
 class ClaimTable:
-    """The claims of one home.
+    """The claims that one home node keeps.
 
     Parameters
     ----------
     node
-        This entry box.
+        Name of this entry box.
     incarnation
-        Its incarnation.
+        Incarnation of this entry box.
     """
 
     def __init__(self, node: NodeId, incarnation: Incarnation) -> None:
-        """Start empty: no id of this incarnation was given out yet."""
+        """Create an empty table, as no id of this incarnation was issued."""
         self._node = node
         self._incarnation = incarnation
         self._claims: dict[ClaimKey, _Claim] = {}
 
     def __len__(self) -> int:
-        """Return the number of claims kept."""
+        """Return the number of stored claims."""
         return len(self._claims)
 
     def claim(
@@ -134,11 +135,16 @@
         key
             Account and request id.
         holder
-            Entry box that would run it.
+            Entry box that will run the request if the claim is granted.
         holder_incarnation
-            Its incarnation.
+            Incarnation of that entry box.
         now
-            Present time by the home's clock, in seconds.
+            Current time by the clock of the home node, in seconds.
+
+        Returns
+        -------
+        ClaimState
+            ``GRANTED`` if the request may run, otherwise the reason why not.
         """
         issued = parse_issued_id(key.request_id)
         if issued is None or not self._is_valid(issued, now):
@@ -151,44 +157,49 @@
             self.forget_expired(now)
         if len(self._claims) >= MAX_CLAIMS:
             return ClaimState.FULL
-        # The claim outlives the id, so an id can't be claimed afresh.
-        until = issued.second + 2 * ISSUED_ID_SECONDS
+        # The claim outlives its id, so that the id can't be granted again.
+        expires_at = issued.second + 2 * ISSUED_ID_SECONDS
         self._claims[key] = _Claim(
             ClaimState.GRANTED,
-            until,
+            expires_at,
             holder,
             holder_incarnation,
         )
         return ClaimState.GRANTED
 
     def change_incarnation(self, incarnation: Incarnation) -> None:
-        """Give out ids of another incarnation; those of before have expired.
+        """Issue ids of a new incarnation from now on; earlier ids expire.
 
         Parameters
         ----------
         incarnation
-            The home's, after it met the record of a run with a higher one.
+            New incarnation of this node, chosen after it received the record
+            of an earlier run of itself with a higher incarnation.
         """
         self._incarnation = incarnation
 
     def settle(self, key: ClaimKey, state: ClaimState) -> None:
-        """Keep how the run of a claimed request ended."""
+        """Record the outcome of a claimed request."""
         claim = self._claims.get(key)
         if claim is not None:
             claim.state = state
 
     def mark_holder_lost(self, node: NodeId, incarnation: int) -> None:
-        """Mark what a lost entry box held as of unknown outcome."""
+        """Set the unsettled claims of a lost entry box to unknown outcome."""
         for claim in self._claims.values():
-            held = claim.holder == node
-            earlier = claim.holder_incarnation <= incarnation
-            if held and earlier and claim.state is ClaimState.GRANTED:
+            is_holder = claim.holder == node
+            is_earlier = claim.holder_incarnation <= incarnation
+            if is_holder and is_earlier and claim.state is ClaimState.GRANTED:
                 claim.state = ClaimState.UNKNOWN
 
     def forget_expired(self, now: float) -> None:
-        """Drop the claims of ids that can't be claimed any more."""
-        old = [key for key, claim in self._claims.items() if claim.until < now]
-        for key in old:
+        """Delete the claims of ids that can no longer be claimed."""
+        expired = [
+            key
+            for key, claim in self._claims.items()
+            if claim.expires_at < now
+        ]
+        for key in expired:
             self._claims.pop(key)
 
     def _is_valid(self, issued: IssuedId, now: float) -> bool:
--- a/waywell/request/decoded_request.py
+++ b/waywell/request/decoded_request.py
@@ -1,4 +1,4 @@
-"""A request for a replica as it came in, decoded."""
+"""Requests of callers, decoded, and the metadata of their answers."""
 
 from __future__ import annotations
 
@@ -10,96 +10,99 @@
 
 
 class DecodedRequest(msgspec.Struct, frozen=True):
-    """What a caller asks, and what it says of the request."""
+    """A request as received, with the values decoded from its headers."""
 
     attempt_id: str
-    """The caller's id of this attempt; each attempt has its own."""
+    """Id that the caller gave this attempt; a repeat has another one."""
 
     method: str
-    """HTTP method."""
+    """HTTP method, as received."""
 
     target: str
-    """Path and query."""
+    """Request target: path and query string."""
 
     host: str
-    """Host that it asks for."""
+    """Value of the ``Host`` header, by which the route is found."""
 
     headers: RawHeaders
-    """Headers that go on to the replica."""
+    """Headers to forward to the replica."""
 
     body: bytes
-    """Body, untouched."""
+    """Body bytes, forwarded unchanged."""
 
     api_key: str = ''
-    """Key of the client account; empty where none was sent."""
+    """API key of the client account; empty if none was sent."""
 
     timeout_seconds: float | None = None
-    """For which the caller will wait, from the arrival."""
+    """Seconds from arrival that the caller waits; ``None`` if not sent."""
 
     resume_after: int | None = None
-    """Last event that the caller has; ``None`` for a whole stream."""
+    """Number of the last event that the caller received; ``None`` to get the
+    stream from its start."""
 
     model: ModelName = ModelName('')
-    """Model that it asks for."""
+    """Requested model; empty if none was named."""
 
     prompt_tokens: int = 0
-    """Tokens of the prompt."""
+    """Length of the prompt, in tokens."""
 
     answer_tokens: int = 0
-    """Most tokens of the answer."""
+    """Maximum length of the answer, in tokens."""
 
     expected_answer_tokens: int = 0
-    """Tokens that the caller expects; 0 where it does not say."""
+    """Answer length that the caller expects, in tokens; 0 if not sent."""
 
     prompt_parts: tuple[PromptPart, ...] = ()
-    """Parts of the prompt that other requests may share."""
+    """Identifiers of prompt parts that other requests may share."""
 
     forwarded: ForwardMark | None = None
-    """Set where another entry box forwards it."""
+    """Forwarding metadata; set if another entry box forwarded the request."""
 
     @property
     def path(self) -> str:
-        """Return the path without the query."""
+        """Return the request target without its query string."""
         return self.target.partition('?')[0]
 
 
 class DeliveryParameters(msgspec.Struct, frozen=True):
-    """What is added to an ask on its way to a replica."""
+    """Values that the node adds to a request when it sends it to a replica."""
 
     account: AccountName | None
-    """Client account, where the route asks for a key."""
+    """Client account; ``None`` for routes that need no API key."""
 
     seconds: float
-    """For which the replica may work."""
+    """Seconds that are left for the replica to answer."""
 
     resume_after: int | None = None
-    """Last event that the caller has by now."""
+    """Number of the last event that was relayed to the caller."""
 
     priority: int | None = None
-    """Rank among the replica's requests, 0 first."""
+    """Priority in the replica's queue; 0 is served first."""
 
 
 class AnswerMetadata(msgspec.Struct, frozen=True):
-    """What a replica says of its answer, beside status and body."""
+    """Metadata that a replica sends in the headers of its answer."""
 
     attempt_id: str = ''
-    """Id of the attempt that it answers."""
+    """Id of the attempt that this answers, to detect foreign answers."""
 
     is_rejected: bool = False
-    """Whether the replica says that it has not run the request."""
+    """Whether the replica states that it has not run the request."""
 
     is_misdirected: bool = False
-    """Whether another box, or a box that is no head, has the address."""
+    """Whether the address belongs to another box, or to a box that is not the
+    head of its group."""
 
     rest_seconds: float = 0.0
-    """For which the replica wants nothing from this node; 0 for no wish."""
+    """Seconds for which the replica asks this node to send it no requests; 0
+    if it does not ask for a pause."""
 
     is_leaving: bool = False
-    """Whether the replica says that it is about to end."""
+    """Whether the replica announces that it is about to shut down."""
 
     rate_limit: float | None = None
-    """Requests a second that the replica takes from all nodes together;
-    ``None`` where the answer says nothing of it."""
+    """Requests per second that the replica accepts from all nodes together;
+    ``None`` if the answer does not state a limit."""
 
     refusal: PeerRefusal | None = None
-    """Set where a peer has refused the request that it was to forward."""
+    """Refusal of a peer that was asked to forward the request."""
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -1,4 +1,4 @@
-"""Where an attempt sends its request."""
+"""Destinations of attempts: where a request is sent."""
 
 from __future__ import annotations
 
@@ -21,84 +21,90 @@
 
 
 class Destination(abc.ABC):
-    """Where one attempt goes, and what its outcome says of that place."""
+    """Destination of one attempt, which also records its outcome."""
 
     key: ReplicaKey
-    """What tells it from other destinations."""
+    """Key under which ``book`` keeps records of the destination."""
 
     book: ReplicaBook
-    """What this node has seen of destinations of its kind."""
+    """This node's records of load, failures and silence."""
 
     replica: Replica | None = None
-    """The replica; ``None`` where a peer chooses it."""
+    """Replica that receives the request; ``None`` if a peer selects it."""
 
     @abc.abstractmethod
     def describe(self) -> dict[str, object]:
-        """Return what log lines tell of it."""
+        """Return the fields that identify the destination in log lines."""
 
     @abc.abstractmethod
     def make_outgoing(self, now: float) -> Outgoing:
-        """Return the request as it is sent there at ``now``."""
+        """Return the request in the form in which it is sent at ``now``."""
 
     @abc.abstractmethod
     def may_send(self, now: float) -> bool:
-        """Answer, in the turn of the write, whether the request may go."""
+        """Return, right before the write, whether the request may be sent."""
 
     @abc.abstractmethod
     def count_sends(self) -> int:
-        """Return how many replicas the attempt may reach."""
+        """Return the maximum number of replicas that the attempt reaches."""
 
     @abc.abstractmethod
     def read_metadata(
         self, status: int, headers: RawHeaders
     ) -> AnswerMetadata:
-        """Return what the head of an answer says of it."""
+        """Return the metadata from the head of an answer."""
 
     async def acquire_permit(self) -> bool:
-        """Answer whether a request may go there by its limit."""
+        """Acquire a permit under the rate limit, if there is one.
+
+        Returns
+        -------
+        bool
+            Whether the request may be sent.
+        """
         return True
 
     def on_connected(self, now: float) -> None:
-        """Take in that a connection came up."""
+        """Record that a connection was established."""
 
     def on_unreachable(self, now: float) -> None:
-        """Take in that no connection came up."""
+        """Record that no connection could be established."""
 
     def on_metadata(
         self, metadata: AnswerMetadata, sent_at: float, now: float
     ) -> None:
-        """Take in what an answer says, also where nobody waits for it."""
+        """Apply the metadata of an answer, even if the attempt was dropped."""
 
     def on_failed(self, now: float) -> None:
-        """Take in that an answer failed, broke off or was refused."""
+        """Record that an attempt failed, was truncated or was rejected."""
 
     def on_silent(self) -> None:
-        """Take in that nothing comes although it has work."""
+        """Report that the destination sends nothing although it has work."""
 
     def on_broken(self, *, has_begun: bool, is_over: bool) -> None:
-        """Take in that an attempt broke after bytes had left."""
+        """Report that an attempt failed after bytes were sent."""
 
     def on_misdirected(self) -> None:
-        """Take in that it is not what it was taken for."""
+        """Report that another box, or none that is a head, has the address."""
 
     def on_pause(self, seconds: float) -> None:
-        """Take in for how long it was silent between two pieces."""
+        """Record the pause between two pieces of an answer, in seconds."""
 
     def on_first_piece(self, ratio: float) -> None:
-        """Take in how slowly an answer began, as a part of what is usual."""
+        """Record the time to the first piece, divided by the expected time."""
 
 
 class ReplicaDestination(Destination):
-    """A replica that this node connects to.
+    """A replica that this node connects to directly.
 
     Parameters
     ----------
-    parts
-        What the forwarder works with.
+    dependencies
+        Collaborators of the forwarder.
     context
-        The request.
+        State of the request.
     replica
-        The replica.
+        Replica that receives the request.
     """
 
     def __init__(
@@ -107,7 +113,7 @@
         context: RequestContext,
         replica: Replica,
     ) -> None:
-        """Send nothing yet."""
+        """Prepare the destination without acquiring a permit."""
         self.replica: Replica = replica
         self.key = replica.key
         self.book = dependencies.book
@@ -116,11 +122,11 @@
         self._permit: Turn | None = None
 
     def describe(self) -> dict[str, object]:
-        """Return what log lines tell of it."""
+        """Return the fields that identify the destination in log lines."""
         return {'box': self.key.box, 'group': self.replica.group}
 
     def make_outgoing(self, now: float) -> Outgoing:
-        """Return the request as it is sent there at ``now``."""
+        """Return the request in the form in which it is sent at ``now``."""
         context = self._context
         holder = context.holder
         delivery = DeliveryParameters(
@@ -142,7 +148,13 @@
         )
 
     async def acquire_permit(self) -> bool:
-        """Answer whether a request may go there by its limit."""
+        """Acquire a permit under the rate limit, if there is one.
+
+        Returns
+        -------
+        bool
+            Whether the request may be sent.
+        """
         self._permit = await self._dependencies.permits.take_turn(
             self.key.life, self.replica.head.hall, self._context.priority
         )
@@ -151,7 +163,7 @@
         return self._permit is not None
 
     def may_send(self, now: float) -> bool:
-        """Answer, in the turn of the write, whether the request may go."""
+        """Return, right before the write, whether the request may be sent."""
         life = self.key.life
         if not self._dependencies.backpressure.may_send(life, now):
             return False
@@ -169,23 +181,23 @@
         return outlook.may_send_to(self.replica)
 
     def count_sends(self) -> int:
-        """Return how many replicas the attempt may reach."""
+        """Return the maximum number of replicas that the attempt reaches."""
         return 1
 
     def read_metadata(
         self, status: int, headers: RawHeaders
     ) -> AnswerMetadata:
-        """Return what the head of an answer says of it."""
+        """Return the metadata from the head of an answer."""
         return self._dependencies.wire.read_mark(status, headers)
 
     def on_connected(self, now: float) -> None:
-        """Take in that a connection came up."""
+        """Record that a connection was established."""
         self._dependencies.paths.record(
             self.replica.head, now, is_connected=True
         )
 
     def on_unreachable(self, now: float) -> None:
-        """Take in that no connection came up."""
+        """Record that no connection could be established."""
         self._dependencies.paths.record(
             self.replica.head, now, is_connected=False
         )
@@ -193,7 +205,7 @@
     def on_metadata(
         self, metadata: AnswerMetadata, sent_at: float, now: float
     ) -> None:
-        """Take in what an answer says, also where nobody waits for it."""
+        """Apply the metadata of an answer, even if the attempt was dropped."""
         life = self.key.life
         self._dependencies.backpressure.note(life, metadata, now)
         if metadata.rate_limit is not None:
@@ -203,15 +215,15 @@
             )
 
     def on_failed(self, now: float) -> None:
-        """Take in that an answer failed, broke off or was refused."""
+        """Record that an attempt failed, was truncated or was rejected."""
         self.book.note_failure(self.key, now)
 
     def on_silent(self) -> None:
-        """Take in that nothing comes although it has work."""
+        """Report that the destination sends nothing although it has work."""
         self._dependencies.raise_doubt(self.replica)
 
     def on_broken(self, *, has_begun: bool, is_over: bool) -> None:
-        """Take in that an attempt broke after bytes had left."""
+        """Report that an attempt failed after bytes were sent."""
         self._dependencies.guard.note_broken(
             self.replica,
             self._context.traits,
@@ -220,13 +232,13 @@
         )
 
     def on_misdirected(self) -> None:
-        """Take in that it is not what it was taken for."""
+        """Report that another box, or none that is a head, has the address."""
         self._dependencies.outlook.doubt(self.replica)
 
     def on_pause(self, seconds: float) -> None:
-        """Take in for how long it was silent between two pieces."""
+        """Record the pause between two pieces of an answer, in seconds."""
         self._dependencies.pauses.note(self.replica.model, seconds)
 
     def on_first_piece(self, ratio: float) -> None:
-        """Take in how slowly an answer began, as a part of what is usual."""
+        """Record the time to the first piece, divided by the expected time."""
         self.book.note_first(self.key, ratio)
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -1,4 +1,4 @@
-"""The way of one request on the platform: route, account, service."""
+"""Resolution of a request to its route, account and service."""
 
 from __future__ import annotations
 
@@ -22,49 +22,49 @@
 
 
 class Forwarder:
-    """Serves requests by what is in force.
+    """Serves requests according to the routes and boxes in force.
 
     Parameters
     ----------
-    parts
-        What it works with.
+    dependencies
+        Collaborators of the forwarder.
     """
 
     def __init__(self, dependencies: ForwarderDependencies) -> None:
-        """Keep the dependencies."""
+        """Subscribe to ended replicas, to fail the attempts at them."""
         self._dependencies = dependencies
         self._node_ends_at = math.inf
         dependencies.outlook.listen_for_ends(dependencies.running.fail_ended)
 
     def start_draining(self, ends_at: float) -> None:
-        """Take nothing more that can't be expected to end by a moment.
+        """Refuse new requests that are not expected to end by ``ends_at``.
 
-        Callers do better elsewhere: of the streams that came within the last
-        seconds of a planned stop, 2 to 4 were cut by the end of the process in
-        each of four played days.
+        Callers are better served by another node: without this check, 2 to 4
+        streams that arrived in the last seconds before a planned stop were
+        truncated when the process ended.
         """
         self._node_ends_at = ends_at
 
     async def serve(self, ask: DecodedRequest, answer: AnswerWriter) -> None:
-        """Serve a request to its end.
+        """Serve a request until its answer has ended.
 
         Raises
         ------
         Refusal
-            When no answer was begun.
+            If no part of an answer was sent to the caller.
         """
         context = self._resolve(ask)
         self._dependencies.guard.check(context.traits, context.arrived_at)
         self._check_node_end(context)
         if ask.forwarded is None:
-            # A forwarded request counts at the node that its caller asked.
+            # A forwarded request counts at the node that received it first.
             self._dependencies.budget.note_request(
                 context.service, context.arrived_at
             )
         await RequestExecution(self._dependencies, context, answer).run()
 
     def _check_node_end(self, context: RequestContext) -> None:
-        """Refuse what would be cut by the end of this node."""
+        """Refuse a request that would still run when this node stops."""
         if math.isinf(self._node_ends_at):
             return
         times = self._dependencies.answer_times
@@ -75,7 +75,7 @@
             raise Refusal(Code.NODE_LEAVING, retry_after=0)
 
     def _resolve(self, ask: DecodedRequest) -> RequestContext:
-        """Find route, account and service."""
+        """Resolve the route, client account and service of a request."""
         now = self._dependencies.clock.read()
         outlook = self._dependencies.outlook
         outlook.check_routes(now)
@@ -135,7 +135,7 @@
 
 
 def _count_sends(ask: DecodedRequest, route: Route) -> int:
-    """Return how many replicas this node may send a request to."""
+    """Return the maximum number of replicas to send a request to."""
     if ask.forwarded is None:
         return route.most_targets
     return min(route.most_targets, ask.forwarded.sends)
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -1,4 +1,4 @@
-"""A peer that forwards requests for a node without links to replicas."""
+"""Forwarding through a peer when this node is cut off from replicas."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 class PeerDestination(Destination):
-    """A peer that serves a request in this node's place.
+    """A peer that forwards a request to a replica for this node.
 
-    The peer draws on its own permits, budget and quarantine, so this node
-    records nothing of the replicas that it uses.
+    The peer applies its own permits, budget and quarantine, so this node
+    records nothing about the replicas that the peer uses.
 
     Parameters
     ----------
-    parts
-        What the forwarder works with.
+    dependencies
+        Collaborators of the forwarder.
     context
-        The request.
+        State of the request.
     peer
-        The peer.
+        Membership record of the peer.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         context: RequestContext,
         peer: NodeRecord,
     ) -> None:
-        """Send nothing yet."""
+        """Reserve the remaining sends of the request for the peer."""
         self.key = make_peer_key(peer)
         self.book = dependencies.peer_book
         self._dependencies = dependencies
@@ -50,11 +50,11 @@
         self._sends = max(1, context.max_sends - context.sends)
 
     def describe(self) -> dict[str, object]:
-        """Return what log lines tell of it."""
+        """Return the fields that identify the peer in log lines."""
         return {'peer': self._peer.node}
 
     def make_outgoing(self, now: float) -> Outgoing:
-        """Return the request as it is sent there at ``now``."""
+        """Return the request in the form in which it is sent at ``now``."""
         context = self._context
         return Outgoing(
             self._peer.host,
@@ -71,19 +71,20 @@
         )
 
     def may_send(self, now: float) -> bool:
-        """Answer that the request may go: the peer checks it anew."""
+        """Return ``True``, as the peer makes the checks itself."""
         return True
 
     def count_sends(self) -> int:
-        """Return how many replicas the attempt may reach."""
+        """Return the maximum number of replicas that the peer may use."""
         return self._sends
 
     def read_metadata(
         self, status: int, headers: RawHeaders
     ) -> AnswerMetadata:
-        """Return what the head of an answer says of it.
+        """Return the attempt id or the refusal from the head of an answer.
 
-        What a replica tells of itself there was told to the peer.
+        All other metadata of the replica concerns only the peer, which has
+        applied it.
         """
         metadata = self._dependencies.wire.read_mark(status, headers)
         if metadata.attempt_id:
--- a/waywell/request/request_attempts.py
+++ b/waywell/request/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts at one request that run side by side."""
+"""Concurrent attempts at one request."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     from waywell.version.fleet import Replica
 
 MAX_LOGGED_PARTS = 8
-"""Maximum number of prompt parts on a log line."""
+"""Maximum number of prompt parts in a log line."""
 
 
 class RequestAttempts:
-    """Starts and drops the attempts at one request.
+    """Starts, hedges and drops the attempts at one request.
 
     Parameters
     ----------
-    parts
-        What the forwarder works with.
+    dependencies
+        Collaborators of the forwarder.
     context
-        The request.
+        State of the request.
     inbox
-        Where what comes back is put.
+        Queue that receives the messages of the attempts.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         context: RequestContext,
         inbox: Inbox,
     ) -> None:
-        """Start none yet."""
+        """Compute the hedge timeouts without starting an attempt."""
         self.running: list[Attempt] = []
         self.hedge_timeouts = measure_hedge_timeouts(
             context.route,
@@ -56,7 +56,13 @@
         self._inbox = inbox
 
     def start(self) -> bool:
-        """Start an attempt at the best replica left; answer whether so."""
+        """Start an attempt at the best untried replica, if there is one.
+
+        Returns
+        -------
+        bool
+            Whether an attempt was started.
+        """
         now = self._dependencies.clock.read()
         destination = (
             self._choose(now) if self._may_expose_replica(0, now) else None
@@ -67,11 +73,11 @@
         return True
 
     async def start_at_peer(self) -> bool:
-        """Start an attempt at a peer, where this node's links are lost."""
+        """Start an attempt at a peer if this node is cut off from replicas."""
         return await self._check_links() and self.start()
 
     async def start_resend_anywhere(self, now: float) -> bool:
-        """Start a second attempt; where none is left, find out about links."""
+        """Start a resend; if no replica is left, diagnose the links first."""
         if self.start_resend(now):
             return True
         if not self.has_sends_left() or not await self._check_links():
@@ -79,21 +85,26 @@
         return self.start_resend(self._dependencies.clock.read())
 
     def start_resend(self, now: float, concurrent: int = 0) -> bool:
-        """Start a second attempt within the budget; answer whether so.
+        """Start another attempt if the resend budget allows it.
 
         Parameters
         ----------
         now
-            The present time, in seconds.
-        beside
-            Attempts that go on beside it.
+            Current time, in seconds.
+        concurrent
+            Number of attempts that continue to run beside it.
+
+        Returns
+        -------
+        bool
+            Whether an attempt was started.
         """
         if not self.has_sends_left() or not self._may_expose_replica(
             concurrent, now
         ):
             return False
         destination = self._choose(now)
-        # Nothing is paid for an attempt that no replica is left for.
+        # The budget is charged only if a replica is left to try.
         nodes = self._dependencies.count_nodes()
         service = self._context.service
         if destination is None:
@@ -104,7 +115,7 @@
         return True
 
     def drop(self, attempt: Attempt) -> None:
-        """Break an attempt off, unless it was dropped before."""
+        """Stop an attempt, unless it was dropped before."""
         if attempt in self.running:
             self.running.remove(attempt)
             self._dependencies.running.discard(attempt)
@@ -113,10 +124,10 @@
             attempt.stop()
 
     def drop_others(self, attempt: Attempt) -> None:
-        """Give all up but one.
+        """Drop all attempts but one.
 
-        A replica that is asked no more may still answer that it wants no
-        requests for a while, or that it leaves.
+        The heads of their answers are still awaited: they may ask for a pause
+        or announce that the replica is leaving.
         """
         seconds = self._context.deadline_at - self._dependencies.clock.read()
         for other in tuple(self.running):
@@ -125,12 +136,12 @@
                 self.drop(other)
 
     def drop_all(self) -> None:
-        """Break all off."""
+        """Drop all attempts."""
         for attempt in tuple(self.running):
             self.drop(attempt)
 
     def can_hedge(self) -> bool:
-        """Answer whether a second attempt may run beside the first."""
+        """Return whether a hedge may be started beside the only attempt."""
         return (
             len(self.running) == 1
             and self._context.may_retry_elsewhere
@@ -139,11 +150,11 @@
         )
 
     def has_sends_left(self) -> bool:
-        """Answer whether the route allows one more replica."""
+        """Return whether the request may be sent to one more replica."""
         return self._context.sends < self._context.max_sends
 
     def get_hedge_time(self) -> float:
-        """Return when the one attempt has been silent for too long."""
+        """Return when the only attempt becomes due for a hedge, in seconds."""
         attempt = self.running[0]
         destination = attempt.destination
         heard_at = destination.book.get(destination.key).heard_at
@@ -152,7 +163,7 @@
         return attempt.started_at + self.hedge_timeouts.first
 
     def hedge(self, now: float) -> None:
-        """Start a second attempt beside a silent one, or wait once more."""
+        """Start a hedge beside a silent attempt, or restart its timeout."""
         attempt = self.running[0]
         self.record_silence(now)
         if self.start_resend(now, concurrent=1):
@@ -163,7 +174,7 @@
         destination.book.get(destination.key).heard_at = now
 
     def record_silence(self, now: float) -> None:
-        """Let a replica rest from which nothing at all comes any more."""
+        """Record a failure of replicas that are silent on all requests."""
         for attempt in self.running:
             destination = attempt.destination
             book, key = destination.book, destination.key
@@ -173,12 +184,12 @@
                 self.log('silent', attempt, now)
 
     def check_unsent(self, now: float) -> None:
-        """Refuse a request that was not sent because of what it is.
+        """Refuse a request that was not sent and may not be sent any more.
 
         Raises
         ------
         Refusal
-            When its key was removed, or replicas ended under it meanwhile.
+            If its API key was removed or it was quarantined meanwhile.
         """
         context = self._context
         if context.may_have_run:
@@ -198,7 +209,7 @@
         now: float,
         **pairs: object,
     ) -> None:
-        """Log what becomes of an attempt."""
+        """Log and count an event of an attempt."""
         context = self._context
         outlook = self._dependencies.outlook
         self._dependencies.metrics.count_attempt(event, context.service)
@@ -217,7 +228,7 @@
         )
 
     def explain_unroutable(self, now: float) -> Unroutable:
-        """Return why no replica is left for the request."""
+        """Return why no replica can take the request."""
         if (
             self._is_partitioned()
             and self._context.request.forwarded is not None
@@ -248,7 +259,7 @@
         self._dependencies.running.add(attempt)
         record = destination.book.get(destination.key)
         if not record.in_flight:
-            # Silence is counted from when it has work.
+            # Silence is measured only while the replica has work.
             record.heard_at = now
         destination.book.note_start(destination.key)
         attempt.start(lambda: self._may_send(attempt), now)
@@ -272,21 +283,21 @@
         )
 
     async def _check_links(self) -> bool:
-        """Answer whether a peer may reach replicas that this node can't."""
+        """Return whether peers have to forward, after diagnosing the links."""
         if self._context.request.forwarded is not None:
             return False
         await self._dependencies.paths.await_diagnosis(self._context.service)
         return self._is_partitioned()
 
     def _is_partitioned(self) -> bool:
-        """Answer whether this node has lost its links to the service."""
+        """Return whether this node is cut off from the service's replicas."""
         return self._dependencies.paths.is_partitioned(self._context.service)
 
     def _choose(self, now: float) -> Destination | None:
         if not self._is_partitioned():
             return self._choose_replica(now)
         if self._context.request.forwarded is not None:
-            # Its sender has other peers.
+            # A request is forwarded once: the sender tries other peers.
             return None
         context = self._context
         peer = self._dependencies.paths.choose_peer(
@@ -297,7 +308,8 @@
         return PeerDestination(self._dependencies, context, peer)
 
     def _choose_replica(self, now: float) -> ReplicaDestination | None:
-        # A replica that has asked for rest, or has no turn, is no last resort.
+        # Replicas that asked for a pause or have no permit are excluded even
+        # if no other replica is left.
         replicas = self._dependencies.backpressure.list_open(
             self._list_replicas(), now
         )
@@ -313,13 +325,17 @@
         return ReplicaDestination(self._dependencies, self._context, replica)
 
     def _may_expose_replica(self, concurrent: int, now: float) -> bool:
-        """Answer whether the request may put one more replica at risk."""
+        """Return whether the request may be sent to one more replica.
+
+        The guard limits on how many replicas a request that may crash them
+        runs at a time.
+        """
         return self._dependencies.guard.may_send(
             self._context.traits, concurrent, now
         )
 
     def _may_send(self, attempt: Attempt) -> bool:
-        """Answer, in the turn of the write, whether it still may go out."""
+        """Return, right before the write, whether it may still be sent."""
         context = self._context
         now = self._dependencies.clock.read()
         if now >= context.deadline_at:
--- a/waywell/request/request_claims.py
+++ b/waywell/request/request_claims.py
@@ -1,4 +1,4 @@
-"""Claims of the requests that may run at most once."""
+"""Claims for requests that may run at most once."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from waywell.request.submission import PendingRequest
 
 NO_GROUP_RETRY_SECONDS = 2.0
-"""Advice to callers while no group can serve."""
+"""Retry advice for callers while no group can serve, in seconds."""
 
 _REFUSAL_BY_CLAIM = MappingProxyType(
     {
@@ -32,16 +32,16 @@
 
 @attrs.frozen
 class RequestClaims:
-    """Claims ids where they have their home, and settles them there."""
+    """Claims and settles request ids, each where its claim is kept."""
 
     issued_ids: Claimer
-    """Claims of ids that an entry box gave out."""
+    """Claims ids that an entry box issued, at their home node."""
 
     caller_ids: Claimer
-    """Claims of ids that callers made up."""
+    """Claims ids that callers made, in the store of the platform."""
 
     history: History
-    """Where claims are noted."""
+    """History in which claims are recorded."""
 
     async def claim(self, work: PendingRequest) -> ClaimKey | None:
         """Claim the id of a request that may not be repeated.
@@ -49,12 +49,13 @@
         Returns
         -------
         ClaimKey or None
-            What is to be settled; ``None`` where nothing is claimed.
+            Key to settle after the run; ``None`` if the request needs no
+            claim.
 
         Raises
         ------
         Refusal
-            When the id was claimed before, or that can't be known now.
+            If the id was claimed before, or if that can't be determined now.
         """
         request_id = work.facts.request_id
         if work.facts.repeatable or request_id is None:
@@ -78,7 +79,7 @@
         raise Refusal(code, ran)
 
     def settle(self, key: ClaimKey, state: ClaimState) -> None:
-        """Tell how the run of a claimed request ended."""
+        """Report the outcome of a claimed request to its claimer."""
         self._get_claimer(key).settle(key, state)
 
     def _get_claimer(self, key: ClaimKey) -> Claimer:
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -1,4 +1,4 @@
-"""A request while it is served, and what serves it."""
+"""State of a request in progress, and the collaborators of the forwarder."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class AnswerWriter(abc.ABC):
-    """The caller's side of a request."""
+    """Writes the answer to a caller."""
 
     @abc.abstractmethod
     def begin(
@@ -42,160 +42,160 @@
         headers: RawHeaders,
         length: int | None,
     ) -> None:
-        """Write the head."""
+        """Write the head of the answer; ``length`` is the body's, in bytes."""
 
     @abc.abstractmethod
     async def write(self, raw: bytes) -> None:
-        """Write a piece of the body; waits while the caller reads slowly."""
+        """Write a piece of the body, waiting while the caller reads slowly."""
 
     @abc.abstractmethod
     def finish(self) -> None:
-        """End a whole answer."""
+        """End a complete answer."""
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Break the connection, so that the answer can't look whole."""
+        """Abort the connection, so that the answer can't look complete."""
 
 
 @attrs.frozen
 class ForwarderDependencies:
-    """What a forwarder works with."""
+    """Collaborators of a forwarder."""
 
     outlook: Outlook
-    """Routes and boxes in force, with how fresh they are."""
+    """Routes and boxes in force, with their age."""
 
     wire: Wire
-    """How requests and answers look."""
+    """Encodes requests for replicas and decodes their answers."""
 
     chooser: Chooser
-    """Chooses replicas."""
+    """Selects the replica for an attempt."""
 
     book: ReplicaBook
-    """What this node has seen of replicas."""
+    """This node's records of load, failures and silence of replicas."""
 
     budget: ResendBudget
-    """Second sends."""
+    """Budget for resends: retries and hedges."""
 
     clock: Clock
-    """Where the time is read."""
+    """Clock of the node, in seconds."""
 
     draw: Callable[[], float]
-    """Returns a number from 0 up to 1."""
+    """Returns a random number, at least 0 and below 1."""
 
     count_nodes: Callable[[], int]
-    """Returns how many entry boxes share the budget."""
+    """Returns the number of entry boxes that share the resend budget."""
 
     raise_doubt: Callable[[Replica], None]
-    """Tells the other nodes that nothing comes from a replica."""
+    """Tells the other nodes that a replica is silent."""
 
     metrics: RequestMetrics
-    """Counts and times."""
+    """Request counters and timers."""
 
     guard: RequestGuard
-    """Knows which requests crash replicas."""
+    """Holds back requests that crash replicas."""
 
     permits: TurnSource
-    """Knows the limits of replicas."""
+    """Grants permits under the rate limits of replicas."""
 
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
-    """This node's links to replicas, and peers that forward requests."""
+    """State of this node's links to replicas, and peers that can forward."""
 
     peer_book: ReplicaBook = attrs.Factory(ReplicaBook)
-    """What this node has seen of those peers."""
+    """This node's records of the peers that forward requests."""
 
     node: str = ''
-    """Name of this node."""
+    """Name of this node, sent along with requests that peers forward."""
 
     pauses: PauseGauge = attrs.Factory(PauseGauge)
-    """Pauses between events that are usual."""
+    """Estimates the usual pause between events, by model."""
 
     running: RunningAttempts = attrs.Factory(RunningAttempts)
-    """Attempts that run now."""
+    """Attempts of this node that are in progress."""
 
     backpressure: Backpressure = attrs.Factory(Backpressure)
-    """What replicas have asked of this node."""
+    """Pauses that replicas asked for, and replicas that are leaving."""
 
     answer_times: AnswerTimes = attrs.Factory(AnswerTimes)
-    """How long whole answers take."""
+    """Estimates how long complete answers take."""
 
 
 @attrs.define
 class RequestContext:
-    """A request while it is served."""
+    """State of a request in progress."""
 
     request: DecodedRequest
-    """What the caller asks."""
+    """Decoded request of the caller."""
 
     route: Route
-    """Its route."""
+    """Route that matches the host and path of the request."""
 
     service: ServiceName
-    """Service that was drawn."""
+    """Service that was selected among the shares of the route."""
 
     holder: KeyHolder | None
-    """Client account."""
+    """Holder of the API key; ``None`` if the route needs no key."""
 
     arrived_at: float
-    """When it came, in seconds."""
+    """Time of arrival by the node's clock, in seconds."""
 
     deadline_at: float
-    """When it is given up, in seconds."""
+    """Time at which the request is given up, in seconds."""
 
     traits: RequestTraits = RequestTraits(Fingerprint(Trait('')))
-    """What it may be blamed by when replicas crash."""
+    """Properties that crashes of replicas are attributed to."""
 
     engine: Engine | None = None
-    """Engine of the service, where it has one."""
+    """Engine of the service; ``None`` if it has none."""
 
     tried: frozenset[ReplicaKey] = frozenset()
-    """Replicas that it was sent to."""
+    """Keys of the replicas and peers that were tried."""
 
     max_sends: int = 1
-    """Replicas that it may be sent to."""
+    """Maximum number of replicas to send the request to."""
 
     sends: int = 0
-    """Replicas that a byte of it may have reached."""
+    """Number of replicas that may have received a byte of the request."""
 
     rejections: int = 0
-    """Attempts of which a replica said that it ran nothing."""
+    """Number of attempts that replicas rejected without running them."""
 
     permits_missed: int = 0
-    """Replicas with a limit that had no turn for it."""
+    """Number of replicas with a rate limit that granted no permit."""
 
     last_event: int | None = None
-    """Last event that was passed on."""
+    """Number of the last event that was relayed to the caller."""
 
     is_begun: bool = False
-    """Whether the head of an answer was passed on."""
+    """Whether the head of an answer was sent to the caller."""
 
     passed_numbered_event: bool = False
-    """Whether an event with a number was passed on."""
+    """Whether an event with a number was relayed."""
 
     passed_unnumbered_part: bool = False
-    """Whether a part without a number was passed on, comments aside."""
+    """Whether a piece without a number was relayed, other than comments."""
 
     @property
     def can_resume(self) -> bool:
-        """Return whether the rest of a begun answer can come from another."""
+        """Return whether another replica can continue a begun answer."""
         if not self.route.resumable or self.passed_unnumbered_part:
             return False
         return self.passed_numbered_event
 
     @property
     def may_retry_elsewhere(self) -> bool:
-        """Return whether another replica may take over from here."""
+        """Return whether the request may be sent to another replica now."""
         if not self.route.may_repeat:
             return False
         return self.can_resume or not self.is_begun
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether a replica may have run it."""
+        """Return whether a replica may have run the request."""
         return self.sends > self.rejections
 
     @property
     def priority(self) -> int:
-        """Return its rank among the requests of a replica, 0 first."""
+        """Return the priority in a replica's queue; 0 is served first."""
         if self.holder is not None and self.holder.priority is not None:
             return self.holder.priority
         return self.route.priority
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -1,4 +1,4 @@
-"""The answer to one request, made of what its attempts bring."""
+"""Execution of one request: answers the caller from its attempts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from waywell.request.stream_events import StreamEvent
 
 MIN_SERVER_ERROR = 500
-"""Lowest HTTP status that speaks against the replica."""
+"""Lowest HTTP status that counts as a failure of the replica."""
 
 
 _UNFIT_PEER_CODES = frozenset(
@@ -36,20 +36,20 @@
         Code.ROUTES_STALE,
     ),
 )
-"""Refusals by which another peer may serve what one does not."""
+"""Refusals that concern only the peer, so that another one may serve."""
 
 
 class RequestExecution:
-    """Takes in what attempts bring, until the request is answered.
+    """Handles the messages of the attempts until the request is answered.
 
     Parameters
     ----------
     parts
-        What the forwarder works with.
+        Collaborators of the forwarder.
     context
-        The request.
+        State of the request.
     answer
-        The caller's side.
+        Writes the answer to the caller.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         context: RequestContext,
         answer: AnswerWriter,
     ) -> None:
-        """Send nothing yet."""
+        """Prepare the execution without starting an attempt."""
         self._dependencies = dependencies
         self._context = context
         self._answer = answer
@@ -67,12 +67,12 @@
         self._begun_status = 0
 
     async def run(self) -> None:
-        """Make attempts until one is answered or all is over.
+        """Run attempts until the request is answered or given up.
 
         Raises
         ------
         Refusal
-            When no answer was begun.
+            If no part of an answer was sent to the caller.
         """
         try:
             await self._run()
@@ -82,7 +82,7 @@
             self._attempts.drop_all()
 
     async def on_piece(self, piece: Attempt.Piece) -> None:
-        """Pass a piece on; the attempt that brings one first goes on alone."""
+        """Relay a piece and drop all other attempts."""
         attempt = piece.attempt
         if attempt not in self._attempts.running or attempt.head is None:
             return
@@ -90,7 +90,7 @@
         self._record_pause(attempt, now)
         attempt.destination.book.note_event(attempt.destination.key, now)
         if not self._is_next(piece):
-            # Another attempt was ahead of this one, or it skips an event.
+            # Another attempt is ahead of this one, or it skipped an event.
             await self._fail(attempt, now, f'event_{piece.event.number}')
             return
         self._select_attempt(attempt, now)
@@ -99,7 +99,7 @@
         await self._answer.write(piece.event.raw)
 
     async def on_head(self, head: Attempt.Head) -> None:
-        """Accept an answer's head, or try elsewhere."""
+        """Accept the head of an answer, or try another destination."""
         attempt = head.attempt
         if attempt not in self._attempts.running:
             return
@@ -114,7 +114,7 @@
             self._handle_rejection(head, now)
             return
         if self._context.is_begun and head.status != self._begun_status:
-            # Its body is no rest of the answer that the caller has begun.
+            # Its body can't continue the answer that was begun.
             await self._fail(attempt, now, f'status_{head.status}')
             return
         attempt.destination.book.note_heard(attempt.destination.key, now)
@@ -125,7 +125,7 @@
         attempt.head = head
 
     async def on_end(self, end: Attempt.End) -> None:
-        """End the answer, or go on elsewhere where it was cut."""
+        """Finish the answer, or resume elsewhere if it was truncated."""
         attempt = end.attempt
         if attempt not in self._attempts.running or attempt.head is None:
             return
@@ -156,7 +156,7 @@
         raise _Answered
 
     async def on_fault(self, fault: Attempt.Fault) -> None:
-        """Go on after an attempt that brought no answer."""
+        """Handle an attempt that failed without an answer."""
         attempt = fault.attempt
         if attempt not in self._attempts.running:
             return
@@ -200,7 +200,7 @@
         self._give_up(Code.TARGET_FAILED)
 
     async def _step(self) -> None:
-        """Take in one message, or what its absence means."""
+        """Handle the next message, or the timeout if none arrives."""
         now = self._dependencies.clock.read()
         if now >= self._context.deadline_at:
             self._attempts.record_silence(now)
@@ -214,14 +214,14 @@
             await outcome
 
     def _get_wait_seconds(self, now: float) -> float:
-        """Return the seconds until silence means something."""
+        """Return the seconds until the deadline or the next hedge."""
         wait = self._context.deadline_at - now
         if self._attempts.can_hedge():
             wait = min(wait, self._attempts.get_hedge_time() - now)
         return max(0.0, wait)
 
     def _handle_timeout(self) -> None:
-        """Try elsewhere when the one attempt has been silent for too long."""
+        """Start a hedge if the only attempt has been silent for too long."""
         now = self._dependencies.clock.read()
         is_due = (
             self._attempts.can_hedge()
@@ -231,13 +231,13 @@
             self._attempts.hedge(now)
 
     def _may_have_reached(self, fault: Attempt.Fault) -> bool:
-        """Answer whether a byte of a failed attempt may have left."""
+        """Return whether bytes of a failed attempt may have been sent."""
         if fault.fault is SendFault.REPLICA_ENDED:
             return self._context.may_have_run
         return fault.fault is SendFault.BROKEN
 
     def _handle_rejection(self, head: Attempt.Head, now: float) -> None:
-        """Go on after a replica that says that it ran nothing."""
+        """Try another replica after one that rejected the request."""
         attempt = head.attempt
         self._context.rejections += 1
         attempt.destination.on_failed(now)
@@ -262,7 +262,7 @@
         refusal: PeerRefusal,
         now: float,
     ) -> None:
-        """Go on after a peer that has refused to forward the request."""
+        """Try another destination after a peer refused to forward."""
         self._attempts.log(
             'peer_refused',
             attempt,
@@ -283,7 +283,7 @@
             self._give_up(refusal.code, refusal.retry_after)
 
     def _record_event(self, event: StreamEvent) -> None:
-        """Record what is passed on, for an attempt that resumes after it."""
+        """Record a relayed event, after which another attempt may resume."""
         if event.number is not None:
             self._context.last_event = event.number
             self._context.passed_numbered_event = True
@@ -291,20 +291,20 @@
             self._context.passed_unnumbered_part = event.has_fields
 
     def _is_next(self, piece: Attempt.Piece) -> bool:
-        """Answer whether a piece goes on where the answer stands."""
+        """Return whether a piece directly continues the answer."""
         last = self._context.last_event
         number = piece.event.number
         return number is None or last is None or number == last + 1
 
     def _record_pause(self, attempt: Attempt, now: float) -> None:
-        """Note for how long a replica was silent that has work."""
+        """Record how long a replica with work was silent."""
         if attempt.has_begun:
             destination = attempt.destination
             heard_at = destination.book.get(destination.key).heard_at
             destination.on_pause(now - heard_at)
 
     def _select_attempt(self, attempt: Attempt, now: float) -> None:
-        """Go on with the attempt that brought a piece, and no other."""
+        """Continue with the attempt that received a piece; drop all others."""
         self._attempts.drop_others(attempt)
         if attempt.has_begun:
             return
@@ -331,9 +331,9 @@
         return self._dependencies.clock.read() - self._context.arrived_at
 
     def _drop_quarantined(self, attempt: Attempt, now: float) -> None:
-        """Drop an attempt whose replica would end under it as others did."""
+        """Drop an attempt of a held back request, to protect its replica."""
         if attempt.has_begun:
-            # A piece came before the word: its replica goes on.
+            # A piece arrived before the notice: the replica did not crash.
             return
         self._attempts.log('held_back', attempt, now)
         self._attempts.drop(attempt)
@@ -341,7 +341,7 @@
             self._give_up(Code.TARGET_FAILED)
 
     async def _fail(self, attempt: Attempt, now: float, why: str) -> None:
-        """Drop an attempt that broke; go on elsewhere where that is safe."""
+        """Drop a failed attempt and retry elsewhere if that is safe."""
         attempt.destination.on_failed(now)
         if await self._retry(attempt, now, why):
             return
@@ -351,7 +351,13 @@
             self._give_up(Code.TARGET_FAILED)
 
     async def _retry(self, attempt: Attempt, now: float, why: str) -> bool:
-        """Replace an attempt where the request may run again."""
+        """Replace a failed attempt if the request may run again.
+
+        Returns
+        -------
+        bool
+            Whether another attempt continues the request.
+        """
         if not self._context.may_retry_elsewhere:
             return False
         is_alone = len(self._attempts.running) == 1
@@ -362,7 +368,7 @@
         return True
 
     def _give_up(self, code: Code, retry_after: float | None = None) -> None:
-        """End a request that has no whole answer."""
+        """End a request without a complete answer."""
         context = self._context
         now = self._dependencies.clock.read()
         log_event(
@@ -383,7 +389,7 @@
         raise Refusal(code, retry_after=retry_after)
 
     def _compute_retry_after(self, now: float) -> float:
-        """Return when the caller should come back, in seconds."""
+        """Return after how many seconds the caller should retry."""
         unroutable = self._attempts.explain_unroutable(now)
         seconds_left = self._context.deadline_at - now
         return advise_return(
@@ -394,5 +400,5 @@
         )
 
 
-class _Answered(Exception):  # noqa: N818 - not an error: the way out
-    """The request has its answer, whole or cut."""
+class _Answered(Exception):  # noqa: N818 - control flow, not an error
+    """The request has ended with an answer, complete or aborted."""
--- a/waywell/request/running_attempts.py
+++ b/waywell/request/running_attempts.py
@@ -1,7 +1,8 @@
-"""The attempts of this node that run now, by the replica that has them.
+"""The attempts of this node that are in progress.
 
-Answers boxes that start again while requests run at them: what ran there is
-lost, and a connection to a box that lost power tells nothing.
+When a box restarts, the requests that ran on it are lost.  Their connections
+don't show this if the box lost power, so the attempts are failed as soon as
+the restart is known.
 """
 
 from __future__ import annotations
@@ -20,32 +21,33 @@
 
 
 class RunningAttempts:
-    """Tells attempts that the life which they depend on is over."""
+    """Fails attempts whose replica has ended or whose request is held back."""
 
     def __init__(self) -> None:
-        """Know of no attempt."""
+        """Create an empty set of attempts."""
         self._attempts: set[Attempt] = set()
 
     def add(self, attempt: Attempt) -> None:
-        """Count an attempt in."""
+        """Add an attempt when it starts."""
         self._attempts.add(attempt)
 
     def discard(self, attempt: Attempt) -> None:
-        """Count an attempt out."""
+        """Remove an attempt that has ended or was dropped."""
         self._attempts.discard(attempt)
 
     def has_trait(self, trait: Trait) -> bool:
-        """Answer whether an attempt with a trait runs."""
+        """Return whether an attempt with a trait is in progress."""
         return any(trait in attempt.traits for attempt in self._attempts)
 
     def fail_ended(self, ended: Iterable[EndedLife]) -> None:
-        """Tell the attempts at lives that are over, or at their groups.
+        """Fail the attempts at ended lives of boxes, and at their groups.
 
-        A group that lost a member stands still, so its streams would wait for
-        the silence that is borne, twice the pause that is in time.
+        A group that lost a member makes no progress.  Its streams would
+        otherwise wait for the silence timeout, which is twice the longest
+        pause that counts as in time.
         """
-        lives = {one.life for one in ended}
-        groups = {one.standing.group for one in ended if one.standing}
+        lives = {end.life for end in ended}
+        groups = {end.standing.group for end in ended if end.standing}
         for attempt in tuple(self._attempts):
             replica = attempt.replica
             if replica is None:
@@ -55,10 +57,10 @@
                 attempt.post(Attempt.Fault(attempt, fault))
 
     def fail_quarantined(self, trait: Trait) -> None:
-        """Break off the attempts with a trait that crashes what runs it.
+        """Fail the attempts with a trait that crashes replicas.
 
-        One that has brought a piece of its answer has not crashed its replica
-        in beginning to run, and goes on.
+        An attempt that has received a piece of its answer continues, as its
+        replica survived the start of the request.
         """
         for attempt in tuple(self._attempts):
             if trait in attempt.traits and not attempt.has_begun:
--- a/waywell/request/stream_events.py
+++ b/waywell/request/stream_events.py
@@ -1,4 +1,4 @@
-"""Streams of events, cut into whole events."""
+"""Splitting of event streams into complete events."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 from waywell.connection.event_boundary import EventBoundary
 
 EVENT_END = re.compile(rb'(?>\r\n|\n|\r){2}')
-"""A line end and an empty line, each of CR LF, LF or CR."""
+"""Line end followed by an empty line; lines end in CR LF, LF or CR."""
 
 MAX_PARTIAL_END_BYTES = 2
-"""Most bytes of an event's end that may have come without the rest of it."""
+"""Maximum number of bytes of an event's end that may have arrived without the
+rest of it; the search for an end starts that far before the new bytes."""
 
 ID_FIELD = b'id:'
-"""Field with an event's number."""
+"""Name of the field that holds the number of an event."""
 
 MAX_NUMBER_DIGITS = 18
-"""Most digits of an event's number; longer ones are no numbers."""
+"""Maximum number of digits of an event number; longer ids are ignored."""
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One whole event."""
+    """A complete event, or a piece of a body without events."""
 
     raw: bytes
-    """Its bytes, with the end."""
+    """Bytes, including the empty line that ends an event."""
 
     number: int | None
-    """Its number, if it has one."""
+    """Number from the ``id`` field; ``None`` if there is no valid one."""
 
     @property
     def has_fields(self) -> bool:
-        """Return whether it is more than comments and empty lines."""
+        """Return whether it holds more than comments and empty lines."""
         if self.number is not None:
             return True
         boundary = EventBoundary()
@@ -41,25 +42,25 @@
 
 
 class EventSplitter:
-    """Cuts what comes into whole events."""
+    """Splits a stream that arrives in pieces into complete events."""
 
     def __init__(self) -> None:
-        """Start before the first byte."""
+        """Start at the beginning of a stream."""
         self._remainder = b''
 
     @property
     def remainder(self) -> bytes:
-        """Return the bytes after the last whole event."""
+        """Return the bytes after the last complete event."""
         return self._remainder
 
     def count_unfinished_bytes(self) -> int:
-        """Return the bytes of an event that has begun; 0 between events."""
+        """Return the size of an unfinished event in bytes, or 0."""
         boundary = EventBoundary()
         boundary.feed(self._remainder)
         return len(self._remainder) if boundary.is_inside_event else 0
 
     def feed(self, raw: bytes) -> list[StreamEvent]:
-        """Return the events that are whole now."""
+        """Add received bytes and return the events that they complete."""
         searched = max(0, len(self._remainder) - MAX_PARTIAL_END_BYTES)
         pending = self._remainder + raw
         begin = 0
--- a/waywell/request/submission.py
+++ b/waywell/request/submission.py
@@ -1,4 +1,4 @@
-"""A request as it came in, and the caller's side of it."""
+"""Requests to services, and the connections of their callers."""
 
 from __future__ import annotations
 
@@ -20,76 +20,77 @@
 
 @attrs.frozen
 class Submission:
-    """A request as it came in."""
+    """A request as received from a caller."""
 
     method: str
-    """HTTP method."""
+    """HTTP method, as received."""
 
     target: str
-    """Path and query."""
+    """Request target: path and query string."""
 
     headers: Mapping[str, str]
-    """Headers with names in lower case, the last value of each."""
+    """Headers by lower-case name; the last value if a name is repeated."""
 
     forwarded_headers: tuple[tuple[bytes, bytes], ...]
-    """Headers that go on to the target."""
+    """Headers to forward to the target."""
 
     body: bytes
-    """Body, untouched."""
+    """Body bytes, forwarded unchanged."""
 
 
 class CallerConnection(abc.ABC):
-    """The caller's side of a request."""
+    """Connection of the caller of a request."""
 
     @abc.abstractmethod
     def is_disconnected(self) -> bool:
-        """Answer whether the caller has hung up."""
+        """Return whether the caller has disconnected."""
 
     @abc.abstractmethod
     async def relay(self, answer: TargetAnswer, service: Service) -> bool:
-        """Pass an answer on; answer whether it was whole."""
+        """Relay an answer to the caller; return whether it was complete."""
 
 
 @attrs.define
 class PendingRequest:
-    """A request on its way."""
+    """A request to a service, from its arrival to the end of its answer."""
 
     submission: Submission
-    """The request as it came in."""
+    """Request as received from the caller."""
 
     caller: CallerConnection
-    """Who waits for the answer."""
+    """Connection that the answer is relayed to."""
 
     facts: RequestFacts
-    """What the request says of itself."""
+    """Values decoded from the headers of the request."""
 
     account: Account
-    """Client account."""
+    """Client account that sent the request."""
 
     service: Service
-    """Service asked for."""
+    """Requested service."""
 
     shape: RequestShape
-    """What the choice of groups depends on."""
+    """Properties of the request that serving rules match."""
 
     deadline_at: float
-    """When the answer must have begun, in seconds of the node's clock."""
+    """Time by which the answer must have begun, by the node's clock, in
+    seconds."""
 
     traits: RequestTraits
-    """What it may be blamed by when targets crash."""
+    """Properties that crashes of targets are attributed to."""
 
     tried: set[GroupId] = attrs.Factory(set)
-    """Groups that failed it."""
+    """Groups at which an attempt has failed."""
 
     permits_missed: int = 0
-    """Groups with a limit that had no turn for it."""
+    """Number of groups with a rate limit that granted no permit."""
 
     may_have_run: bool = False
-    """Whether a byte of it may have reached a target."""
+    """Whether a target may have received a byte of the request."""
 
     @property
     def session(self) -> SessionId | None:
-        """Return the session, named so that accounts share none."""
+        """Return the session id, prefixed with its account to be unique."""
         if self.facts.session is None:
             return None
         account = self.account.name
