--- a/tests/broken_bodies.py
+++ b/tests/broken_bodies.py
@@ -51,7 +51,7 @@
         Content type; empty for none.
     encoding
         Content encoding; empty for none.
-    holds_after
+    pause_after
         Bytes after which the rest waits until it is told to go on.
     """
 
@@ -60,37 +60,42 @@
     part: bytes
     content_type: str = 'text/event-stream'
     encoding: str = ''
-    holds_after: int = 0
-    goes_on: threading.Event = field(default_factory=threading.Event)
+    pause_after: int = 0
+    resume: threading.Event = field(default_factory=threading.Event)
 
-    def play(
+    def send_response(
         self, handler: BaseHTTPRequestHandler, headers: dict[str, str]
     ) -> None:
         """Send the response, and close its connection."""
         handler.close_connection = True
         handler.send_response(200)
-        for name, text in {**headers, **self._frame()}.items():
+        for name, text in {**headers, **self._make_headers()}.items():
             handler.send_header(name, text)
         handler.end_headers()
-        if self.holds_after:
-            handler.wfile.write(self._chunk(self.part[: self.holds_after]))
-            self.goes_on.wait(20)
+        if self.pause_after:
+            handler.wfile.write(
+                self._encode_chunk(self.part[: self.pause_after])
+            )
+            self.resume.wait(20)
         else:
-            handler.wfile.write(self._encode())
+            handler.wfile.write(self._encode_body())
         if self.ending is Ending.RESET:
             # The socket stays open as long as a file of it does.
             handler.rfile.close()
-            reset(handler.connection)
+            reset_connection(handler.connection)
 
-    def make_raw(self) -> bytes:
+    def encode_response(self) -> bytes:
         """Return the response as bytes, for a server that sends only those."""
         lines = [
             'HTTP/1.1 200 OK',
-            *(f'{name}: {text}' for name, text in self._frame().items()),
+            *(
+                f'{name}: {text}'
+                for name, text in self._make_headers().items()
+            ),
         ]
-        return '\r\n'.join([*lines, '\r\n']).encode() + self._encode()
+        return '\r\n'.join([*lines, '\r\n']).encode() + self._encode_body()
 
-    def _frame(self) -> dict[str, str]:
+    def _make_headers(self) -> dict[str, str]:
         framed = {'content-type': self.content_type}
         if not self.content_type:
             framed = {}
@@ -103,18 +108,18 @@
         missing = 0 if self.ending is Ending.ANNOUNCED else 1
         return {**framed, 'content-length': str(len(self.part) + missing)}
 
-    def _chunk(self, raw: bytes) -> bytes:
+    def _encode_chunk(self, raw: bytes) -> bytes:
         return b'%x\r\n%s\r\n' % (len(raw), raw)
 
-    def _encode(self) -> bytes:
+    def _encode_body(self) -> bytes:
         if self.framing is not Framing.CHUNKED:
             return self.part
-        chunk = self._chunk(self.part)
+        chunk = self._encode_chunk(self.part)
         last = b'0\r\n\r\n' if self.ending is Ending.ANNOUNCED else b''
         return (chunk if self.part else b'') + last
 
 
-def reset(line: socket.socket) -> None:
+def reset_connection(line: socket.socket) -> None:
     """Close a connection with a reset."""
     line.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import settings
 
-from tests.forwarder_stage import Stage, drive
+from tests.forwarder_harness import ForwarderHarness, intercept_attempts
 from tests.front_bench import Front
 from waywell.standins.harness import Bench, BoxSpec, make_configuration
 
@@ -70,10 +70,10 @@
 
 
 @pytest.fixture
-def stage(monkeypatch: pytest.MonkeyPatch) -> Stage:
+def harness(monkeypatch: pytest.MonkeyPatch) -> ForwarderHarness:
     """Return a forwarder whose attempts are driven by hand."""
-    made = Stage()
-    drive(made, monkeypatch)
+    made = ForwarderHarness()
+    intercept_attempts(made, monkeypatch)
     return made
 
 
--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_harness.py
@@ -55,7 +55,7 @@
 STREAM_HEADERS = ((b'content-type', b'text/event-stream'),)
 
 
-class StageAnswer(AnswerWriter):
+class RecordedAnswer(AnswerWriter):
     def __init__(self) -> None:
         self.body = b''
         self.status = 0
@@ -75,7 +75,7 @@
         self.end = 'cut'
 
 
-class _Wire:
+class FakeWire:
     def make_headers(self, *_words: object) -> tuple:
         return ()
 
@@ -85,19 +85,19 @@
         return ((FORWARDED_HEADER.encode(), mark.encode().encode()),)
 
 
-class HeldPaths(DirectPaths):
+class FakePaths(DirectPaths):
     """Links that a test takes away, with peers that it names."""
 
     def __init__(self) -> None:
         self.is_lost = False
-        self.is_found_lost = False
+        self.finds_loss = False
         self.peers: list[NodeRecord] = []
 
     def is_partitioned(self, service: ServiceName) -> bool:
         return self.is_lost
 
     async def await_diagnosis(self, service: ServiceName) -> None:
-        self.is_lost = self.is_found_lost
+        self.is_lost = self.finds_loss
 
     def choose_peer(
         self, service: ServiceName, tried: Any, now: float
@@ -106,7 +106,7 @@
         return left[0] if left else None
 
 
-class Stage:
+class ForwarderHarness:
     """A forwarder whose attempts are driven by hand."""
 
     def __init__(self, kind: RouteKind = RouteKind.STREAM) -> None:
@@ -114,7 +114,7 @@
         self.connects_at_once = True
         self.book = ReplicaBook()
         self.attempts: list[Attempt] = []
-        self.answer = StageAnswer()
+        self.answer = RecordedAnswer()
         self.refusal: Refusal | None = None
         stream = kind is RouteKind.STREAM
         route = Route(
@@ -149,12 +149,12 @@
         self.outlook = outlook
         self.quarantine = LoneQuarantine(self.clock)
         self.turns = LoneTurns(self.clock)
-        self.paths = HeldPaths()
+        self.paths = FakePaths()
         self.budget = ResendBudget(ResendLimits(0.2, 90.0, 10.0), 0.0)
         self.forwarder = Forwarder(
             ForwarderDependencies(
                 outlook=outlook,
-                wire=_Wire(),
+                wire=FakeWire(),
                 chooser=Chooser(HallName('port'), SharedLoads(), Random(1)),
                 book=self.book,
                 budget=self.budget,
@@ -171,7 +171,7 @@
             ),
         )
 
-    def note_start(
+    def record_start(
         self,
         attempt: Attempt,
         may_send: Any,
@@ -193,7 +193,7 @@
             return bool(end.value)
         raise AssertionError('the node asked another one')
 
-    async def begin(
+    async def submit(
         self,
         forwarded: ForwardMark | None = None,
         resume_after: int | None = None,
@@ -209,44 +209,48 @@
             forwarded=forwarded,
             resume_after=resume_after,
         )
-        self.answer = StageAnswer()
+        self.answer = RecordedAnswer()
         task = asyncio.create_task(self._serve(ask, self.answer))
-        await self.settle()
+        await self.run_pending()
         return task
 
-    async def settle(self) -> None:
+    async def run_pending(self) -> None:
         for _turn in range(10):
             await asyncio.sleep(0)
 
-    async def pass_time(self, seconds: float) -> None:
+    async def advance_time(self, seconds: float) -> None:
         """Let the clock pass, and wake the forwarder as a timer would."""
         self.clock.now += seconds
         self.attempts[0]._inbox.put(None)
-        await self.settle()
+        await self.run_pending()
 
-    async def head(self, attempt: Attempt, **changes: Any) -> None:
+    async def deliver_head(self, attempt: Attempt, **changes: Any) -> None:
         facts = {'status': 200, 'metadata': AnswerMetadata('a1'), **changes}
         attempt.receive_head(headers=STREAM_HEADERS, length=None, **facts)
-        await self.settle()
+        await self.run_pending()
 
-    async def events(self, attempt: Attempt, *numbers: int) -> None:
+    async def deliver_events(self, attempt: Attempt, *numbers: int) -> None:
         for number in numbers:
             raw = b'id: %d\n\n' % number
             attempt.post(Attempt.Piece(attempt, StreamEvent(raw, number)))
-        await self.settle()
+        await self.run_pending()
 
-    async def end(self, attempt: Attempt, is_whole: bool = True) -> None:
+    async def deliver_end(
+        self, attempt: Attempt, is_whole: bool = True
+    ) -> None:
         end = BodyEnd.ANNOUNCED if is_whole else BodyEnd.CUT
         attempt.post(Attempt.End(attempt, BodyOutcome(end)))
-        await self.settle()
+        await self.run_pending()
 
-    async def _serve(self, ask: DecodedRequest, answer: StageAnswer) -> None:
+    async def _serve(
+        self, ask: DecodedRequest, answer: RecordedAnswer
+    ) -> None:
         try:
             await self.forwarder.serve(ask, answer)
         except Refusal as refusal:
             self.refusal = refusal
 
-    async def restart(self, *names: str) -> None:
+    async def restart_boxes(self, *names: str) -> None:
         """Let a newer list show boxes that started again under their ids."""
         boxes = dict(self.outlook.fleet.boxes)
         for name in names:
@@ -256,13 +260,15 @@
                 incarnation=Incarnation(2),
             )
         self.outlook.take_fleet(Fleet(boxes), self.clock.now)
-        await self.settle()
+        await self.run_pending()
 
 
-def drive(made: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let attempts go to the stage in place of the network."""
+def intercept_attempts(
+    harness: ForwarderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Let attempts go to the harness in place of the network."""
     monkeypatch.setattr(
         Attempt,
         'start',
-        lambda *words: made.note_start(*words),
+        lambda *words: harness.record_start(*words),
     )
--- a/tests/house.py
+++ b/tests/house.py
@@ -487,7 +487,7 @@
                 }
                 if isinstance(act, BodyScript):
                     server.runs.append({**self.headers, 'X-Path': self.path})
-                    act.play(self, own)
+                    act.send_response(self, own)
                     return
                 if act == 'reject':
                     self.answer(503, {}, {**own, 'X-Not-Executed': '1'})
--- a/tests/test_answer_times.py
+++ b/tests/test_answer_times.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.forwarder_stage import Stage
+from tests.forwarder_harness import ForwarderHarness
 from waywell.codes import Code, Ran
 from waywell.request.answer_times import (
     MARGIN,
@@ -94,25 +94,25 @@
 
 
 def test_a_leaving_node_takes_what_it_can_finish_only(
-    stage: Stage,  # noqa: F811
+    harness: ForwarderHarness,  # noqa: F811
 ) -> None:
     async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
-        stage.clock.now += 0.5
-        await stage.end(first)
-        assert stage.answer.end == 'whole'
-        stage.forwarder.start_draining(stage.clock.now + 2.0)
-        stage.attempts.clear()
-        await stage.begin()
-        assert len(stage.attempts) == 1
-        stage.clock.now += 1.5
-        await stage.begin()
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        harness.clock.now += 0.5
+        await harness.deliver_end(first)
+        assert harness.answer.end == 'whole'
+        harness.forwarder.start_draining(harness.clock.now + 2.0)
+        harness.attempts.clear()
+        await harness.submit()
+        assert len(harness.attempts) == 1
+        harness.clock.now += 1.5
+        await harness.submit()
 
     asyncio.run(play())
-    assert len(stage.attempts) == 1
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.NODE_LEAVING
-    assert stage.refusal.ran is Ran.NOT_RUN
-    assert stage.refusal.retry_after == 0
+    assert len(harness.attempts) == 1
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.NODE_LEAVING
+    assert harness.refusal.ran is Ran.NOT_RUN
+    assert harness.refusal.retry_after == 0
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -12,7 +12,7 @@
 )
 
 from tests.boxes import make_fleet, make_group
-from tests.forwarder_stage import Stage
+from tests.forwarder_harness import ForwarderHarness
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
 from waywell.ids import BoxId, Incarnation
@@ -116,103 +116,111 @@
 
 
 def test_a_wish_is_heard_also_where_nobody_waits_for_the_answer(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     async def play() -> None:
-        task = await stage.begin()
-        (first,) = stage.attempts
+        task = await harness.submit()
+        (first,) = harness.attempts
         # The caller leaves while the head of the answer is on its way.
         task.cancel()
-        await stage.head(first, status=503, metadata=REST)
+        await harness.deliver_head(first, status=503, metadata=REST)
         for _request in range(6):
-            await stage.begin()
-            assert stage.attempts[-1].replica != first.replica
+            await harness.submit()
+            assert harness.attempts[-1].replica != first.replica
 
     asyncio.run(play())
 
 
-def test_a_rest_outlasts_the_group_of_its_box(stage: Stage) -> None:
+def test_a_rest_outlasts_the_group_of_its_box(
+    harness: ForwarderHarness,
+) -> None:
     async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first, status=503, metadata=REST)
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first, status=503, metadata=REST)
         head, member = (
             ('a', 'b') if first.replica.head.box == 'a' else ('c', 'd')
         )
-        stage.outlook.take_fleet(
+        harness.outlook.take_fleet(
             make_fleet(*make_group('notes.9', head, member)),
-            stage.clock.now + 0.1,
+            harness.clock.now + 0.1,
         )
-        await stage.begin()
-        assert stage.attempts[-1].replica.group != 'notes.9'
+        await harness.submit()
+        assert harness.attempts[-1].replica.group != 'notes.9'
 
     asyncio.run(play())
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.REPLICAS_REST
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.REPLICAS_REST
 
 
-def test_a_new_life_of_a_box_has_asked_for_nothing(stage: Stage) -> None:
+def test_a_new_life_of_a_box_has_asked_for_nothing(
+    harness: ForwarderHarness,
+) -> None:
     async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        stage.outlook.listen_for_ends(
-            stage.forwarder._dependencies.backpressure.forget_ended
+        await harness.submit()
+        (first,) = harness.attempts
+        harness.outlook.listen_for_ends(
+            harness.forwarder._dependencies.backpressure.forget_ended
         )
-        await stage.head(first, status=503, metadata=REST)
+        await harness.deliver_head(first, status=503, metadata=REST)
         life = first.replica.key.life
-        pressure = stage.forwarder._dependencies.backpressure
-        assert not pressure.may_send(life, stage.clock.now)
-        await stage.restart(life.box)
-        assert pressure.may_send(life, stage.clock.now)
+        pressure = harness.forwarder._dependencies.backpressure
+        assert not pressure.may_send(life, harness.clock.now)
+        await harness.restart_boxes(life.box)
+        assert pressure.may_send(life, harness.clock.now)
 
     asyncio.run(play())
 
 
 def test_a_request_that_connects_when_the_wish_comes_is_not_written(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        stage.connects_at_once = False
-        await stage.head(first, status=503, metadata=REST)
-        (_first, second) = stage.attempts
+        await harness.submit()
+        (first,) = harness.attempts
+        harness.connects_at_once = False
+        await harness.deliver_head(first, status=503, metadata=REST)
+        (_first, second) = harness.attempts
         # Another request got the wish of the second one meanwhile.
-        second.destination.on_metadata(REST, second.sent_at, stage.clock.now)
-        assert not stage.may_send()
+        second.destination.on_metadata(REST, second.sent_at, harness.clock.now)
+        assert not harness.may_send()
         second.post(Attempt.Fault(second, SendFault.TOO_LATE))
-        await stage.settle()
+        await harness.run_pending()
 
     asyncio.run(play())
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.REPLICAS_REST
-    assert stage.refusal.ran is Ran.NOT_RUN
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.REPLICAS_REST
+    assert harness.refusal.ran is Ran.NOT_RUN
 
 
 def test_callers_are_told_when_the_first_replica_is_rested(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     longer = AnswerMetadata('a1', is_rejected=True, rest_seconds=5.0)
     shorter = AnswerMetadata('a1', is_rejected=True, rest_seconds=1.5)
 
     async def play() -> None:
-        await stage.begin()
-        await stage.head(stage.attempts[0], status=503, metadata=longer)
-        await stage.head(stage.attempts[1], status=503, metadata=shorter)
-        await stage.begin()
+        await harness.submit()
+        await harness.deliver_head(
+            harness.attempts[0], status=503, metadata=longer
+        )
+        await harness.deliver_head(
+            harness.attempts[1], status=503, metadata=shorter
+        )
+        await harness.submit()
 
     asyncio.run(play())
-    assert len(stage.attempts) == 2
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.REPLICAS_REST
-    assert stage.refusal.retry_after == 1.5
+    assert len(harness.attempts) == 2
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.REPLICAS_REST
+    assert harness.refusal.retry_after == 1.5
 
 
 def test_nothing_is_paid_for_an_attempt_that_no_replica_is_left_for(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     paid = []
-    budget = stage.forwarder._dependencies.budget
+    budget = harness.forwarder._dependencies.budget
     spend = budget.spend
 
     def note_spent(*words: object) -> bool:
@@ -222,36 +230,40 @@
     budget.spend = note_spent  # type: ignore[method-assign]
 
     async def play() -> None:
-        await stage.begin()
-        await stage.head(stage.attempts[0], status=503, metadata=REST)
-        await stage.head(stage.attempts[1], status=503, metadata=REST)
-        await stage.begin()
+        await harness.submit()
+        await harness.deliver_head(
+            harness.attempts[0], status=503, metadata=REST
+        )
+        await harness.deliver_head(
+            harness.attempts[1], status=503, metadata=REST
+        )
+        await harness.submit()
 
     asyncio.run(play())
     assert len(paid) == 1
 
 
 def test_a_stream_is_not_taken_up_at_a_replica_that_rests(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     async def play() -> None:
-        await stage.begin()
-        (stream,) = stage.attempts
-        await stage.head(stream)
-        await stage.events(stream, 1)
+        await harness.submit()
+        (stream,) = harness.attempts
+        await harness.deliver_head(stream)
+        await harness.deliver_events(stream, 1)
         other = next(
             one
-            for one in stage.outlook.list_replicas('llm', 'notes')
+            for one in harness.outlook.list_replicas('llm', 'notes')
             if one != stream.replica
         )
-        stage.forwarder._dependencies.backpressure.note(
-            other.key.life, REST, stage.clock.now
+        harness.forwarder._dependencies.backpressure.note(
+            other.key.life, REST, harness.clock.now
         )
         # Neither beside a silent attempt, nor in place of a broken one.
-        await stage.pass_time(0.25)
-        assert len(stage.attempts) == 1
-        await stage.end(stream, is_whole=False)
+        await harness.advance_time(0.25)
+        assert len(harness.attempts) == 1
+        await harness.deliver_end(stream, is_whole=False)
 
     asyncio.run(play())
-    assert len(stage.attempts) == 1
-    assert stage.answer.end == 'cut'
+    assert len(harness.attempts) == 1
+    assert harness.answer.end == 'cut'
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.forwarder_stage import Stage, drive
+from tests.forwarder_harness import ForwarderHarness, intercept_attempts
 from tests.test_peer_chooser import make_node
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
@@ -27,198 +27,207 @@
 LLM = ServiceName('llm')
 
 
-def lose_links(stage: Stage) -> Stage:
+def cut_links(harness: ForwarderHarness) -> ForwarderHarness:
     """Take a forwarder's links; two peers keep theirs."""
-    stage.paths.is_lost = True
-    stage.paths.peers = [make_node('b'), make_node('c')]
-    return stage
+    harness.paths.is_lost = True
+    harness.paths.peers = [make_node('b'), make_node('c')]
+    return harness
 
 
 @pytest.fixture
-def lost(stage: Stage) -> Stage:
+def partitioned(harness: ForwarderHarness) -> ForwarderHarness:
     """Return a forwarder of streams without links."""
-    return lose_links(stage)
+    return cut_links(harness)
 
 
 @pytest.fixture
-def lost_once(monkeypatch: pytest.MonkeyPatch) -> Stage:
+def partitioned_unsafe(monkeypatch: pytest.MonkeyPatch) -> ForwarderHarness:
     """Return one without links whose requests run at most once."""
-    stage = Stage(RouteKind.UNSAFE)
-    drive(stage, monkeypatch)
-    return lose_links(stage)
+    harness = ForwarderHarness(RouteKind.UNSAFE)
+    intercept_attempts(harness, monkeypatch)
+    return cut_links(harness)
 
 
-def name_peers(stage: Stage) -> list[str]:
-    return [one.destination.key.box for one in stage.attempts]
+def name_peers(harness: ForwarderHarness) -> list[str]:
+    return [one.destination.key.box for one in harness.attempts]
 
 
 async def refuse(
-    stage: Stage, attempt: Attempt, code: Code, ran: Ran = Ran.NOT_RUN
+    harness: ForwarderHarness,
+    attempt: Attempt,
+    code: Code,
+    ran: Ran = Ran.NOT_RUN,
 ) -> None:
     mark = AnswerMetadata(refusal=PeerRefusal(code, ran, 0.7))
-    await stage.head(attempt, status=503, metadata=mark)
+    await harness.deliver_head(attempt, status=503, metadata=mark)
 
 
 def run(work: Any) -> None:
     asyncio.run(work())
 
 
-def test_a_stream_through_a_peer_is_passed_on(lost: Stage) -> None:
-    async def play() -> None:
-        await lost.begin()
-        (attempt,) = lost.attempts
-        outgoing = attempt.destination.make_outgoing(lost.clock.now)
+def test_a_stream_through_a_peer_is_passed_on(
+    partitioned: ForwarderHarness,
+) -> None:
+    async def scenario() -> None:
+        await partitioned.submit()
+        (attempt,) = partitioned.attempts
+        outgoing = attempt.destination.make_outgoing(partitioned.clock.now)
         assert outgoing.headers == ((FORWARDED_HEADER.encode(), b'own;2'),)
-        await lost.head(attempt)
-        await lost.events(attempt, 1, 2)
-        await lost.end(attempt)
-        assert lost.answer.end == 'whole'
-        assert name_peers(lost) == ['b']
+        await partitioned.deliver_head(attempt)
+        await partitioned.deliver_events(attempt, 1, 2)
+        await partitioned.deliver_end(attempt)
+        assert partitioned.answer.end == 'whole'
+        assert name_peers(partitioned) == ['b']
 
-    run(play)
+    run(scenario)
 
 
 def test_a_peer_without_links_leaves_the_request_to_another(
-    lost: Stage,
+    partitioned: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await lost.begin()
-        await refuse(lost, lost.attempts[0], Code.NODE_PARTITIONED)
-        await lost.head(lost.attempts[1])
-        await lost.events(lost.attempts[1], 1)
-        await lost.end(lost.attempts[1])
-        assert lost.answer.end == 'whole'
-        assert name_peers(lost) == ['b', 'c']
+    async def scenario() -> None:
+        await partitioned.submit()
+        await refuse(
+            partitioned, partitioned.attempts[0], Code.NODE_PARTITIONED
+        )
+        await partitioned.deliver_head(partitioned.attempts[1])
+        await partitioned.deliver_events(partitioned.attempts[1], 1)
+        await partitioned.deliver_end(partitioned.attempts[1])
+        assert partitioned.answer.end == 'whole'
+        assert name_peers(partitioned) == ['b', 'c']
 
-    run(play)
+    run(scenario)
 
 
 def test_a_refusal_of_the_service_is_told_as_the_peer_tells_it(
-    lost: Stage,
+    partitioned: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await lost.begin()
-        await refuse(lost, lost.attempts[0], Code.REPLICAS_REST)
-        assert lost.refusal is not None
-        assert lost.refusal.code is Code.REPLICAS_REST
-        assert lost.refusal.ran is Ran.NOT_RUN
-        assert lost.refusal.retry_after == 0.7
-        assert len(lost.attempts) == 1
+    async def scenario() -> None:
+        await partitioned.submit()
+        await refuse(partitioned, partitioned.attempts[0], Code.REPLICAS_REST)
+        assert partitioned.refusal is not None
+        assert partitioned.refusal.code is Code.REPLICAS_REST
+        assert partitioned.refusal.ran is Ran.NOT_RUN
+        assert partitioned.refusal.retry_after == 0.7
+        assert len(partitioned.attempts) == 1
 
-    run(play)
+    run(scenario)
 
 
 def test_not_run_is_not_said_where_a_peer_does_not_say_so(
-    lost_once: Stage,
+    partitioned_unsafe: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await lost_once.begin()
+    async def scenario() -> None:
+        await partitioned_unsafe.submit()
         await refuse(
-            lost_once,
-            lost_once.attempts[0],
+            partitioned_unsafe,
+            partitioned_unsafe.attempts[0],
             Code.TARGET_FAILED,
             Ran.MAY_HAVE_RUN,
         )
-        assert lost_once.refusal is not None
-        assert lost_once.refusal.ran is Ran.MAY_HAVE_RUN
-        assert len(lost_once.attempts) == 1
+        assert partitioned_unsafe.refusal is not None
+        assert partitioned_unsafe.refusal.ran is Ran.MAY_HAVE_RUN
+        assert len(partitioned_unsafe.attempts) == 1
 
-    run(play)
+    run(scenario)
 
 
 def test_what_runs_at_most_once_goes_to_no_second_peer(
-    lost_once: Stage,
+    partitioned_unsafe: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await lost_once.begin()
-        attempt = lost_once.attempts[0]
+    async def scenario() -> None:
+        await partitioned_unsafe.submit()
+        attempt = partitioned_unsafe.attempts[0]
         attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
-        await lost_once.settle()
-        assert lost_once.refusal is not None
-        assert lost_once.refusal.ran is Ran.MAY_HAVE_RUN
-        assert len(lost_once.attempts) == 1
+        await partitioned_unsafe.run_pending()
+        assert partitioned_unsafe.refusal is not None
+        assert partitioned_unsafe.refusal.ran is Ran.MAY_HAVE_RUN
+        assert len(partitioned_unsafe.attempts) == 1
 
-    run(play)
+    run(scenario)
 
 
 def test_a_peer_that_is_not_reached_leaves_the_request_to_another(
-    lost: Stage,
+    partitioned: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        lost.connects_at_once = False
-        await lost.begin()
-        attempt = lost.attempts[0]
+    async def scenario() -> None:
+        partitioned.connects_at_once = False
+        await partitioned.submit()
+        attempt = partitioned.attempts[0]
         attempt.post(Attempt.Fault(attempt, SendFault.NOT_SENT))
-        await lost.settle()
-        assert name_peers(lost) == ['b', 'c']
-        assert not lost.quarantine.ended
+        await partitioned.run_pending()
+        assert name_peers(partitioned) == ['b', 'c']
+        assert not partitioned.quarantine.ended
 
-    run(play)
+    run(scenario)
 
 
-def test_a_forwarded_request_goes_to_no_second_peer(lost: Stage) -> None:
-    async def play() -> None:
-        await lost.begin(ForwardMark('x', 2))
-        assert lost.refusal is not None
-        assert lost.refusal.code is Code.NODE_PARTITIONED
-        assert lost.refusal.ran is Ran.NOT_RUN
-        assert not lost.attempts
+def test_a_forwarded_request_goes_to_no_second_peer(
+    partitioned: ForwarderHarness,
+) -> None:
+    async def scenario() -> None:
+        await partitioned.submit(ForwardMark('x', 2))
+        assert partitioned.refusal is not None
+        assert partitioned.refusal.code is Code.NODE_PARTITIONED
+        assert partitioned.refusal.ran is Ran.NOT_RUN
+        assert not partitioned.attempts
 
-    run(play)
+    run(scenario)
 
 
 def test_a_forwarded_request_draws_on_the_sends_that_are_left(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin(ForwardMark('x', 1))
-        await stage.pass_time(3.0)
-        assert len(stage.attempts) == 1
+    async def scenario() -> None:
+        await harness.submit(ForwardMark('x', 1))
+        await harness.advance_time(3.0)
+        assert len(harness.attempts) == 1
 
-    run(play)
+    run(scenario)
 
 
 def test_a_forwarded_request_counts_at_the_node_that_was_asked(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin(ForwardMark('x', 1))
-        assert LLM not in stage.budget._counts  # noqa: SLF001
-        await stage.begin()
-        assert len(stage.budget._counts[LLM].requests) == 1  # noqa: SLF001
+    async def scenario() -> None:
+        await harness.submit(ForwardMark('x', 1))
+        assert LLM not in harness.budget._counts  # noqa: SLF001
+        await harness.submit()
+        assert len(harness.budget._counts[LLM].requests) == 1  # noqa: SLF001
 
-    run(play)
+    run(scenario)
 
 
 def test_a_request_waits_for_the_diagnosis_where_no_replica_is_left(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
-    stage.paths.peers = [make_node('b')]
-    stage.paths.is_found_lost = True
+    harness.paths.peers = [make_node('b')]
+    harness.paths.finds_loss = True
 
-    async def play() -> None:
-        stage.connects_at_once = False
-        await stage.begin()
+    async def scenario() -> None:
+        harness.connects_at_once = False
+        await harness.submit()
         for number in range(2):
-            attempt = stage.attempts[number]
+            attempt = harness.attempts[number]
             attempt.post(Attempt.Fault(attempt, SendFault.NOT_SENT))
-            await stage.settle()
-        assert name_peers(stage)[-1] == 'b'
-        assert stage.refusal is None
+            await harness.run_pending()
+        assert name_peers(harness)[-1] == 'b'
+        assert harness.refusal is None
 
-    run(play)
+    run(scenario)
 
 
-def test_a_broken_peer_ends_no_replica(lost: Stage) -> None:
-    async def play() -> None:
-        await lost.begin()
-        attempt = lost.attempts[0]
+def test_a_broken_peer_ends_no_replica(partitioned: ForwarderHarness) -> None:
+    async def scenario() -> None:
+        await partitioned.submit()
+        attempt = partitioned.attempts[0]
         attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
-        await lost.settle()
-        assert not lost.quarantine.ended
-        assert not lost.book.list_loads()
+        await partitioned.run_pending()
+        assert not partitioned.quarantine.ended
+        assert not partitioned.book.list_loads()
 
-    run(play)
+    run(scenario)
 
 
 def test_the_headers_of_a_forwarded_request_are_those_of_its_caller() -> None:
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from tests.forwarder_stage import Stage
+from tests.forwarder_harness import ForwarderHarness
 from tests.front_bench import WHOLE, Front
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import wait_until
@@ -72,18 +72,18 @@
 
 
 def test_a_stream_that_runs_at_a_replica_that_leaves_goes_on(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     says_so = AnswerMetadata('a1', is_leaving=True)
 
     async def play() -> None:
-        task = await stage.begin()
-        (stream,) = stage.attempts
-        await stage.head(stream, metadata=says_so)
-        await stage.events(stream, 1, 2)
-        await stage.end(stream)
+        task = await harness.submit()
+        (stream,) = harness.attempts
+        await harness.deliver_head(stream, metadata=says_so)
+        await harness.deliver_events(stream, 1, 2)
+        await harness.deliver_end(stream)
         await task
 
     asyncio.run(play())
-    assert stage.answer.end == 'whole'
-    assert len(stage.attempts) == 1
+    assert harness.answer.end == 'whole'
+    assert len(harness.attempts) == 1
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.broken_bodies import reset
+from tests.broken_bodies import reset_connection
 from tests.relay import Relay, Way
 from waywell.standins.harness import wait_until
 
@@ -102,7 +102,7 @@
     far, _ = listening.accept()
     far.sendall(b'a part')
     assert near.recv(100) == b'a part'
-    reset(far)
+    reset_connection(far)
     with pytest.raises(ConnectionResetError):
         near.recv(100)
     relay.close()
--- a/tests/test_resting_replicas.py
+++ b/tests/test_resting_replicas.py
@@ -19,7 +19,7 @@
 import asyncio
 import time
 
-from tests.forwarder_stage import Stage
+from tests.forwarder_harness import ForwarderHarness
 from tests.front_bench import Front
 from tests.house import Server
 from waywell.request.decoded_request import AnswerMetadata
@@ -68,23 +68,30 @@
     assert resting.arrivals == before
 
 
-def test_a_stream_that_goes_on_takes_no_rest_back(stage: Stage) -> None:
+def test_a_stream_that_goes_on_takes_no_rest_back(
+    harness: ForwarderHarness,
+) -> None:
     asks_rest = AnswerMetadata('a1', is_rejected=True, rest_seconds=3.0)
 
     async def play() -> None:
-        await stage.begin()
-        (stream,) = stage.attempts
-        await stage.head(stream)
-        await stage.events(stream, 1)
+        await harness.submit()
+        (stream,) = harness.attempts
+        await harness.deliver_head(stream)
+        await harness.deliver_events(stream, 1)
         resting = stream.replica
-        while stage.attempts[-1].replica != resting or len(stage.attempts) < 2:
-            await stage.begin()
-        await stage.head(stage.attempts[-1], status=503, metadata=asks_rest)
-        await stage.events(stream, 2, 3)
-        await stage.end(stream)
+        while (
+            harness.attempts[-1].replica != resting
+            or len(harness.attempts) < 2
+        ):
+            await harness.submit()
+        await harness.deliver_head(
+            harness.attempts[-1], status=503, metadata=asks_rest
+        )
+        await harness.deliver_events(stream, 2, 3)
+        await harness.deliver_end(stream)
         for _request in range(REQUESTS):
-            await stage.begin()
-            assert stage.attempts[-1].replica != resting
+            await harness.submit()
+            assert harness.attempts[-1].replica != resting
 
     asyncio.run(play())
 
--- a/tests/test_truncated_answers.py
+++ b/tests/test_truncated_answers.py
@@ -269,12 +269,12 @@
     whole = WHOLE.replace(b'\n', b'\r\n')
     first = len(whole) // EVENTS
     script = BodyScript(
-        Framing.CHUNKED, Ending.ANNOUNCED, whole, holds_after=first
+        Framing.CHUNKED, Ending.ANNOUNCED, whole, pause_after=first
     )
     script_next(front, script)
     answer = open_stream('held', line)
     assert answer.read(first) == whole[:first]
-    script.goes_on.set()
+    script.resume.set()
 
 
 def test_the_type_of_a_stream_is_told_without_regard_to_case(
--- a/tests/test_truncated_targets.py
+++ b/tests/test_truncated_targets.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.broken_bodies import BodyScript, Ending, Framing, reset
+from tests.broken_bodies import BodyScript, Ending, Framing, reset_connection
 from tests.conftest import QUICK
 from tests.front_bench import WHOLE
 from waywell.client import UnreachableError
@@ -80,9 +80,9 @@
         else:
             self.requests += 1
             script = self.script
-        line.sendall(script.make_raw())
+        line.sendall(script.encode_response())
         if script.ending is Ending.RESET:
-            reset(line)
+            reset_connection(line)
         else:
             line.close()
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.forwarder_stage import Stage
+from tests.forwarder_harness import ForwarderHarness
 from tests.held_clock import HeldClock
 from tests.lone_turns import LoneTurns
 from tests.test_membership import make_record
@@ -203,38 +203,40 @@
     assert turns.count()['limited'] == 0
 
 
-def test_retries_take_turns_too(stage: Stage) -> None:
+def test_retries_take_turns_too(harness: ForwarderHarness) -> None:
 
     async def play() -> None:
         for _request in range(8):
-            await stage.begin()
-            for attempt in tuple(stage.attempts):
+            await harness.submit()
+            for attempt in tuple(harness.attempts):
                 if attempt.head is None and not attempt._is_abandoned:
-                    await stage.head(attempt, status=503, metadata=REJECTED)
+                    await harness.deliver_head(
+                        attempt, status=503, metadata=REJECTED
+                    )
 
     asyncio.run(play())
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.REPLICAS_LIMITED
-    assert stage.refusal.ran is Ran.NOT_RUN
-    assert stage.refusal.retry_after is not None
-    assert stage.refusal.retry_after > 0
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.REPLICAS_LIMITED
+    assert harness.refusal.ran is Ran.NOT_RUN
+    assert harness.refusal.retry_after is not None
+    assert harness.refusal.retry_after > 0
 
 
 def test_a_request_that_connects_when_the_limit_comes_is_not_written(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     async def play() -> None:
-        stage.connects_at_once = False
-        await stage.begin()
-        (attempt,) = stage.attempts
+        harness.connects_at_once = False
+        await harness.submit()
+        (attempt,) = harness.attempts
         # Another request was answered with the limit meanwhile.
         attempt.destination.on_metadata(
-            LIMITED, attempt.sent_at, stage.clock.now
+            LIMITED, attempt.sent_at, harness.clock.now
         )
-        assert not stage.may_send()
+        assert not harness.may_send()
         attempt.post(Attempt.Fault(attempt, SendFault.TOO_LATE))
-        await stage.settle()
-        assert stage.attempts[-1].replica != attempt.replica
+        await harness.run_pending()
+        assert harness.attempts[-1].replica != attempt.replica
 
     asyncio.run(play())
 
