--- a/tests/broken_bodies.py
+++ b/tests/broken_bodies.py
@@ -1,4 +1,4 @@
-"""Ways in which a response can end, for servers of the tests."""
+"""Responses with complete and truncated bodies, for test servers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Framing(enum.Enum):
-    """How a response tells where its body ends."""
+    """How a response delimits its body."""
 
     LENGTH = 'length'
     CHUNKED = 'chunked'
@@ -22,37 +22,40 @@
 
 
 class Ending(enum.Enum):
-    """What follows the last byte of a body."""
+    """What a server does after the last byte of a body."""
 
     ANNOUNCED = 'announced'
-    """The announced end, whatever was sent: the length is reached, or the
-    last chunk follows; without either, an orderly close."""
+    """The announced end of the body, even if its content is truncated: the
+    length is reached or the last chunk is sent.  Without a length or chunks,
+    an orderly close."""
 
     CLOSE = 'close'
-    """An orderly close; a length or a last chunk is left open."""
+    """An orderly close without the announced length or the last chunk."""
 
     RESET = 'reset'
-    """A reset."""
+    """A reset of the connection."""
 
 
 @dataclass(frozen=True)
 class BodyScript:
-    """A response that ends after a part of its body.
+    """A response that ends after a given part of its body.
 
     Parameters
     ----------
     framing
-        How it tells where its body ends.
+        How the response delimits its body.
     ending
-        What follows the part.
+        What the server does after the part.
     part
-        The bytes that are sent.
+        Bytes of the body that are sent.
     content_type
-        Content type; empty for none.
+        Content type; no header if empty.
     encoding
-        Content encoding; empty for none.
+        Content encoding; no header if empty.
     pause_after
-        Bytes after which the rest waits until it is told to go on.
+        Number of bytes after which the server waits for ``resume``.
+    resume
+        Event that ends the wait.
     """
 
     framing: Framing
@@ -66,7 +69,7 @@
     def send_response(
         self, handler: BaseHTTPRequestHandler, headers: dict[str, str]
     ) -> None:
-        """Send the response, and close its connection."""
+        """Send the response and close its connection."""
         handler.close_connection = True
         handler.send_response(200)
         for name, text in {**headers, **self._make_headers()}.items():
@@ -80,12 +83,12 @@
         else:
             handler.wfile.write(self._encode_body())
         if self.ending is Ending.RESET:
-            # The socket stays open as long as a file of it does.
+            # The socket stays open while a file object of it is open.
             handler.rfile.close()
             reset_connection(handler.connection)
 
     def encode_response(self) -> bytes:
-        """Return the response as bytes, for a server that sends only those."""
+        """Return the encoded response, for servers that send raw bytes."""
         lines = [
             'HTTP/1.1 200 OK',
             *(
@@ -96,17 +99,17 @@
         return '\r\n'.join([*lines, '\r\n']).encode() + self._encode_body()
 
     def _make_headers(self) -> dict[str, str]:
-        framed = {'content-type': self.content_type}
+        headers = {'content-type': self.content_type}
         if not self.content_type:
-            framed = {}
+            headers = {}
         if self.encoding:
-            framed['content-encoding'] = self.encoding
+            headers['content-encoding'] = self.encoding
         if self.framing is Framing.CHUNKED:
-            return {**framed, 'transfer-encoding': 'chunked'}
+            return {**headers, 'transfer-encoding': 'chunked'}
         if self.framing is Framing.CLOSE:
-            return {**framed, 'connection': 'close'}
+            return {**headers, 'connection': 'close'}
         missing = 0 if self.ending is Ending.ANNOUNCED else 1
-        return {**framed, 'content-length': str(len(self.part) + missing)}
+        return {**headers, 'content-length': str(len(self.part) + missing)}
 
     def _encode_chunk(self, raw: bytes) -> bytes:
         return b'%x\r\n%s\r\n' % (len(raw), raw)
@@ -119,9 +122,9 @@
         return (chunk if self.part else b'') + last
 
 
-def reset_connection(line: socket.socket) -> None:
-    """Close a connection with a reset."""
-    line.setsockopt(
+def reset_connection(connection: socket.socket) -> None:
+    """Reset a connection."""
+    connection.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
     )
-    line.close()
+    connection.close()
--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -1,4 +1,4 @@
-"""A forwarder whose attempts are driven by hand, for tests."""
+"""Test harness of a forwarder, in which tests deliver the answers."""
 
 from __future__ import annotations
 
@@ -56,6 +56,8 @@
 
 
 class RecordedAnswer(AnswerWriter):
+    """Records the answer that a caller receives."""
+
     def __init__(self) -> None:
         self.body = b''
         self.status = 0
@@ -76,17 +78,17 @@
 
 
 class FakeWire:
-    def make_headers(self, *_words: object) -> tuple:
+    def make_headers(self, *_args: object) -> tuple:
         return ()
 
     def make_forward_headers(
-        self, _ask: DecodedRequest, mark: ForwardMark, *_words: object
+        self, _request: DecodedRequest, mark: ForwardMark, *_args: object
     ) -> tuple:
         return ((FORWARDED_HEADER.encode(), mark.encode().encode()),)
 
 
 class FakePaths(DirectPaths):
-    """Links that a test takes away, with peers that it names."""
+    """Link state and peers that a test sets."""
 
     def __init__(self) -> None:
         self.is_lost = False
@@ -102,12 +104,14 @@
     def choose_peer(
         self, service: ServiceName, tried: Any, now: float
     ) -> NodeRecord | None:
-        left = [one for one in self.peers if make_peer_key(one) not in tried]
-        return left[0] if left else None
+        untried = [
+            peer for peer in self.peers if make_peer_key(peer) not in tried
+        ]
+        return untried[0] if untried else None
 
 
 class ForwarderHarness:
-    """A forwarder whose attempts are driven by hand."""
+    """A forwarder whose attempts receive their answers from a test."""
 
     def __init__(self, kind: RouteKind = RouteKind.STREAM) -> None:
         self.clock = HeldClock()
@@ -178,27 +182,27 @@
         now: float,
     ) -> None:
         attempt.started_at = now
-        if not self._has_turn(attempt):
+        if not self._has_permit(attempt):
             attempt.post(Attempt.Fault(attempt, SendFault.NO_TURN))
             return
         assert not self.connects_at_once or may_send()
         self.may_send = may_send
         self.attempts.append(attempt)
 
-    def _has_turn(self, attempt: Attempt) -> bool:
-        """Take a turn as an attempt does; the node deals all itself."""
+    def _has_permit(self, attempt: Attempt) -> bool:
+        """Acquire a permit as an attempt does; no other node is asked."""
         try:
             attempt.destination.acquire_permit().send(None)
         except StopIteration as end:
             return bool(end.value)
-        raise AssertionError('the node asked another one')
+        raise AssertionError('the node asked another node for a permit')
 
     async def submit(
         self,
         forwarded: ForwardMark | None = None,
         resume_after: int | None = None,
     ) -> asyncio.Task:
-        ask = DecodedRequest(
+        request = DecodedRequest(
             'a1',
             'POST',
             '/x',
@@ -210,23 +214,23 @@
             resume_after=resume_after,
         )
         self.answer = RecordedAnswer()
-        task = asyncio.create_task(self._serve(ask, self.answer))
+        task = asyncio.create_task(self._serve(request, self.answer))
         await self.run_pending()
         return task
 
     async def run_pending(self) -> None:
-        for _turn in range(10):
+        for _iteration in range(10):
             await asyncio.sleep(0)
 
     async def advance_time(self, seconds: float) -> None:
-        """Let the clock pass, and wake the forwarder as a timer would."""
+        """Advance the clock and wake the forwarder as a timer would."""
         self.clock.now += seconds
         self.attempts[0]._inbox.put(None)
         await self.run_pending()
 
     async def deliver_head(self, attempt: Attempt, **changes: Any) -> None:
-        facts = {'status': 200, 'metadata': AnswerMetadata('a1'), **changes}
-        attempt.receive_head(headers=STREAM_HEADERS, length=None, **facts)
+        head = {'status': 200, 'metadata': AnswerMetadata('a1'), **changes}
+        attempt.receive_head(headers=STREAM_HEADERS, length=None, **head)
         await self.run_pending()
 
     async def deliver_events(self, attempt: Attempt, *numbers: int) -> None:
@@ -243,15 +247,15 @@
         await self.run_pending()
 
     async def _serve(
-        self, ask: DecodedRequest, answer: RecordedAnswer
+        self, request: DecodedRequest, answer: RecordedAnswer
     ) -> None:
         try:
-            await self.forwarder.serve(ask, answer)
+            await self.forwarder.serve(request, answer)
         except Refusal as refusal:
             self.refusal = refusal
 
     async def restart_boxes(self, *names: str) -> None:
-        """Let a newer list show boxes that started again under their ids."""
+        """Deliver a box list in which boxes have restarted under their ids."""
         boxes = dict(self.outlook.fleet.boxes)
         for name in names:
             boxes[BoxId(name)] = msgspec.structs.replace(
@@ -266,9 +270,9 @@
 def intercept_attempts(
     harness: ForwarderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Let attempts go to the harness in place of the network."""
+    """Direct attempts to the harness instead of the network."""
     monkeypatch.setattr(
         Attempt,
         'start',
-        lambda *words: harness.record_start(*words),
+        lambda *args: harness.record_start(*args),
     )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers to the right caller, or none."""
+"""Callers get complete answers to their own requests, or none."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 
 PROBE_SECONDS = 20.0
-"""A target that stands still under load answers a probe within this time."""
+"""Seconds in which a target answers a probe even if it stalls under load."""
 
 
 class ScriptedTarget:
-    """A target that answers requests with fixed bytes and hangs up.
+    """A target that sends fixed bytes as its answer and disconnects.
 
-    Orders and probes are answered as a healthy box would.
+    Orders and probes are answered as by a healthy box.
     """
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
     scripted: ScriptedTarget,
     switch: str = '',
 ) -> None:
-    """Start an entry box before the scripted target, a model without fence."""
+    """Start an entry box with the scripted target as an unfenced model."""
     bench.list_scripted(
         BoxSpec('s', fenced=False, labels={'pool': 'llm'}), scripted.port
     )
@@ -117,12 +117,12 @@
     bench.wait_serving('entry-1', 'llm-main', 1)
 
 
-def list_wrong(
+def list_accepted_cuts(
     bench: Bench, scripted: ScriptedTarget, whole: bytes
 ) -> list[int]:
-    """Return the positions at which a cut answer was taken for whole."""
+    """Return the lengths at which a truncated answer passed as complete."""
     caller = bench.get_caller('entry-1')
-    wrong = []
+    accepted = []
     for position in range(len(whole)):
         scripted.raw = whole[:position]
         try:
@@ -135,11 +135,11 @@
         except UnreachableError:
             continue
         if answer.status == 200 and answer.body != BODY:
-            wrong.append(position)
+            accepted.append(position)
         if answer.status == 200 and whole is not CLOSED:
-            wrong.append(position)
+            accepted.append(position)
     assert scripted.requests == len(whole)
-    return wrong
+    return accepted
 
 
 @pytest.mark.parametrize(
@@ -147,30 +147,32 @@
     [SIZED, CHUNKED, CLOSED],
     ids=['sized', 'chunked', 'closed'],
 )
-def test_cut_at_each_byte_is_never_taken_for_whole(
+def test_answer_truncated_at_any_byte_never_passes_as_complete(
     bench: Bench,
     scripted: ScriptedTarget,
     whole: bytes,
 ) -> None:
     start_scripted(bench, scripted)
-    assert list_wrong(bench, scripted, whole) == []
+    assert list_accepted_cuts(bench, scripted, whole) == []
     if whole is not CLOSED:
         scripted.raw = whole
         answer = bench.get_caller('entry-1').call('/services/llm/x', 'POST')
         assert answer.body == BODY
 
 
-def test_without_the_check_a_cut_answer_looks_whole(
+def test_without_the_check_a_truncated_answer_passes_as_complete(
     bench: Bench,
     scripted: ScriptedTarget,
 ) -> None:
-    """The proof above can fail."""
+    """Check that the test above detects truncated answers."""
     start_scripted(bench, scripted, switch='accept_cut_answers')
-    assert list_wrong(bench, scripted, CHUNKED)
+    assert list_accepted_cuts(bench, scripted, CHUNKED)
 
 
-def test_late_answer_goes_to_nobody(pair: Bench) -> None:
-    """A connection that saw a time-out is not used for the next request."""
+def test_late_answer_is_not_taken_for_that_of_the_next_request(
+    pair: Bench,
+) -> None:
+    """A connection is not reused after a request on it has timed out."""
     caller = pair.get_caller('entry-1')
     pair.set_target_faults('app-1', slow=0.6)
     for number in range(5):
@@ -183,10 +185,10 @@
         assert in_time.read_json()['path'] == f'/own{number}'
 
 
-def test_many_callers_each_get_their_own(pair: Bench) -> None:
+def test_concurrent_callers_get_their_own_answers(pair: Bench) -> None:
     wrong: list[str] = []
 
-    def work(entry: str, worker: int) -> None:
+    def call_repeatedly(entry: str, worker: int) -> None:
         caller = pair.get_caller(entry)
         for number in range(15):
             path = f'/{worker}-{number}'
@@ -196,7 +198,9 @@
                 wrong.append(path)
 
     threads = [
-        threading.Thread(target=work, args=(f'entry-{1 + worker % 2}', worker))
+        threading.Thread(
+            target=call_repeatedly, args=(f'entry-{1 + worker % 2}', worker)
+        )
         for worker in range(12)
     ]
     for thread in threads:
@@ -206,8 +210,8 @@
     assert wrong == []
 
 
-SLOW_PROBE = 10.0
-"""Seconds within which a busy box answers a probe."""
+SLOW_PROBE_SECONDS = 10.0
+"""Seconds in which a busy box answers a probe."""
 
 
 def read_memory(pid: int) -> int:
@@ -216,10 +220,10 @@
     return pages * 4096
 
 
-def test_slow_readers_cost_bounded_memory(bench: Bench) -> None:
-    # The one box makes 300 MB meanwhile: on a busy machine it answers no probe
-    # within 0.3 s, and would be taken out.
-    start_pair(bench, probe=SLOW_PROBE)
+def test_slow_readers_use_bounded_memory(bench: Bench) -> None:
+    # The only box generates 300 MB during the test.  On a busy machine it does
+    # not answer probes within 0.3 s and would be taken out of service.
+    start_pair(bench, probe=SLOW_PROBE_SECONDS)
     pair = bench
     port = pair.entries['entry-1'].ports['caller_port']
     before = read_memory(pair.entries['entry-1'].pid)
@@ -234,7 +238,7 @@
         caller.sendall(request)
         assert caller.recv(100)
         callers.append(caller)
-    # Others are served meanwhile.
+    # Other requests are served in the meantime.
     for _ in range(20):
         assert pair.get_caller('entry-1').call('/services/app/y').status == 200
     grown = read_memory(pair.entries['entry-1'].pid) - before
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -1,4 +1,4 @@
-"""Claims: whatever is killed or repeated, an id runs at most once."""
+"""A claimed request id runs at most once, despite kills and repeats."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
     return ClaimKey(account, RequestId(name))
 
 
-def test_issued_ids_can_be_read_back() -> None:
+def test_issued_ids_can_be_parsed() -> None:
     prefix = make_id_prefix(HOME, Incarnation(7), 12.9)
     issued = parse_issued_id(RequestId(f'{prefix}x:y'))
     assert issued is not None
     assert (issued.node, issued.incarnation, issued.second) == (HOME, 7, 12)
 
 
-def test_own_ids_are_told_apart() -> None:
+def test_ids_that_no_entry_box_issued_are_not_parsed() -> None:
     for name in ('abc', 'a:b:c', 'home:7:1:', 'home:x:1:y', 'home:7:-1:y'):
         assert parse_issued_id(RequestId(name)) is None
 
 
-def test_home_that_took_another_incarnation_gives_out_its_ids() -> None:
+def test_home_grants_only_ids_of_its_current_incarnation() -> None:
     table = ClaimTable(HOME, Incarnation(7))
     table.change_incarnation(Incarnation(9))
     states = {
@@ -50,7 +50,7 @@
     assert states == {7: ClaimState.EXPIRED, 9: ClaimState.GRANTED}
 
 
-def test_id_of_the_future_or_the_past_is_not_good() -> None:
+def test_ids_from_the_future_or_too_long_ago_have_expired() -> None:
     table = ClaimTable(HOME, Incarnation(7))
     for second, now in ((100, 50.0), (0, ISSUED_ID_SECONDS + 1)):
         name = f'home:7:{second}:x'
@@ -58,7 +58,7 @@
         assert state is ClaimState.EXPIRED
 
 
-def test_forgotten_claims_can_not_be_claimed_again() -> None:
+def test_deleted_claims_are_not_granted_again() -> None:
     table = ClaimTable(HOME, Incarnation(7))
     key = make_key('home:7:0:x')
     assert table.claim(key, HOME, 7, 1) is ClaimState.GRANTED
@@ -67,7 +67,7 @@
         assert table.claim(key, HOME, 7, now) is not ClaimState.GRANTED
 
 
-def test_full_table_refuses() -> None:
+def test_full_table_grants_no_claim() -> None:
     table = ClaimTable(HOME, Incarnation(7))
     for number in range(MAX_CLAIMS):
         table.claim(make_key(f'home:7:0:{number}'), HOME, 7, 1)
@@ -77,7 +77,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Submissions through three nodes, which are killed at any point."""
+    """Submissions through nodes that may be killed at any point."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -87,7 +87,7 @@
         self.runs: dict[ClaimKey, int] = {}
         self.refused: set[ClaimKey] = set()
         self.holders: dict[str, list[ClaimKey]] = {'n1': [], 'n2': []}
-        self.lives = {'n1': 1, 'n2': 1}
+        self.incarnations = {'n1': 1, 'n2': 1}
         self.names = ['own:0:0:x']
 
     @rule()
@@ -102,12 +102,14 @@
     )
     def submit(self, pick: int, node: str, account: str) -> None:
         key = make_key(self.names[pick % len(self.names)], account)
-        state = self.table.claim(key, NodeId(node), self.lives[node], self.now)
+        state = self.table.claim(
+            key, NodeId(node), self.incarnations[node], self.now
+        )
         if state is ClaimState.GRANTED:
             self.holders[node].append(key)
 
     @rule(node=st.sampled_from(['n1', 'n2']), settle=st.booleans())
-    def run_one(self, node: str, settle: bool) -> None:
+    def run_request(self, node: str, settle: bool) -> None:
         if self.holders[node]:
             key = self.holders[node].pop(0)
             self.runs[key] = self.runs.get(key, 0) + 1
@@ -115,23 +117,23 @@
                 self.table.settle(key, ClaimState.DONE)
 
     @rule(node=st.sampled_from(['n1', 'n2']))
-    def refuse_one(self, node: str) -> None:
+    def refuse_request(self, node: str) -> None:
         if self.holders[node]:
             key = self.holders[node].pop(0)
             self.table.settle(key, ClaimState.REFUSED)
             self.refused.add(key)
 
-    @rule(node=st.sampled_from(['n1', 'n2']), seen=st.booleans())
-    def kill(self, node: str, seen: bool) -> None:
+    @rule(node=st.sampled_from(['n1', 'n2']), detected=st.booleans())
+    def kill(self, node: str, detected: bool) -> None:
         self.holders[node] = []
-        if seen:
-            self.table.mark_holder_lost(NodeId(node), self.lives[node])
-        self.lives[node] += 1
+        if detected:
+            self.table.mark_holder_lost(NodeId(node), self.incarnations[node])
+        self.incarnations[node] += 1
 
     @rule(node=st.sampled_from(['n1', 'n2']))
     def suspect_wrongly(self, node: str) -> None:
-        """The holder is thought lost but runs on."""
-        self.table.mark_holder_lost(NodeId(node), self.lives[node])
+        """The holder is taken for lost but continues to run."""
+        self.table.mark_holder_lost(NodeId(node), self.incarnations[node])
 
     @rule()
     def restart_home(self) -> None:
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -1,4 +1,4 @@
-"""The table of result codes."""
+"""Result codes and their documentation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 PAGE = Path(__file__).parent.parent / 'docs' / 'CODES.md'
 
 
-def test_page_has_the_table() -> None:
+def test_documentation_contains_the_table() -> None:
     assert render_codes() in PAGE.read_text(encoding='utf-8')
 
 
@@ -17,7 +17,7 @@
     assert set(CODE_FACTS) == set(Code)
 
 
-def test_refusal_describes_itself() -> None:
+def test_refusal_reports_status_code_and_retry_advice() -> None:
     refusal = Refusal(Code.ACCOUNT_RATE, Ran.NOT_RUN, 'slow down', 1.5)
     assert refusal.status == 429
     assert refusal.describe()['code'] == 2001
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -1,4 +1,4 @@
-"""Requests that go through a peer where a node has lost its links."""
+"""Requests forwarded through a peer by a node without links to replicas."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def cut_links(harness: ForwarderHarness) -> ForwarderHarness:
-    """Take a forwarder's links; two peers keep theirs."""
+    """Cut a forwarder off from replicas; two peers keep their links."""
     harness.paths.is_lost = True
     harness.paths.peers = [make_node('b'), make_node('c')]
     return harness
@@ -36,20 +36,20 @@
 
 @pytest.fixture
 def partitioned(harness: ForwarderHarness) -> ForwarderHarness:
-    """Return a forwarder of streams without links."""
+    """Return a forwarder of streams that is cut off from replicas."""
     return cut_links(harness)
 
 
 @pytest.fixture
 def partitioned_unsafe(monkeypatch: pytest.MonkeyPatch) -> ForwarderHarness:
-    """Return one without links whose requests run at most once."""
+    """Return one like it whose requests may run at most once."""
     harness = ForwarderHarness(RouteKind.UNSAFE)
     intercept_attempts(harness, monkeypatch)
     return cut_links(harness)
 
 
 def name_peers(harness: ForwarderHarness) -> list[str]:
-    return [one.destination.key.box for one in harness.attempts]
+    return [attempt.destination.key.box for attempt in harness.attempts]
 
 
 async def refuse(
@@ -62,11 +62,11 @@
     await harness.deliver_head(attempt, status=503, metadata=mark)
 
 
-def run(work: Any) -> None:
-    asyncio.run(work())
+def run(scenario: Any) -> None:
+    asyncio.run(scenario())
 
 
-def test_a_stream_through_a_peer_is_passed_on(
+def test_a_stream_through_a_peer_is_relayed(
     partitioned: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -83,7 +83,7 @@
     run(scenario)
 
 
-def test_a_peer_without_links_leaves_the_request_to_another(
+def test_another_peer_is_tried_after_one_without_links(
     partitioned: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -100,7 +100,7 @@
     run(scenario)
 
 
-def test_a_refusal_of_the_service_is_told_as_the_peer_tells_it(
+def test_a_refusal_that_concerns_the_service_is_relayed_unchanged(
     partitioned: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -115,7 +115,7 @@
     run(scenario)
 
 
-def test_not_run_is_not_said_where_a_peer_does_not_say_so(
+def test_not_run_is_reported_only_if_the_peer_reports_it(
     partitioned_unsafe: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -133,7 +133,7 @@
     run(scenario)
 
 
-def test_what_runs_at_most_once_goes_to_no_second_peer(
+def test_an_unsafe_request_is_not_sent_to_a_second_peer(
     partitioned_unsafe: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -148,7 +148,7 @@
     run(scenario)
 
 
-def test_a_peer_that_is_not_reached_leaves_the_request_to_another(
+def test_another_peer_is_tried_after_an_unreachable_one(
     partitioned: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -163,7 +163,7 @@
     run(scenario)
 
 
-def test_a_forwarded_request_goes_to_no_second_peer(
+def test_a_forwarded_request_is_not_forwarded_again(
     partitioned: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -176,7 +176,7 @@
     run(scenario)
 
 
-def test_a_forwarded_request_draws_on_the_sends_that_are_left(
+def test_a_forwarded_request_is_limited_to_the_remaining_sends(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -187,7 +187,7 @@
     run(scenario)
 
 
-def test_a_forwarded_request_counts_at_the_node_that_was_asked(
+def test_a_forwarded_request_counts_at_the_node_that_received_it_first(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -199,7 +199,7 @@
     run(scenario)
 
 
-def test_a_request_waits_for_the_diagnosis_where_no_replica_is_left(
+def test_a_request_waits_for_the_link_diagnosis_if_no_replica_is_left(
     harness: ForwarderHarness,
 ) -> None:
     harness.paths.peers = [make_node('b')]
@@ -218,7 +218,9 @@
     run(scenario)
 
 
-def test_a_broken_peer_ends_no_replica(partitioned: ForwarderHarness) -> None:
+def test_a_failure_at_a_peer_is_not_attributed_to_a_replica(
+    partitioned: ForwarderHarness,
+) -> None:
     async def scenario() -> None:
         await partitioned.submit()
         attempt = partitioned.attempts[0]
@@ -230,7 +232,7 @@
     run(scenario)
 
 
-def test_the_headers_of_a_forwarded_request_are_those_of_its_caller() -> None:
+def test_a_forwarded_request_keeps_the_headers_of_its_caller() -> None:
     wire = ServerWire()
     headers = (
         (b'Host', b'shop.example'),
@@ -239,34 +241,38 @@
         (b'X-Deadline-Ms', b'8000'),
         (b'X-Own', b'kept'),
     )
-    ask = wire.read_ask('POST', '/notes/1', headers, b'body')
-    sent = wire.make_forward_headers(ask, ForwardMark('own', 3), 2.5, 4)
-    again = wire.read_ask('POST', '/notes/1', sent, b'body')
-    assert again.forwarded == ForwardMark('own', 3)
-    assert (again.host, again.attempt_id) == ('shop.example', 'a1')
-    assert (again.api_key, again.timeout_seconds, again.resume_after) == (
+    request = wire.read_ask('POST', '/notes/1', headers, b'body')
+    sent = wire.make_forward_headers(request, ForwardMark('own', 3), 2.5, 4)
+    received = wire.read_ask('POST', '/notes/1', sent, b'body')
+    assert received.forwarded == ForwardMark('own', 3)
+    assert (received.host, received.attempt_id) == ('shop.example', 'a1')
+    assert (
+        received.api_key,
+        received.timeout_seconds,
+        received.resume_after,
+    ) == (
         'secret',
         2.5,
         4,
     )
-    names = [name.lower() for name, _text in again.headers]
+    names = [name.lower() for name, _text in received.headers]
     assert b'x-own' in names
     assert FORWARDED_HEADER.encode() not in names
 
 
 @pytest.mark.parametrize('text', ['', 'own', ';2', 'own;x', 'own;-1'])
-def test_a_mark_that_is_no_mark_is_none(text: str) -> None:
+def test_a_malformed_forwarding_header_is_ignored(text: str) -> None:
     assert read_forward_mark(text) is None
 
 
-def test_only_a_refusal_of_a_node_is_read_as_one() -> None:
+def test_a_refusal_is_recognized_by_the_headers_of_a_node() -> None:
     assert read_refusal(((b'Retry-After', b'1'),)) is None
-    told = (
+    refused = (
         (b'Waywell-Code', b'2010'),
         (b'Waywell-Ran', b'not_run'),
         (b'Retry-After', b'0.25'),
     )
-    assert read_refusal(told) == PeerRefusal(
+    assert read_refusal(refused) == PeerRefusal(
         Code.REPLICAS_REST, Ran.NOT_RUN, 0.25
     )
     unknown = ((b'waywell-code', b'9999'), (b'waywell-ran', b'odd'))
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Attempts at one request that run side by side."""
+"""Retries, hedges and resumption across the attempts at one request."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ]
 
 
-def test_the_first_attempt_goes_on_when_it_wakes_before_the_second(
+def test_a_silent_attempt_that_recovers_before_its_hedge_continues(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -34,7 +34,7 @@
         await harness.advance_time(0.25)
         second = harness.attempts[1]
         await harness.deliver_head(second)
-        # The first was only late; what the second brings is surplus.
+        # The first was only late, so the events of the second are dropped.
         await harness.deliver_events(first, 3, 4)
         await harness.deliver_events(second, 3, 4)
         await harness.deliver_events(first, 5)
@@ -45,7 +45,7 @@
     assert harness.answer.end == 'whole'
 
 
-def test_the_second_attempt_goes_on_where_the_first_fell_silent(
+def test_a_hedge_continues_the_stream_of_a_silent_attempt(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -67,7 +67,9 @@
     assert harness.answer.end == 'whole'
 
 
-def test_a_skipped_event_is_never_passed_on(harness: ForwarderHarness) -> None:
+def test_an_answer_with_a_skipped_event_is_never_relayed(
+    harness: ForwarderHarness,
+) -> None:
     async def scenario() -> None:
         await harness.submit()
         (first,) = harness.attempts
@@ -81,7 +83,7 @@
     assert harness.answer.end == 'cut'
 
 
-def test_a_failure_is_never_passed_on_as_the_rest_of_a_begun_answer(
+def test_an_error_answer_never_continues_a_begun_answer(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -91,7 +93,7 @@
         await harness.deliver_events(first, 1, 2)
         await harness.deliver_end(first, is_whole=False)
         second = harness.attempts[1]
-        # No third replica is allowed, so the failure is the last word.
+        # The route allows no third replica, so the request ends here.
         await harness.deliver_head(second, status=500)
         second.post(Attempt.Piece(second, StreamEvent(b'{}', None)))
         await harness.deliver_end(second)
@@ -101,13 +103,13 @@
     assert harness.answer.end == 'cut'
 
 
-def test_a_word_of_a_dropped_attempt_changes_nothing(
+def test_messages_of_a_dropped_attempt_are_ignored(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
         await harness.submit()
         (first,) = harness.attempts
-        # Both wait in the queue when the first of them drops the attempt.
+        # Both messages are queued when the first one drops the attempt.
         first.post(Attempt.Fault(first, SendFault.NOT_SENT))
         first.post(Attempt.Fault(first, SendFault.BROKEN))
         await harness.run_pending()
@@ -139,7 +141,7 @@
     assert harness.refusal.ran is Ran.MAY_HAVE_RUN
 
 
-def test_an_unsafe_request_is_never_tried_beside_a_silent_one(
+def test_an_unsafe_request_is_never_hedged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = ForwarderHarness(RouteKind.UNSAFE)
@@ -159,7 +161,7 @@
     assert harness.refusal.ran is Ran.MAY_HAVE_RUN
 
 
-def test_rejections_leave_a_request_not_run(
+def test_a_request_that_replicas_only_rejected_is_reported_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = ForwarderHarness(RouteKind.UNSAFE)
@@ -180,14 +182,14 @@
 
 
 @pytest.mark.parametrize('rank', [0, 1])
-def test_a_stream_is_taken_up_elsewhere_once_a_box_starts_again(
+def test_a_stream_resumes_elsewhere_as_soon_as_a_box_restarts(
     harness: ForwarderHarness,
     rank: int,
 ) -> None:
-    """Symptom: a stream went on 0.2 s late after a box had crashed.
+    """Attempts fail when their box restarts, not only by a silence timeout.
 
-    Sequence: a stream has begun; the list shows a box of its group in another
-    life.  Cause: an attempt was given up by its own silence only.
+    A stream resumed 0.2 s late when the box list already showed that a box of
+    its group had restarted.
     """
 
     async def scenario() -> None:
@@ -209,7 +211,7 @@
     assert list_numbers(harness.answer.body) == [0, 1, 2, 3]
 
 
-def test_what_may_not_run_twice_ends_visibly_when_its_box_starts_again(
+def test_an_unsafe_request_is_refused_when_its_box_restarts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = ForwarderHarness(RouteKind.UNSAFE)
@@ -227,7 +229,7 @@
     assert harness.refusal.ran is Ran.MAY_HAVE_RUN
 
 
-def test_a_restart_elsewhere_disturbs_no_stream(
+def test_a_restart_in_another_group_does_not_disturb_a_stream(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -250,7 +252,7 @@
 
 
 async def record_three_crashes(harness: ForwarderHarness) -> None:
-    """Let three replicas end under the request that is played."""
+    """Record crashes of three replicas that ran the first request."""
     fingerprint = harness.attempts[0].traits.fingerprint
     for number in (1, 2, 3):
         harness.quarantine.book.note_crash(
@@ -260,7 +262,7 @@
         )
 
 
-def test_an_attempt_that_broke_is_told_with_what_it_had_brought(
+def test_a_crash_records_whether_the_answer_had_begun(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -280,7 +282,7 @@
     assert [list(end.runs.values()) for end in ends] == [[True], [False]]
 
 
-def test_a_request_that_is_held_back_meanwhile_is_broken_off(
+def test_a_running_request_that_becomes_held_back_is_dropped(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -296,18 +298,18 @@
     assert harness.refusal is not None
     assert harness.refusal.code is Code.TARGET_FAILED
     assert harness.refusal.ran is Ran.MAY_HAVE_RUN
-    # Nothing speaks against a replica that was spared.
+    # The replica has not failed, as it was protected from the request.
     assert not harness.book.get(harness.attempts[0].replica.key).streak
 
 
-def test_a_stream_that_has_begun_goes_on_when_it_is_held_back(
+def test_a_begun_stream_continues_when_it_becomes_held_back(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
         await harness.submit()
         (first,) = harness.attempts
         await harness.deliver_head(first)
-        # The piece waits in the queue when the word comes.
+        # The piece is still queued when the notice arrives.
         first.post(Attempt.Piece(first, StreamEvent(b'id: 1\n\n', 1)))
         harness.quarantine._running.fail_quarantined(first.traits.fingerprint)
         await harness.run_pending()
@@ -319,7 +321,7 @@
     assert harness.answer.end == 'whole'
 
 
-def test_a_request_that_is_held_back_while_it_connects_is_not_written(
+def test_a_request_that_becomes_held_back_while_connecting_is_not_sent(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -335,7 +337,7 @@
     assert harness.refusal is not None
 
 
-def test_a_request_that_is_held_back_is_refused_as_not_run(
+def test_a_held_back_request_is_refused_as_not_run(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -345,7 +347,7 @@
         await harness.deliver_head(first)
         await harness.deliver_events(first, 1)
         await harness.deliver_end(first, is_whole=False)
-        # The stream that had begun is not taken up elsewhere.
+        # The begun stream does not resume elsewhere.
         assert harness.answer.end == 'cut'
         await harness.submit()
 
@@ -356,7 +358,7 @@
     assert harness.refusal.ran is Ran.NOT_RUN
 
 
-def test_an_answer_that_is_whole_clears_the_request(
+def test_a_complete_answer_clears_a_request_of_crashes(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -379,7 +381,7 @@
     assert not harness.quarantine.book.count_crashes(fingerprint)
 
 
-def test_events_without_numbers_are_never_passed_on_twice(
+def test_events_without_numbers_are_never_relayed_twice(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
@@ -399,7 +401,7 @@
     assert harness.answer.end == 'cut'
 
 
-def test_a_plain_answer_to_a_caller_that_resumes_is_never_resumed(
+def test_a_plain_answer_is_not_resumed_even_if_its_caller_resumes(
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a numbered code, and nothing is lost by it."""
+"""Invalid input is refused with a result code and does no damage."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 AUTH = 'authorization: Bearer caller-key'
 
 PROBE_SECONDS = 20.0
-"""A box that stands still under load answers a probe within this time; with
-the short probes of other tests its group does not serve for a moment."""
+"""Seconds in which a box answers a probe even if it stalls under load; with the
+shorter probes of other tests, its group stops serving for a moment."""
 
 
 @pytest.fixture(scope='module')
@@ -34,16 +34,16 @@
 
 
 def send_raw(bench: Bench, raw: str, entry: str = 'entry-1') -> str:
-    """Return everything that comes back for some bytes."""
+    """Send bytes on a new connection and return what is received."""
     port = bench.entries[entry].ports['caller_port']
     with socket.create_connection(('127.0.0.1', port), timeout=10) as caller:
         caller.sendall(raw.encode('latin-1'))
-        got = b''
+        received = b''
         while piece := caller.recv(65536):
-            got += piece
-            if b'\r\n\r\n' in got and b'"retry_after"' in got:
+            received += piece
+            if b'\r\n\r\n' in received and b'"retry_after"' in received:
                 break
-    return got.decode('latin-1')
+    return received.decode('latin-1')
 
 
 @pytest.mark.parametrize(
@@ -73,11 +73,13 @@
         ),
     ],
 )
-def test_raw_input(shared: Bench, raw: str, code: int) -> None:
-    got = send_raw(shared, raw)
-    assert f'"code":{code},' in got
-    assert '"ran":"not_run"' in got
-    # The node is well afterwards.
+def test_invalid_http_is_refused_as_not_run(
+    shared: Bench, raw: str, code: int
+) -> None:
+    answer = send_raw(shared, raw)
+    assert f'"code":{code},' in answer
+    assert '"ran":"not_run"' in answer
+    # The node still serves other requests.
     assert shared.get_caller('entry-1').call('/services/app/x').status == 200
 
 
@@ -95,7 +97,9 @@
         ('waywell-request-id', 'ü', 1008),
     ],
 )
-def test_header(shared: Bench, header: str, text: str, code: int) -> None:
+def test_invalid_header_is_refused_and_named(
+    shared: Bench, header: str, text: str, code: int
+) -> None:
     caller = shared.get_caller('entry-1')
     answer = caller.call('/services/app/x', headers={header: text})
     assert answer.headers['waywell-code'] == str(code)
@@ -103,7 +107,7 @@
 
 
 @pytest.mark.parametrize('chunked', [False, True])
-def test_body_over_the_limit(shared: Bench, chunked: bool) -> None:
+def test_body_over_the_limit_is_refused(shared: Bench, chunked: bool) -> None:
     body = 'x' * 5000
     length = f'content-length: {len(body)}'
     if chunked:
@@ -113,8 +117,8 @@
         f'POST /services/app/x HTTP/1.1\r\nhost: x\r\n{AUTH}\r\n'
         f'{length}\r\n\r\n{body}'
     )
-    got = send_raw(shared, raw, 'small')
-    assert '"code":1004,' in got
+    answer = send_raw(shared, raw, 'small')
+    assert '"code":1004,' in answer
     assert shared.get_caller('small').call('/services/app/x').status == 200
 
 
@@ -124,9 +128,9 @@
         f'{"connection: close" if number == 4 else "x: y"}\r\n\r\n'
         for number in range(5)
     )
-    got = send_raw(shared, raw)
-    places = [got.index(f'"path":"/p{number}"') for number in range(5)]
-    assert places == sorted(places)
+    answer = send_raw(shared, raw)
+    positions = [answer.index(f'"path":"/p{number}"') for number in range(5)]
+    assert positions == sorted(positions)
 
 
 @pytest.mark.parametrize(
@@ -139,7 +143,7 @@
         ('GET', '/v1/boxes?label=nope', None, 422),
     ],
 )
-def test_admin_input(
+def test_invalid_admin_input_is_refused_as_not_run(
     shared: Bench,
     method: str,
     path: str,
@@ -151,7 +155,7 @@
     assert answer.read_json()['ran'] == 'not_run'
 
 
-def test_admin_wants_a_key(shared: Bench) -> None:
+def test_admin_requires_an_operator_key(shared: Bench) -> None:
     admin = shared.get_admin('entry-1')
     admin._key = 'caller-key'
     answer = admin.call('GET', '/v1/status')
@@ -159,12 +163,12 @@
     assert answer.read_json()['code'] == 4006
 
 
-def test_explain_and_filters(shared: Bench) -> None:
+def test_explain_and_label_filters_return_what_matches(shared: Bench) -> None:
     admin = shared.get_admin('entry-1')
     question = {'service': 'llm', 'account': 'desk'}
-    told = admin.call('POST', '/v1/explain', question).read_json()
-    assert told['rules'] == ['all']
-    assert told['groups'][0]['serves']
+    explained = admin.call('POST', '/v1/explain', question).read_json()
+    assert explained['rules'] == ['all']
+    assert explained['groups'][0]['serves']
     nobody = {'service': 'llm', 'account': 'nobody'}
     assert (
         admin.call('POST', '/v1/explain', nobody).read_json()['groups'] == []
@@ -175,7 +179,7 @@
     assert set(entries.read_json()['entries']) == {'account/desk'}
 
 
-def test_metrics_count_requests(shared: Bench) -> None:
+def test_metrics_count_requests_and_contain_no_keys(shared: Bench) -> None:
     caller = shared.get_caller('entry-1')
     caller.call('/services/app/x')
     metrics = shared.get_admin('entry-1').call('GET', '/metrics').body.decode()
--- a/tests/test_lost_hedges.py
+++ b/tests/test_lost_hedges.py
@@ -1,14 +1,9 @@
-"""A replica's wish in answer to an attempt that another one was faster than.
+"""Answers to attempts that lost against a hedge still take effect.
 
-A replica was silent, so a second attempt was made beside the first, and
-answered.  The first was broken off, and its replica's answer, 503 with the wish
-for 1.5 s or 3 s of rest, was read by nobody: the node sent 3 to 11 requests in
-that rest.  The node's log of one of them, 40 ms apart, with no ``rest_asked``:
-
-    event=attempt attempt=1 box=m1 age=0.0
-    event=silent attempt=1 box=m1 age=0.402
-    event=hedged attempt=1 box=m1 age=0.402
-    event=answered attempt=2 box=m3 age=0.447 status=200
+When a hedge answers first, the attempt at the silent replica is dropped.  The
+replica may still answer with 503 and ask for a pause of some seconds.  If the
+head of that answer is not read, the node keeps sending requests during the
+pause: 3 to 11 of them in pauses of 1.5 s and 3 s.
 """
 
 from __future__ import annotations
@@ -25,10 +20,10 @@
     from tests.house import Server
 
 LONG_REST = '600'
-"""Seconds of rest that outlast every test."""
+"""Pause in seconds that is longer than any test."""
 
 REQUESTS = 12
-"""Of which some would go to a replica that is one of two."""
+"""Number of requests of which some would reach either of two replicas."""
 
 
 def read_backpressure(front: Front, node: Process) -> dict[str, Any]:
@@ -38,20 +33,20 @@
 
 
 def lose_hedge(front: Front, node: Process, server: Server) -> None:
-    """Ask until a replica is silent and another one answers in its place."""
+    """Send requests until a hedge answers in place of a silent replica."""
     server.goes_on.clear()
     server.rest_text = LONG_REST
     server.script.append('late-rest')
 
-    def ask() -> bool:
+    def has_sent_rest() -> bool:
         assert front.ask(node, '/stock/1')[0] == 200
         return not server.script
 
-    wait_until(ask, f'a request to {server.name}')
+    wait_until(has_sent_rest, f'a request to {server.name}')
 
 
 @pytest.mark.parametrize('is_leaving', [False, True])
-def test_the_wish_of_a_replica_that_lost_a_hedge_is_kept(
+def test_a_pause_asked_for_by_a_replica_that_lost_a_hedge_is_kept(
     front: Front, is_leaving: bool
 ) -> None:
     node = front.start()
@@ -63,7 +58,7 @@
     kind = 'leaving' if is_leaving else 'resting'
     wait_until(
         lambda: 'a1' in read_backpressure(front, node)[kind],
-        'the wish',
+        'the pause or departure of the replica',
     )
     before = server.arrivals
     for _request in range(REQUESTS):
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Not run means not run; what may not be repeated runs at most once."""
+"""Unrepeatable requests run at most once, and "not run" is always true."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from waywell.standins.harness import Bench
 
-BOOK = '/services/app/consist'
+PATH = '/services/app/consist'
 
 
 def submit(
@@ -33,19 +33,19 @@
     key: str = CALLER_KEY,
     **headers: str,
 ) -> Answer | None:
-    """Submit a request that may not be repeated; ``None`` when cut off."""
+    """Submit an unrepeatable request; ``None`` if the connection breaks."""
     caller = bench.get_caller(entry, key)
     try:
         return caller.call(
-            BOOK,
+            PATH,
             'POST',
             b'{}',
             {
                 'waywell-request-id': request_id,
                 'waywell-repeatable': 'no',
                 **{
-                    key.replace('_', '-'): text
-                    for key, text in headers.items()
+                    name.replace('_', '-'): text
+                    for name, text in headers.items()
                 },
             },
         )
@@ -65,17 +65,17 @@
 
 
 def wait_done(bench: Bench, entry: str, name: str) -> None:
-    """Wait until repeats say "ran"; until then they say "may have run".
+    """Wait until repeats report "ran"; before, they report "may have run".
 
-    The home hears of the end a moment after the caller has its answer.
+    The home node learns the outcome shortly after the caller has its answer.
     """
 
-    def look() -> bool:
+    def is_settled() -> bool:
         code = get_code(submit(bench, entry, name))
         assert code in {('3005', 'may_have_run'), ('3006', 'ran')}
         return code == ('3006', 'ran')
 
-    wait_until(look, f'{name} to be settled')
+    wait_until(is_settled, f'{name} to be settled')
 
 
 def start_submitting(
@@ -84,19 +84,21 @@
     request_id: str,
     **headers: str,
 ) -> tuple[threading.Thread, list[Any]]:
-    """Submit from a thread; return it and where the answer goes."""
+    """Submit in a thread; return the thread and the list of its answers."""
     answers: list[Any] = []
 
-    def work() -> None:
+    def submit_once() -> None:
         answers.append(submit(bench, entry, request_id, **headers))
 
-    thread = threading.Thread(target=work)
+    thread = threading.Thread(target=submit_once)
     thread.start()
     return thread, answers
 
 
 @pytest.mark.parametrize('entry', ['entry-1', 'entry-2'])
-def test_repeat_at_any_entry_says_that_it_ran(pair: Bench, entry: str) -> None:
+def test_repeat_at_any_entry_reports_that_it_ran(
+    pair: Bench, entry: str
+) -> None:
     name = get_prefix(pair, 'entry-1') + 'a'
     first = submit(pair, 'entry-1', name)
     assert first is not None
@@ -105,7 +107,7 @@
     assert count_runs(pair)[name] == 1
 
 
-def test_two_entries_at_once_run_it_once(pair: Bench) -> None:
+def test_simultaneous_submissions_at_two_entries_run_once(pair: Bench) -> None:
     pair.set_target_faults('app-1', slow=0.3)
     prefix = get_prefix(pair, 'entry-2')
     names = [f'{prefix}{number}' for number in range(10)]
@@ -122,7 +124,7 @@
 
 
 def test_without_claims_a_repeat_runs_twice(bench: Bench) -> None:
-    """The proofs here can fail."""
+    """Check that the tests of this module detect repeated runs."""
     bench.start_entry('entry-1', timing=QUICK, switch='claim_nothing')
     bench.start_box(BoxSpec('app-1', fenced=False, labels={'pool': 'app'}))
     bench.apply('entry-1', make_configuration())
@@ -133,7 +135,9 @@
     assert find_repeated(bench, {name}) == [name]
 
 
-def test_killed_during_the_run(pair: Bench) -> None:
+def test_entry_killed_during_the_run_leaves_an_unknown_outcome(
+    pair: Bench,
+) -> None:
     pair.set_target_faults('app-1', slow=1.0)
     for home, submitter in (('entry-2', 'entry-1'), ('entry-1', 'entry-1')):
         if (
@@ -167,7 +171,9 @@
     return answer if code == '3004' else None
 
 
-def test_home_that_came_back_does_not_run_old_ids(pair: Bench) -> None:
+def test_restarted_home_does_not_run_ids_of_its_earlier_incarnation(
+    pair: Bench,
+) -> None:
     name = get_prefix(pair, 'entry-1') + 'x'
     submit(pair, 'entry-1', name)
     pair.entries['entry-1'].kill()
@@ -178,15 +184,15 @@
     assert count_runs(pair)[name] == 1
 
 
-def test_frozen_home_holds_back_no_answer(pair: Bench) -> None:
-    """The answer to a run goes out though the home can't be told."""
+def test_frozen_home_does_not_delay_the_answer(pair: Bench) -> None:
+    """The answer is relayed although the home node can't be told."""
     pair.set_target_faults('app-1', slow=0.4)
     name = get_prefix(pair, 'entry-2') + 'h'
     thread, answers = start_submitting(pair, 'entry-1', name)
     wait_until(lambda: count_runs(pair)[name], 'the run to begin')
     pair.entries['entry-2'].send_signal(signal.SIGSTOP)
     thread.join()
-    # The log line of the request is written when all is done with it.
+    # The request's log line is written when its processing has ended.
     log = pair.entries['entry-1'].log
     wait_until(lambda: name in log.read_text(), 'the request to end')
     frozen = pair.entries['entry-2'].is_stopped()
@@ -195,7 +201,9 @@
     assert answers[0].status == 200
 
 
-def test_platform_down_serves_issued_ids_and_no_others(pair: Bench) -> None:
+def test_platform_outage_affects_only_ids_that_callers_made(
+    pair: Bench,
+) -> None:
     pair.set_platform_faults(outage=True)
     name = get_prefix(pair, 'entry-1') + 'd'
     first = submit(pair, 'entry-2', name)
@@ -208,7 +216,9 @@
     assert count_runs(pair)[name] == 1
 
 
-def test_own_ids_run_once_by_a_claim_in_the_platform(pair: Bench) -> None:
+def test_ids_that_callers_made_are_claimed_in_the_platform(
+    pair: Bench,
+) -> None:
     pair.set_platform_faults(lose_answers=1)
     first = submit(pair, 'entry-1', 'own-1')
     assert first is not None
@@ -217,7 +227,7 @@
     assert count_runs(pair)['own-1'] == 1
 
 
-def test_target_that_closes_after_reading(pair: Bench) -> None:
+def test_target_that_closes_after_reading_may_have_run(pair: Bench) -> None:
     pair.set_target_faults('app-1', close_after_read=True)
     name = get_prefix(pair, 'entry-1') + 'c'
     assert get_code(submit(pair, 'entry-1', name)) == ('3002', 'may_have_run')
@@ -227,7 +237,7 @@
 
 
 def test_refused_as_not_run_never_runs(pair: Bench) -> None:
-    """A refused id stays refused, also when a group is there again."""
+    """A refused id stays refused even after a group serves again."""
     pair.targets['app-1'].kill()
     prefix = get_prefix(pair, 'entry-1')
     refusals = []
@@ -245,19 +255,19 @@
     assert find_false_refusals(pair, refusals) == []
 
 
-def test_deadline_passed_while_it_runs(pair: Bench) -> None:
+def test_deadline_that_passes_during_the_run_may_have_run(pair: Bench) -> None:
     pair.set_target_faults('app-1', slow=2.0)
     name = get_prefix(pair, 'entry-1') + 'l'
     began_at = time.monotonic()
     answer = submit(pair, 'entry-1', name, waywell_deadline='0.3')
     assert get_code(answer) == ('2005', 'may_have_run')
-    # Not held back until the target is done.
+    # The answer does not wait for the target.
     assert time.monotonic() - began_at < 2.0
     assert get_code(submit(pair, 'entry-2', name)) == ('3004', 'may_have_run')
     assert count_runs(pair)[name] == 1
 
 
-def test_other_account_gains_nothing_by_an_id(bench: Bench) -> None:
+def test_equal_ids_of_two_accounts_are_separate(bench: Bench) -> None:
     bench.start_box(BoxSpec('app-1', fenced=False, labels={'pool': 'app'}))
     bench.start_entry('entry-1', timing=QUICK)
     accounts = [
@@ -272,20 +282,24 @@
     wait_done(bench, 'entry-1', name)
 
 
-def test_frozen_before_the_write_sends_nothing_late(bench: Bench) -> None:
-    """An entry box frozen between decision and write checks once more."""
+def test_entry_frozen_before_the_write_sends_nothing_late(
+    bench: Bench,
+) -> None:
+    """An entry box frozen between decision and write checks the deadline."""
     late = run_frozen(bench, 'pause_before_write')
     assert late == ('2005', 'not_run', 0)
 
 
-def test_without_the_check_it_sends_late(bench: Bench) -> None:
-    """The proof above can fail: without the last check it runs late."""
+def test_without_the_check_before_the_write_a_late_run_is_detected(
+    bench: Bench,
+) -> None:
+    """Check that the test above detects a run after the deadline."""
     late = run_frozen(bench, 'pause_before_write_unchecked')
     assert late[2] == 1
 
 
 def run_frozen(bench: Bench, switch: str) -> tuple[str, str, int]:
-    """Freeze an entry box right before its write, past the deadline."""
+    """Freeze an entry box right before its write until the deadline passed."""
     bench.start_box(BoxSpec('app-1', fenced=False, labels={'pool': 'app'}))
     bench.start_entry('entry-1', timing=QUICK, switch=switch)
     bench.apply('entry-1', make_configuration())
@@ -302,7 +316,7 @@
     time.sleep(0.6)
     process.send_signal(signal.SIGCONT)
     thread.join()
-    # A run under way is seen by the next probe at the latest.
+    # A run that has begun is recorded by the end of this request.
     bench.get_caller('entry-1').call('/services/app/price')
     code, ran = get_code(answers[0]) if answers[0].status != 200 else ('0', '')
     return code, ran, count_runs(bench)[name]
--- a/tests/test_truncated_answers.py
+++ b/tests/test_truncated_answers.py
@@ -1,4 +1,4 @@
-"""Answers that break off never look complete, in whichever framing."""
+"""Truncated answers never pass as complete, whatever their framing."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     from collections.abc import Iterator
 
 EVENT = len(WHOLE) // EVENTS
-"""Bytes of each event."""
+"""Size of each event, in bytes."""
 
 PLAIN = b'the whole answer'
 
-PATIENT = {
+NO_HEDGE_TIMES = {
     'latency_goal_ms': 60_000,
     'gap_goal_ms': 60_000,
     'timeout_ms': 20_000,
 }
-"""Times of a route whose attempts are never hedged."""
+"""Goals and timeout of a route whose attempts are never hedged."""
 
 REPLICAS = 2
-"""Groups that serve streams; each is tried once."""
+"""Number of groups that serve streams; each is tried once."""
 
 _numbers = itertools.count(1)
 
@@ -44,37 +44,38 @@
     'in_the_end_of_an_event': 3 * EVENT - 1,
     'in_the_last_line_end': len(WHOLE) - 1,
 }
-"""Bytes that are sent of a stream that ends within an event."""
+"""Numbers of bytes after which a stream ends within an event."""
 
 BETWEEN_EVENTS = {'before_the_first': 0, 'after_the_third': 3 * EVENT}
-"""Bytes that are sent of a stream that ends between two events."""
+"""Numbers of bytes after which a stream ends between two events."""
 
 ALL_ENDS = list(itertools.product(Framing, Ending))
 
-SEEN_ENDS = [
+DETECTABLE_ENDS = [
     (framing, ending)
     for framing, ending in ALL_ENDS
     if ending is Ending.RESET
     or (ending is Ending.CLOSE and framing is not Framing.CLOSE)
 ]
-"""Ends that no whole body has."""
+"""Combinations that never occur with a complete body."""
 
-WHOLE_ENDS = [
+COMPLETE_ENDS = [
     *((framing, Ending.ANNOUNCED) for framing in Framing),
     (Framing.CLOSE, Ending.CLOSE),
 ]
 
 
 def make_routes() -> dict[str, Any]:
-    """Return routes without hedges, and one with them.
+    """Return routes without hedges, and one route with hedges.
 
-    A hedge takes a send and a script from the attempt that a test is about.
+    A hedge would use up a send and a script that a test has set up for another
+    attempt.
     """
     manifest = make_manifest()
     streams = manifest['routes'][0]
     hedged = {**streams, 'name': 'hedged', 'path_prefix': '/hedged/'}
     for route in manifest['routes']:
-        route.update(PATIENT)
+        route.update(NO_HEDGE_TIMES)
     once = {'name': 'once', 'path_prefix': '/once/', 'resumable': False}
     manifest['routes'] += [hedged, {**streams, **once}]
     return manifest
@@ -95,7 +96,7 @@
 
 @pytest.fixture
 def served(running: tuple[Front, Process]) -> tuple[Front, Process]:
-    """Give a node and servers that nothing has been asked of yet."""
+    """Return a node and servers without scripts or recorded runs."""
     front, _process = running
     for server in front.servers.values():
         server.script = deque()
@@ -105,7 +106,7 @@
 
 
 def script_next(front: Front, *scripts: BodyScript | str) -> None:
-    """Let the next servers that are asked answer so, whichever they are."""
+    """Set the next answers, whichever servers receive the requests."""
     shared = deque(scripts)
     for server in front.servers.values():
         server.script = shared
@@ -114,7 +115,7 @@
 def ask_stream(
     front: Front, process: Process, route: str = 'notes'
 ) -> bytes | None:
-    """Return the body of a stream; ``None`` where it is seen to break off."""
+    """Return the body of a stream; ``None`` if the caller sees it fail."""
     path = f'/{route}/{next(_numbers)}'
     try:
         status, body, answer = front.ask(process, path, model='small')
@@ -127,29 +128,29 @@
 
 
 @pytest.mark.parametrize(('framing', 'ending'), ALL_ENDS)
-def test_a_stream_that_ends_within_an_event_goes_on_elsewhere(
+def test_a_stream_that_ends_within_an_event_resumes_elsewhere(
     served: tuple[Front, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
-    for where, sent in WITHIN_EVENT.items():
+    for position, sent in WITHIN_EVENT.items():
         script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
-        assert (where, ask_stream(front, process)) == (where, WHOLE)
+        assert (position, ask_stream(front, process)) == (position, WHOLE)
         assert len(front.list_runs(*front.servers)) == 2
         for server in front.servers.values():
             server.runs.clear()
 
 
-@pytest.mark.parametrize(('framing', 'ending'), SEEN_ENDS)
-def test_a_stream_that_ends_between_events_goes_on_elsewhere(
+@pytest.mark.parametrize(('framing', 'ending'), DETECTABLE_ENDS)
+def test_a_stream_that_ends_between_events_resumes_elsewhere(
     served: tuple[Front, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
-    for where, sent in BETWEEN_EVENTS.items():
+    for position, sent in BETWEEN_EVENTS.items():
         script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
-        assert (where, ask_stream(front, process)) == (where, WHOLE)
+        assert (position, ask_stream(front, process)) == (position, WHOLE)
 
 
-def test_a_closed_stream_without_an_event_goes_on_elsewhere(
+def test_a_closed_stream_without_an_event_is_retried_elsewhere(
     served: tuple[Front, Process],
 ) -> None:
     front, process = served
@@ -158,21 +159,24 @@
 
 
 @pytest.mark.parametrize(('framing', 'ending'), ALL_ENDS)
-def test_a_stream_that_ends_within_an_event_breaks_off_for_its_caller(
+def test_a_truncated_stream_that_may_not_run_again_fails_at_its_caller(
     served: tuple[Front, Process], framing: Framing, ending: Ending
 ) -> None:
-    """It may not run again, so its caller has to see the cut."""
+    """No other replica may continue the stream, so the caller must see it."""
     front, process = served
-    for where, sent in WITHIN_EVENT.items():
+    for position, sent in WITHIN_EVENT.items():
         script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
-        assert (where, ask_stream(front, process, 'once')) == (where, None)
+        assert (position, ask_stream(front, process, 'once')) == (
+            position,
+            None,
+        )
         assert len(front.list_runs(*front.servers)) == 1
         for server in front.servers.values():
             server.runs.clear()
 
 
-@pytest.mark.parametrize(('framing', 'ending'), WHOLE_ENDS)
-def test_whole_answers_pass_in_each_framing(
+@pytest.mark.parametrize(('framing', 'ending'), COMPLETE_ENDS)
+def test_complete_answers_are_relayed_in_each_framing(
     served: tuple[Front, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
@@ -180,12 +184,12 @@
     assert ask_stream(front, process) == WHOLE
     script_next(front, BodyScript(framing, ending, PLAIN, 'text/plain'))
     assert front.ask(process, '/match/1')[:2] == (200, PLAIN)
-    # Each ran once: none was taken for broken off.
+    # Each ran once, so none was taken for truncated.
     assert len(front.list_runs(*front.servers)) == 2
 
 
-@pytest.mark.parametrize(('framing', 'ending'), SEEN_ENDS)
-def test_a_plain_answer_that_breaks_off_is_asked_for_again(
+@pytest.mark.parametrize(('framing', 'ending'), DETECTABLE_ENDS)
+def test_a_truncated_plain_answer_is_retried(
     served: tuple[Front, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
@@ -193,7 +197,7 @@
     assert front.ask(process, '/stock/1')[:2] == (200, PLAIN)
 
 
-def test_a_stream_that_breaks_at_each_replica_is_seen(
+def test_a_stream_that_is_truncated_by_each_replica_fails_at_its_caller(
     served: tuple[Front, Process],
 ) -> None:
     front, process = served
@@ -209,7 +213,7 @@
     assert len(front.list_runs(*front.servers)) == len(parts)
 
 
-def test_a_second_attempt_beside_a_silent_one_that_breaks_off_is_seen(
+def test_a_truncated_hedge_of_a_silent_attempt_fails_at_its_caller(
     served: tuple[Front, Process],
 ) -> None:
     front, process = served
@@ -222,7 +226,7 @@
 
 
 @pytest.mark.parametrize('line_end', [b'\r\n', b'\r'], ids=['crlf', 'cr'])
-def test_streams_with_other_line_ends_are_told_apart_from_broken_ones(
+def test_truncation_is_detected_with_other_line_ends(
     served: tuple[Front, Process], line_end: bytes
 ) -> None:
     front, process = served
@@ -237,9 +241,9 @@
 
 
 def open_stream(
-    attempt: str, line: http.client.HTTPConnection
+    attempt: str, connection: http.client.HTTPConnection
 ) -> http.client.HTTPResponse:
-    """Ask for a stream that may run once, and return its head."""
+    """Request a stream that may run once, and return its head."""
     headers = {
         'Host': HOST,
         'Authorization': f'Bearer {KEY}',
@@ -247,23 +251,23 @@
         'X-Token-Count': '100,30',
         'X-Request-Attempt-Id': attempt,
     }
-    line.request('POST', f'/once/{attempt}', b'{}', headers)
-    return line.getresponse()
+    connection.request('POST', f'/once/{attempt}', b'{}', headers)
+    return connection.getresponse()
 
 
 @pytest.fixture
-def line(
+def connection(
     running: tuple[Front, Process],
 ) -> Iterator[http.client.HTTPConnection]:
-    """Give a connection of a caller."""
+    """Return a connection of a caller to the node."""
     port = running[1].ports['caller_port']
     made = http.client.HTTPConnection('127.0.0.1', port, CALL_SECONDS)
     yield made
     made.close()
 
 
-def test_events_with_other_line_ends_pass_as_they_come(
-    served: tuple[Front, Process], line: http.client.HTTPConnection
+def test_events_with_other_line_ends_are_relayed_as_they_arrive(
+    served: tuple[Front, Process], connection: http.client.HTTPConnection
 ) -> None:
     front, process = served
     whole = WHOLE.replace(b'\n', b'\r\n')
@@ -272,12 +276,12 @@
         Framing.CHUNKED, Ending.ANNOUNCED, whole, pause_after=first
     )
     script_next(front, script)
-    answer = open_stream('held', line)
+    answer = open_stream('held', connection)
     assert answer.read(first) == whole[:first]
     script.resume.set()
 
 
-def test_the_type_of_a_stream_is_told_without_regard_to_case(
+def test_the_content_type_of_a_stream_is_case_insensitive(
     served: tuple[Front, Process],
 ) -> None:
     front, process = served
@@ -291,7 +295,7 @@
     assert ask_stream(front, process) == WHOLE
 
 
-def test_comments_are_no_unfinished_event(
+def test_comments_do_not_count_as_an_unfinished_event(
     served: tuple[Front, Process],
 ) -> None:
     front, process = served
@@ -301,7 +305,7 @@
 
 
 @pytest.mark.parametrize('body', [b': ping\n\n', b'\n\n'])
-def test_a_closed_stream_of_comments_breaks_off_for_its_caller(
+def test_a_closed_stream_of_comments_only_fails_at_its_caller(
     served: tuple[Front, Process], body: bytes
 ) -> None:
     front, process = served
@@ -309,8 +313,8 @@
     assert ask_stream(front, process, 'once') is None
 
 
-@pytest.mark.parametrize(('framing', 'ending'), WHOLE_ENDS)
-def test_whole_compressed_streams_pass(
+@pytest.mark.parametrize(('framing', 'ending'), COMPLETE_ENDS)
+def test_complete_compressed_streams_are_relayed(
     served: tuple[Front, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
@@ -320,25 +324,25 @@
     assert len(front.list_runs(*front.servers)) == 1
 
 
-def test_a_caller_on_a_kept_connection_sees_the_cut(
-    served: tuple[Front, Process], line: http.client.HTTPConnection
+def test_a_caller_on_a_persistent_connection_sees_the_truncation(
+    served: tuple[Front, Process], connection: http.client.HTTPConnection
 ) -> None:
     front, process = served
-    answer = open_stream('kept-1', line)
+    answer = open_stream('kept-1', connection)
     assert answer.read() == WHOLE
     assert not answer.will_close
     script_next(
         front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE[: EVENT + 3])
     )
     with pytest.raises(http.client.IncompleteRead) as broken:
-        open_stream('kept-2', line).read()
+        open_stream('kept-2', connection).read()
     assert broken.value.partial == WHOLE[:EVENT]
 
 
-def test_a_slow_caller_sees_the_cut(
-    served: tuple[Front, Process], line: http.client.HTTPConnection
+def test_a_slow_caller_sees_the_truncation(
+    served: tuple[Front, Process], connection: http.client.HTTPConnection
 ) -> None:
-    """The end comes while the replica is read no further."""
+    """The body ends while reading from the replica is paused."""
     front, process = served
     padded = [
         b'id: %d\ndata: %s\n\n' % (number, b'x' * 40_000)
@@ -346,15 +350,15 @@
     ]
     body = b''.join(padded) + b'id: 200\nda'
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, body))
-    answer = open_stream('slow', line)
-    # So that the node's buffers and its reader fill up.
+    answer = open_stream('slow', connection)
+    # Lets the buffers of the node fill up, so that it pauses its reader.
     threading.Event().wait(0.3)
     with pytest.raises(http.client.IncompleteRead) as broken:
         answer.read()
     assert body.startswith(broken.value.partial)
 
 
-def test_an_answer_without_a_length_is_no_crash(
+def test_an_answer_without_a_length_does_not_count_as_a_crash(
     served: tuple[Front, Process],
 ) -> None:
     front, process = served
@@ -363,22 +367,22 @@
     for _request in range(4):
         script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE))
         assert ask_stream(front, process) == WHOLE
-    said = log.read_bytes()[before:]
-    assert said.count(b'event=answered') == 4
-    assert b'event=replica_ended' not in said
-    assert b'event=truncated' not in said
+    logged = log.read_bytes()[before:]
+    assert logged.count(b'event=answered') == 4
+    assert b'event=replica_ended' not in logged
+    assert b'event=truncated' not in logged
 
 
 @pytest.fixture
 def through_peer(front: Front) -> Iterator[tuple[Front, Process]]:
-    """Give a node that reaches replicas through a peer only."""
+    """Return a node that reaches replicas only through a peer."""
     front.store.put('config', 'main', make_routes())
     paths = ReplicaPaths(front)
     cut = front.start('front-3', paths.store, 'hall-b')
     front.wait_serving(cut)
     front.wait_serving(front.start('front-1'))
     wait_until(
-        lambda: front.ask(cut, '/stock/1')[0] == 200, 'a way to replicas'
+        lambda: front.ask(cut, '/stock/1')[0] == 200, 'a link to replicas'
     )
     paths.cut(Cut.RESET)
     log = front.folder / 'front-3.log'
@@ -387,13 +391,13 @@
         front.ask(cut, '/notes/1', model='small')
         return 'event=partition_detected' in log.read_text()
 
-    wait_until(is_forwarded, 'requests that go through the peer')
+    wait_until(is_forwarded, 'requests that are forwarded through the peer')
     yield front, cut
     paths.close()
 
 
 @pytest.mark.parametrize('framing', Framing)
-def test_a_cut_behind_a_peer_is_seen(
+def test_a_truncation_behind_a_peer_fails_at_the_caller(
     through_peer: tuple[Front, Process], framing: Framing
 ) -> None:
     front, cut = through_peer
--- a/waywell/request/request_attempts.py
+++ b/waywell/request/request_attempts.py
@@ -174,7 +174,7 @@
         destination.book.get(destination.key).heard_at = now
 
     def record_silence(self, now: float) -> None:
-        """Record a failure of replicas that are silent on all requests."""
+        """Record replicas that are silent on all requests as failed."""
         for attempt in self.running:
             destination = attempt.destination
             book, key = destination.book, destination.key
