--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -71,10 +71,10 @@
         self.body += raw
 
     def finish(self) -> None:
-        self.end = 'whole'
+        self.end = 'complete'
 
     def abort(self) -> None:
-        self.end = 'cut'
+        self.end = 'aborted'
 
 
 class FakeWire:
--- a/tests/test_answer_times.py
+++ b/tests/test_answer_times.py
@@ -102,7 +102,7 @@
         await harness.deliver_head(first)
         harness.clock.now += 0.5
         await harness.deliver_end(first)
-        assert harness.answer.end == 'whole'
+        assert harness.answer.end == 'complete'
         harness.forwarder.start_draining(harness.clock.now + 2.0)
         harness.attempts.clear()
         await harness.submit()
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -118,13 +118,13 @@
 
 
 def list_accepted_cuts(
-    bench: Bench, scripted: ScriptedTarget, whole: bytes
+    bench: Bench, scripted: ScriptedTarget, complete: bytes
 ) -> list[int]:
     """Return the lengths at which a truncated answer passed as complete."""
     caller = bench.get_caller('entry-1')
     accepted = []
-    for position in range(len(whole)):
-        scripted.raw = whole[:position]
+    for position in range(len(complete)):
+        scripted.raw = complete[:position]
         try:
             answer = caller.call(
                 '/services/llm/v1/chat',
@@ -136,26 +136,26 @@
             continue
         if answer.status == 200 and answer.body != BODY:
             accepted.append(position)
-        if answer.status == 200 and whole is not CLOSED:
+        if answer.status == 200 and complete is not CLOSED:
             accepted.append(position)
-    assert scripted.requests == len(whole)
+    assert scripted.requests == len(complete)
     return accepted
 
 
 @pytest.mark.parametrize(
-    'whole',
+    'complete',
     [SIZED, CHUNKED, CLOSED],
     ids=['sized', 'chunked', 'closed'],
 )
 def test_answer_truncated_at_any_byte_never_passes_as_complete(
     bench: Bench,
     scripted: ScriptedTarget,
-    whole: bytes,
+    complete: bytes,
 ) -> None:
     start_scripted(bench, scripted)
-    assert list_accepted_cuts(bench, scripted, whole) == []
-    if whole is not CLOSED:
-        scripted.raw = whole
+    assert list_accepted_cuts(bench, scripted, complete) == []
+    if complete is not CLOSED:
+        scripted.raw = complete
         answer = bench.get_caller('entry-1').call('/services/llm/x', 'POST')
         assert answer.body == BODY
 
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -266,4 +266,4 @@
 
     asyncio.run(play())
     assert len(harness.attempts) == 1
-    assert harness.answer.end == 'cut'
+    assert harness.answer.end == 'aborted'
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -77,7 +77,7 @@
         await partitioned.deliver_head(attempt)
         await partitioned.deliver_events(attempt, 1, 2)
         await partitioned.deliver_end(attempt)
-        assert partitioned.answer.end == 'whole'
+        assert partitioned.answer.end == 'complete'
         assert name_peers(partitioned) == ['b']
 
     run(scenario)
@@ -94,7 +94,7 @@
         await partitioned.deliver_head(partitioned.attempts[1])
         await partitioned.deliver_events(partitioned.attempts[1], 1)
         await partitioned.deliver_end(partitioned.attempts[1])
-        assert partitioned.answer.end == 'whole'
+        assert partitioned.answer.end == 'complete'
         assert name_peers(partitioned) == ['b', 'c']
 
     run(scenario)
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -42,7 +42,7 @@
 
     asyncio.run(scenario())
     assert list_numbers(harness.answer.body) == [1, 2, 3, 4, 5]
-    assert harness.answer.end == 'whole'
+    assert harness.answer.end == 'complete'
 
 
 def test_a_hedge_continues_the_stream_of_a_silent_attempt(
@@ -64,7 +64,7 @@
 
     asyncio.run(scenario())
     assert list_numbers(harness.answer.body) == [1, 2, 3, 4]
-    assert harness.answer.end == 'whole'
+    assert harness.answer.end == 'complete'
 
 
 def test_an_answer_with_a_skipped_event_is_never_relayed(
@@ -80,7 +80,7 @@
 
     asyncio.run(scenario())
     assert list_numbers(harness.answer.body) == [1, 2]
-    assert harness.answer.end == 'cut'
+    assert harness.answer.end == 'aborted'
 
 
 def test_an_error_answer_never_continues_a_begun_answer(
@@ -100,7 +100,7 @@
 
     asyncio.run(scenario())
     assert harness.answer.body == b'id: 1\n\nid: 2\n\n'
-    assert harness.answer.end == 'cut'
+    assert harness.answer.end == 'aborted'
 
 
 def test_messages_of_a_dropped_attempt_are_ignored(
@@ -121,7 +121,7 @@
     asyncio.run(scenario())
     assert len(harness.attempts) == 2
     assert list_numbers(harness.answer.body) == [1, 2]
-    assert harness.answer.end == 'whole'
+    assert harness.answer.end == 'complete'
     assert harness.book.get(harness.attempts[0].replica.key).streak == 1
 
 
@@ -207,7 +207,7 @@
         await task
 
     asyncio.run(scenario())
-    assert harness.answer.end == 'whole'
+    assert harness.answer.end == 'complete'
     assert list_numbers(harness.answer.body) == [0, 1, 2, 3]
 
 
@@ -248,7 +248,7 @@
 
     asyncio.run(scenario())
     assert len(harness.attempts) == 1
-    assert harness.answer.end == 'whole'
+    assert harness.answer.end == 'complete'
 
 
 async def record_three_crashes(harness: ForwarderHarness) -> None:
@@ -318,7 +318,7 @@
 
     asyncio.run(scenario())
     assert list_numbers(harness.answer.body) == [1, 2]
-    assert harness.answer.end == 'whole'
+    assert harness.answer.end == 'complete'
 
 
 def test_a_request_that_becomes_held_back_while_connecting_is_not_sent(
@@ -348,7 +348,7 @@
         await harness.deliver_events(first, 1)
         await harness.deliver_end(first, is_whole=False)
         # The begun stream does not resume elsewhere.
-        assert harness.answer.end == 'cut'
+        assert harness.answer.end == 'aborted'
         await harness.submit()
 
     asyncio.run(scenario())
@@ -398,7 +398,7 @@
 
     asyncio.run(scenario())
     assert harness.answer.body == b'data: a\n\n'
-    assert harness.answer.end == 'cut'
+    assert harness.answer.end == 'aborted'
 
 
 def test_a_plain_answer_is_not_resumed_even_if_its_caller_resumes(
@@ -415,4 +415,4 @@
 
     asyncio.run(scenario())
     assert harness.answer.body == b'part'
-    assert harness.answer.end == 'cut'
+    assert harness.answer.end == 'aborted'
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -85,5 +85,5 @@
         await task
 
     asyncio.run(play())
-    assert harness.answer.end == 'whole'
+    assert harness.answer.end == 'complete'
     assert len(harness.attempts) == 1
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -154,11 +154,11 @@
         pair.entries[submitter].kill()
         thread.join()
         assert answers == [None]
-        again = wait_until(
+        repeat = wait_until(
             lambda name=name: _submit_until_unknown(pair, name),
             'the outcome to be unknown',
         )
-        assert get_code(again) == ('3004', 'may_have_run')
+        assert get_code(repeat) == ('3004', 'may_have_run')
         assert count_runs(pair)[name] == 1
 
 
@@ -179,8 +179,8 @@
     pair.entries['entry-1'].kill()
     pair.start_entry('entry-1', timing=QUICK)
     pair.wait_serving('entry-1', 'app-main', 1)
-    again = submit(pair, 'entry-1', name)
-    assert get_code(again)[1] == 'may_have_run'
+    repeat = submit(pair, 'entry-1', name)
+    assert get_code(repeat)[1] == 'may_have_run'
     assert count_runs(pair)[name] == 1
 
 
@@ -249,8 +249,8 @@
     pair.wait_serving('entry-2', 'app-main', 1)
     for refusal in refusals:
         if refusal['ran'] == 'not_run':
-            again = submit(pair, 'entry-2', refusal['request'])
-            assert get_code(again) == ('3007', 'not_run')
+            repeat = submit(pair, 'entry-2', refusal['request'])
+            assert get_code(repeat) == ('3007', 'not_run')
     assert {refusal['ran'] for refusal in refusals} == {'not_run'}
     assert find_false_refusals(pair, refusals) == []
 
--- a/tests/test_truncated_answers.py
+++ b/tests/test_truncated_answers.py
@@ -230,11 +230,13 @@
     served: tuple[Front, Process], line_end: bytes
 ) -> None:
     front, process = served
-    whole = WHOLE.replace(b'\n', line_end)
-    script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, whole))
-    assert ask_stream(front, process) == whole
-    sent = 2 * len(whole) // EVENTS + 5
-    script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, whole[:sent]))
+    complete = WHOLE.replace(b'\n', line_end)
+    script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, complete))
+    assert ask_stream(front, process) == complete
+    sent = 2 * len(complete) // EVENTS + 5
+    script_next(
+        front, BodyScript(Framing.CLOSE, Ending.CLOSE, complete[:sent])
+    )
     resumed = ask_stream(front, process)
     assert resumed is not None
     assert resumed.replace(line_end, b'\n') == WHOLE
@@ -270,14 +272,14 @@
     served: tuple[Front, Process], connection: http.client.HTTPConnection
 ) -> None:
     front, process = served
-    whole = WHOLE.replace(b'\n', b'\r\n')
-    first = len(whole) // EVENTS
+    complete = WHOLE.replace(b'\n', b'\r\n')
+    first = len(complete) // EVENTS
     script = BodyScript(
-        Framing.CHUNKED, Ending.ANNOUNCED, whole, pause_after=first
+        Framing.CHUNKED, Ending.ANNOUNCED, complete, pause_after=first
     )
     script_next(front, script)
     answer = open_stream('held', connection)
-    assert answer.read(first) == whole[:first]
+    assert answer.read(first) == complete[:first]
     script.resume.set()
 
 
@@ -378,21 +380,22 @@
     """Return a node that reaches replicas only through a peer."""
     front.store.put('config', 'main', make_routes())
     paths = ReplicaPaths(front)
-    cut = front.start('front-3', paths.store, 'hall-b')
-    front.wait_serving(cut)
+    partitioned = front.start('front-3', paths.store, 'hall-b')
+    front.wait_serving(partitioned)
     front.wait_serving(front.start('front-1'))
     wait_until(
-        lambda: front.ask(cut, '/stock/1')[0] == 200, 'a link to replicas'
+        lambda: front.ask(partitioned, '/stock/1')[0] == 200,
+        'a link to replicas',
     )
     paths.cut(Cut.RESET)
     log = front.folder / 'front-3.log'
 
     def is_forwarded() -> bool:
-        front.ask(cut, '/notes/1', model='small')
+        front.ask(partitioned, '/notes/1', model='small')
         return 'event=partition_detected' in log.read_text()
 
     wait_until(is_forwarded, 'requests that are forwarded through the peer')
-    yield front, cut
+    yield front, partitioned
     paths.close()
 
 
@@ -400,9 +403,9 @@
 def test_a_truncation_behind_a_peer_fails_at_the_caller(
     through_peer: tuple[Front, Process], framing: Framing
 ) -> None:
-    front, cut = through_peer
+    front, partitioned = through_peer
     script = BodyScript(framing, Ending.CLOSE, WHOLE[: 2 * EVENT + 3])
     script_next(front, *(script for _send in range(9)))
-    assert ask_stream(front, cut) is None
+    assert ask_stream(front, partitioned) is None
     script_next(front)
-    assert ask_stream(front, cut) == WHOLE
+    assert ask_stream(front, partitioned) == WHOLE
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -45,7 +45,9 @@
         """
         self._node_ends_at = ends_at
 
-    async def serve(self, ask: DecodedRequest, answer: AnswerWriter) -> None:
+    async def serve(
+        self, request: DecodedRequest, answer: AnswerWriter
+    ) -> None:
         """Serve a request until its answer has ended.
 
         Raises
@@ -53,10 +55,10 @@
         Refusal
             If no part of an answer was sent to the caller.
         """
-        context = self._resolve(ask)
+        context = self._resolve(request)
         self._dependencies.guard.check(context.traits, context.arrived_at)
         self._check_node_end(context)
-        if ask.forwarded is None:
+        if request.forwarded is None:
             # A forwarded request counts at the node that received it first.
             self._dependencies.budget.note_request(
                 context.service, context.arrived_at
@@ -74,15 +76,15 @@
         ):
             raise Refusal(Code.NODE_LEAVING, retry_after=0)
 
-    def _resolve(self, ask: DecodedRequest) -> RequestContext:
+    def _resolve(self, request: DecodedRequest) -> RequestContext:
         """Resolve the route, client account and service of a request."""
         now = self._dependencies.clock.read()
         outlook = self._dependencies.outlook
         outlook.check_routes(now)
-        route = outlook.index.find_route(ask.host, ask.path)
+        route = outlook.index.find_route(request.host, request.path)
         if route is None:
             raise Refusal(Code.NO_ROUTE)
-        holder = self._find_holder(ask, route, now)
+        holder = self._find_holder(request, route, now)
         name = route.pick_service(self._dependencies.draw())
         service = None if name is None else outlook.index.find_service(name)
         if service is None:
@@ -95,10 +97,10 @@
                 ),
             )
         seconds = route.timeout
-        if ask.timeout_seconds is not None:
-            seconds = min(seconds, ask.timeout_seconds)
+        if request.timeout_seconds is not None:
+            seconds = min(seconds, request.timeout_seconds)
         return RequestContext(
-            ask,
+            request,
             route,
             service.name,
             holder,
@@ -106,21 +108,21 @@
             deadline_at=now + seconds,
             traits=RequestTraits(
                 make_fingerprint(
-                    ask.method,
-                    ask.target,
-                    ask.body,
+                    request.method,
+                    request.target,
+                    request.body,
                     None if holder is None else holder.account,
                 ),
-                ask.prompt_parts,
+                request.prompt_parts,
             ),
             engine=service.engine,
-            last_event=ask.resume_after,
-            max_sends=_count_sends(ask, route),
+            last_event=request.resume_after,
+            max_sends=_count_sends(request, route),
         )
 
     def _find_holder(
         self,
-        ask: DecodedRequest,
+        request: DecodedRequest,
         route: Route,
         now: float,
     ) -> KeyHolder | None:
@@ -128,14 +130,14 @@
         if route.public or not outlook.index.table.has_accounts:
             return None
         outlook.check_keys(now)
-        holder = outlook.index.find_holder(ask.api_key)
+        holder = outlook.index.find_holder(request.api_key)
         if holder is None:
             raise Refusal(Code.UNKNOWN_KEY)
         return holder
 
 
-def _count_sends(ask: DecodedRequest, route: Route) -> int:
+def _count_sends(request: DecodedRequest, route: Route) -> int:
     """Return the maximum number of replicas to send a request to."""
-    if ask.forwarded is None:
+    if request.forwarded is None:
         return route.most_targets
-    return min(route.most_targets, ask.forwarded.sends)
+    return min(route.most_targets, request.forwarded.sends)
--- a/waywell/request/request_attempts.py
+++ b/waywell/request/request_attempts.py
@@ -236,11 +236,13 @@
             return Unroutable(Code.NODE_PARTITIONED, ReturnReason.NO_GROUP)
         backpressure = self._dependencies.backpressure
         replicas = self._list_replicas()
-        wanting = backpressure.list_open(replicas, now)
+        open_replicas = backpressure.list_open(replicas, now)
         return explain_unroutable(
-            backpressure.find_release([one.key.life for one in replicas], now),
+            backpressure.find_release(
+                [replica.key.life for replica in replicas], now
+            ),
             self._dependencies.permits.find_wait(
-                [one.key.life for one in wanting], now
+                [replica.key.life for replica in open_replicas], now
             ),
             self._context.rejections,
         )
