--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -41,7 +41,7 @@
 
         Callers are better served by another node: without this check, 2 to 4
         streams that arrived in the last seconds before a planned stop were
-        truncated when the process ended.
+        truncated by the end of the process on each of four test days.
         """
         self._node_ends_at = ends_at
 
