--- a/waywell/request/claim.py
+++ b/waywell/request/claim.py
@@ -25,8 +25,8 @@
 """Maximum number of claims that a home node keeps."""
 
 ID_PART_COUNT = 4
-"""Node, incarnation, time of issue in seconds, and a part that the caller
-chooses."""
+"""Number of parts of an issued id: node, incarnation, time of issue in
+seconds, and a part that the caller chooses."""
 
 
 class ClaimState(enum.Enum):
