--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_harness.py
@@ -1,4 +1,4 @@
-"""A forwarder whose attempts are driven by hand, for tests."""
+"""Test harness of a forwarder, in which tests deliver the answers."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.membership.membership import NodeRecord
 from waywell.process.front_settings import PromiseSettings
-from waywell.request.ask import AnswerMark, Ask
 from waywell.request.attempt import Attempt
+from waywell.request.decoded_request import AnswerMetadata, DecodedRequest
 from waywell.request.forwarder import Forwarder
 from waywell.request.paths import DirectPaths
 from waywell.request.peer_chooser import make_peer_key
 from waywell.request.placement import Chooser
 from waywell.request.replica_book import ReplicaBook
-from waywell.request.request_context import CallerAnswer, ForwarderParts
+from waywell.request.request_context import AnswerWriter, ForwarderDependencies
 from waywell.request.resend_budget import ResendBudget, ResendLimits
 from waywell.request.shared_loads import SharedLoads
 from waywell.request.stream_events import StreamEvent
@@ -55,7 +55,9 @@
 STREAM_HEADERS = ((b'content-type', b'text/event-stream'),)
 
 
-class StageAnswer(CallerAnswer):
+class RecordedAnswer(AnswerWriter):
+    """Records the answer that a caller receives."""
+
     def __init__(self) -> None:
         self.body = b''
         self.status = 0
@@ -69,52 +71,54 @@
         self.body += raw
 
     def finish(self) -> None:
-        self.end = 'whole'
+        self.end = 'complete'
 
-    def cut(self) -> None:
-        self.end = 'cut'
+    def abort(self) -> None:
+        self.end = 'aborted'
 
 
-class _Wire:
-    def make_headers(self, *_words: object) -> tuple:
+class FakeWire:
+    def make_headers(self, *_args: object) -> tuple:
         return ()
 
     def make_forward_headers(
-        self, _ask: Ask, mark: ForwardMark, *_words: object
+        self, _request: DecodedRequest, mark: ForwardMark, *_args: object
     ) -> tuple:
         return ((FORWARDED_HEADER.encode(), mark.encode().encode()),)
 
 
-class HeldPaths(DirectPaths):
-    """Links that a test takes away, with peers that it names."""
+class FakePaths(DirectPaths):
+    """Link state and peers that a test sets."""
 
     def __init__(self) -> None:
         self.is_lost = False
-        self.is_found_lost = False
+        self.finds_loss = False
         self.peers: list[NodeRecord] = []
 
     def is_partitioned(self, service: ServiceName) -> bool:
         return self.is_lost
 
     async def await_diagnosis(self, service: ServiceName) -> None:
-        self.is_lost = self.is_found_lost
+        self.is_lost = self.finds_loss
 
     def choose_peer(
         self, service: ServiceName, tried: Any, now: float
     ) -> NodeRecord | None:
-        left = [one for one in self.peers if make_peer_key(one) not in tried]
-        return left[0] if left else None
+        untried = [
+            peer for peer in self.peers if make_peer_key(peer) not in tried
+        ]
+        return untried[0] if untried else None
 
 
-class Stage:
-    """A forwarder whose attempts are driven by hand."""
+class ForwarderHarness:
+    """A forwarder whose attempts receive their answers from a test."""
 
     def __init__(self, kind: RouteKind = RouteKind.STREAM) -> None:
         self.clock = HeldClock()
         self.connects_at_once = True
         self.book = ReplicaBook()
         self.attempts: list[Attempt] = []
-        self.answer = StageAnswer()
+        self.answer = RecordedAnswer()
         self.refusal: Refusal | None = None
         stream = kind is RouteKind.STREAM
         route = Route(
@@ -149,12 +153,12 @@
         self.cluster = cluster
         self.quarantine = LoneQuarantine(self.clock)
         self.turns = LoneRateLimiter(self.clock)
-        self.paths = HeldPaths()
+        self.paths = FakePaths()
         self.budget = ResendBudget(ResendLimits(0.2, 90.0, 10.0), 0.0)
         self.forwarder = Forwarder(
-            ForwarderParts(
+            ForwarderDependencies(
                 cluster=cluster,
-                wire=_Wire(),
+                wire=FakeWire(),
                 chooser=Chooser(HallName('port'), SharedLoads(), Random(1)),
                 book=self.book,
                 budget=self.budget,
@@ -166,39 +170,39 @@
                 raise_doubt=lambda _replica: None,
                 metrics=RequestMetrics(Metrics()),
                 guard=self.quarantine,
-                turns=self.turns,
+                permits=self.turns,
                 running=self.quarantine._running,
             ),
         )
 
-    def note_start(
+    def record_start(
         self,
         attempt: Attempt,
         may_send: Any,
         now: float,
     ) -> None:
         attempt.started_at = now
-        if not self._has_turn(attempt):
-            attempt.tell(Attempt.Fault(attempt, SendFault.NO_TURN))
+        if not self._has_permit(attempt):
+            attempt.post(Attempt.Fault(attempt, SendFault.NO_TURN))
             return
         assert not self.connects_at_once or may_send()
         self.may_send = may_send
         self.attempts.append(attempt)
 
-    def _has_turn(self, attempt: Attempt) -> bool:
-        """Take a turn as an attempt does; the node deals all itself."""
+    def _has_permit(self, attempt: Attempt) -> bool:
+        """Acquire a permit as an attempt does; no other node is asked."""
         try:
-            attempt.destination.take_turn().send(None)
+            attempt.destination.acquire_permit().send(None)
         except StopIteration as end:
             return bool(end.value)
-        raise AssertionError('the node asked another one')
+        raise AssertionError('the node asked another node for a permit')
 
-    async def begin(
+    async def submit(
         self,
         forwarded: ForwardMark | None = None,
         resume_after: int | None = None,
     ) -> asyncio.Task:
-        ask = Ask(
+        request = DecodedRequest(
             'a1',
             'POST',
             '/x',
@@ -209,45 +213,49 @@
             forwarded=forwarded,
             resume_after=resume_after,
         )
-        self.answer = StageAnswer()
-        task = asyncio.create_task(self._serve(ask, self.answer))
-        await self.settle()
+        self.answer = RecordedAnswer()
+        task = asyncio.create_task(self._serve(request, self.answer))
+        await self.run_pending()
         return task
 
-    async def settle(self) -> None:
-        for _turn in range(10):
+    async def run_pending(self) -> None:
+        for _iteration in range(10):
             await asyncio.sleep(0)
 
-    async def pass_time(self, seconds: float) -> None:
-        """Let the clock pass, and wake the forwarder as a timer would."""
+    async def advance_time(self, seconds: float) -> None:
+        """Advance the clock and wake the forwarder as a timer would."""
         self.clock.now += seconds
         self.attempts[0]._inbox.put(None)
-        await self.settle()
+        await self.run_pending()
 
-    async def head(self, attempt: Attempt, **changes: Any) -> None:
-        facts = {'status': 200, 'mark': AnswerMark('a1'), **changes}
-        attempt.take_head(headers=STREAM_HEADERS, length=None, **facts)
-        await self.settle()
+    async def deliver_head(self, attempt: Attempt, **changes: Any) -> None:
+        head = {'status': 200, 'metadata': AnswerMetadata('a1'), **changes}
+        attempt.receive_head(headers=STREAM_HEADERS, length=None, **head)
+        await self.run_pending()
 
-    async def events(self, attempt: Attempt, *numbers: int) -> None:
+    async def deliver_events(self, attempt: Attempt, *numbers: int) -> None:
         for number in numbers:
             raw = b'id: %d\n\n' % number
-            attempt.tell(Attempt.Piece(attempt, StreamEvent(raw, number)))
-        await self.settle()
+            attempt.post(Attempt.Piece(attempt, StreamEvent(raw, number)))
+        await self.run_pending()
 
-    async def end(self, attempt: Attempt, is_whole: bool = True) -> None:
+    async def deliver_end(
+        self, attempt: Attempt, is_whole: bool = True
+    ) -> None:
         end = BodyEnd.ANNOUNCED if is_whole else BodyEnd.CUT
-        attempt.tell(Attempt.End(attempt, BodyOutcome(end)))
-        await self.settle()
+        attempt.post(Attempt.End(attempt, BodyOutcome(end)))
+        await self.run_pending()
 
-    async def _serve(self, ask: Ask, answer: StageAnswer) -> None:
+    async def _serve(
+        self, request: DecodedRequest, answer: RecordedAnswer
+    ) -> None:
         try:
-            await self.forwarder.serve(ask, answer)
+            await self.forwarder.serve(request, answer)
         except Refusal as refusal:
             self.refusal = refusal
 
-    async def restart(self, *names: str) -> None:
-        """Let a newer list show boxes that started again under their ids."""
+    async def restart_boxes(self, *names: str) -> None:
+        """Deliver a box list in which boxes have restarted under their ids."""
         boxes = dict(self.cluster.fleet.boxes)
         for name in names:
             boxes[BoxId(name)] = msgspec.structs.replace(
@@ -256,13 +264,15 @@
                 incarnation=Incarnation(2),
             )
         self.cluster.apply_fleet(Fleet(boxes), self.clock.now)
-        await self.settle()
+        await self.run_pending()
 
 
-def drive(made: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let attempts go to the stage in place of the network."""
+def intercept_attempts(
+    harness: ForwarderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Direct attempts to the harness instead of the network."""
     monkeypatch.setattr(
         Attempt,
         'start',
-        lambda *words: made.note_start(*words),
+        lambda *args: harness.record_start(*args),
     )
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Attempts at one request that run side by side."""
+"""Retries, hedges and resumption across the attempts at one request."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import pytest
 
-from tests.forwarder_stage import Stage, drive
+from tests.forwarder_harness import ForwarderHarness, intercept_attempts
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
 from waywell.ids import BoxId
-from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.stream_events import StreamEvent
 from waywell.version.fleet import ReplicaKey
 from waywell.version.routes import RouteKind
@@ -23,384 +23,396 @@
     ]
 
 
-def test_the_first_attempt_goes_on_when_it_wakes_before_the_second(
-    stage: Stage,
+def test_a_silent_attempt_that_recovers_before_its_hedge_continues(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
-        await stage.events(first, 1, 2)
-        await stage.pass_time(0.25)
-        second = stage.attempts[1]
-        await stage.head(second)
-        # The first was only late; what the second brings is surplus.
-        await stage.events(first, 3, 4)
-        await stage.events(second, 3, 4)
-        await stage.events(first, 5)
-        await stage.end(first)
-
-    asyncio.run(play())
-    assert list_numbers(stage.answer.body) == [1, 2, 3, 4, 5]
-    assert stage.answer.end == 'whole'
-
-
-def test_the_second_attempt_goes_on_where_the_first_fell_silent(
-    stage: Stage,
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        await harness.deliver_events(first, 1, 2)
+        await harness.advance_time(0.25)
+        second = harness.attempts[1]
+        await harness.deliver_head(second)
+        # The first was only late, so the events of the second are dropped.
+        await harness.deliver_events(first, 3, 4)
+        await harness.deliver_events(second, 3, 4)
+        await harness.deliver_events(first, 5)
+        await harness.deliver_end(first)
+
+    asyncio.run(scenario())
+    assert list_numbers(harness.answer.body) == [1, 2, 3, 4, 5]
+    assert harness.answer.end == 'complete'
+
+
+def test_a_hedge_continues_the_stream_of_a_silent_attempt(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
-        await stage.events(first, 1, 2)
-        await stage.pass_time(0.25)
-        second = stage.attempts[1]
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        await harness.deliver_events(first, 1, 2)
+        await harness.advance_time(0.25)
+        second = harness.attempts[1]
         assert second.replica != first.replica
-        await stage.head(second)
-        await stage.events(second, 3)
-        await stage.events(first, 3)
-        await stage.events(second, 4)
-        await stage.end(second)
+        await harness.deliver_head(second)
+        await harness.deliver_events(second, 3)
+        await harness.deliver_events(first, 3)
+        await harness.deliver_events(second, 4)
+        await harness.deliver_end(second)
 
-    asyncio.run(play())
-    assert list_numbers(stage.answer.body) == [1, 2, 3, 4]
-    assert stage.answer.end == 'whole'
+    asyncio.run(scenario())
+    assert list_numbers(harness.answer.body) == [1, 2, 3, 4]
+    assert harness.answer.end == 'complete'
 
 
-def test_a_skipped_event_is_never_passed_on(stage: Stage) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
-        await stage.events(first, 1, 3)
-        await stage.head(stage.attempts[1])
-        await stage.events(stage.attempts[1], 2, 4)
+def test_an_answer_with_a_skipped_event_is_never_relayed(
+    harness: ForwarderHarness,
+) -> None:
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        await harness.deliver_events(first, 1, 3)
+        await harness.deliver_head(harness.attempts[1])
+        await harness.deliver_events(harness.attempts[1], 2, 4)
 
-    asyncio.run(play())
-    assert list_numbers(stage.answer.body) == [1, 2]
-    assert stage.answer.end == 'cut'
+    asyncio.run(scenario())
+    assert list_numbers(harness.answer.body) == [1, 2]
+    assert harness.answer.end == 'aborted'
 
 
-def test_a_failure_is_never_passed_on_as_the_rest_of_a_begun_answer(
-    stage: Stage,
+def test_an_error_answer_never_continues_a_begun_answer(
+    harness: ForwarderHarness,
+) -> None:
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        await harness.deliver_events(first, 1, 2)
+        await harness.deliver_end(first, is_whole=False)
+        second = harness.attempts[1]
+        # The route allows no third replica, so the request ends here.
+        await harness.deliver_head(second, status=500)
+        second.post(Attempt.Piece(second, StreamEvent(b'{}', None)))
+        await harness.deliver_end(second)
+
+    asyncio.run(scenario())
+    assert harness.answer.body == b'id: 1\n\nid: 2\n\n'
+    assert harness.answer.end == 'aborted'
+
+
+def test_messages_of_a_dropped_attempt_are_ignored(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
-        await stage.events(first, 1, 2)
-        await stage.end(first, is_whole=False)
-        second = stage.attempts[1]
-        # No third replica is allowed, so the failure is the last word.
-        await stage.head(second, status=500)
-        second.tell(Attempt.Piece(second, StreamEvent(b'{}', None)))
-        await stage.end(second)
-
-    asyncio.run(play())
-    assert stage.answer.body == b'id: 1\n\nid: 2\n\n'
-    assert stage.answer.end == 'cut'
-
-
-def test_a_word_of_a_dropped_attempt_changes_nothing(stage: Stage) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        # Both wait in the queue when the first of them drops the attempt.
-        first.tell(Attempt.Fault(first, SendFault.NOT_SENT))
-        first.tell(Attempt.Fault(first, SendFault.BROKEN))
-        await stage.settle()
-        second = stage.attempts[-1]
-        await stage.head(second)
-        await stage.events(second, 1, 2)
-        await stage.end(second)
-
-    asyncio.run(play())
-    assert len(stage.attempts) == 2
-    assert list_numbers(stage.answer.body) == [1, 2]
-    assert stage.answer.end == 'whole'
-    assert stage.book.get(stage.attempts[0].replica.key).streak == 1
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        # Both messages are queued when the first one drops the attempt.
+        first.post(Attempt.Fault(first, SendFault.NOT_SENT))
+        first.post(Attempt.Fault(first, SendFault.BROKEN))
+        await harness.run_pending()
+        second = harness.attempts[-1]
+        await harness.deliver_head(second)
+        await harness.deliver_events(second, 1, 2)
+        await harness.deliver_end(second)
+
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 2
+    assert list_numbers(harness.answer.body) == [1, 2]
+    assert harness.answer.end == 'complete'
+    assert harness.book.get(harness.attempts[0].replica.key).streak == 1
 
 
 def test_no_more_replicas_are_tried_than_the_route_allows(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
+    async def scenario() -> None:
+        await harness.submit()
         for _failure in range(2):
-            attempt = stage.attempts[-1]
-            attempt.tell(Attempt.Fault(attempt, SendFault.BROKEN))
-            await stage.settle()
+            attempt = harness.attempts[-1]
+            attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
+            await harness.run_pending()
 
-    asyncio.run(play())
-    assert len(stage.attempts) == 2
-    assert stage.refusal is not None
-    assert stage.refusal.ran is Ran.MAY_HAVE_RUN
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 2
+    assert harness.refusal is not None
+    assert harness.refusal.ran is Ran.MAY_HAVE_RUN
 
 
-def test_an_unsafe_request_is_never_tried_beside_a_silent_one(
+def test_an_unsafe_request_is_never_hedged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    stage = Stage(RouteKind.UNSAFE)
-    drive(stage, monkeypatch)
-
-    async def play() -> None:
-        task = await stage.begin()
-        await stage.pass_time(3.0)
-        assert len(stage.attempts) == 1
-        await stage.pass_time(6.0)
+    harness = ForwarderHarness(RouteKind.UNSAFE)
+    intercept_attempts(harness, monkeypatch)
+
+    async def scenario() -> None:
+        task = await harness.submit()
+        await harness.advance_time(3.0)
+        assert len(harness.attempts) == 1
+        await harness.advance_time(6.0)
         await task
 
-    asyncio.run(play())
-    assert len(stage.attempts) == 1
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.DEADLINE_PASSED
-    assert stage.refusal.ran is Ran.MAY_HAVE_RUN
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 1
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.DEADLINE_PASSED
+    assert harness.refusal.ran is Ran.MAY_HAVE_RUN
 
 
-def test_rejections_leave_a_request_not_run(
+def test_a_request_that_replicas_only_rejected_is_reported_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    stage = Stage(RouteKind.UNSAFE)
-    drive(stage, monkeypatch)
+    harness = ForwarderHarness(RouteKind.UNSAFE)
+    intercept_attempts(harness, monkeypatch)
 
-    async def play() -> None:
-        await stage.begin()
-        rejected = AnswerMark('a1', is_rejected=True)
+    async def scenario() -> None:
+        await harness.submit()
+        rejected = AnswerMetadata('a1', is_rejected=True)
         for _rejection in range(2):
-            await stage.head(stage.attempts[-1], status=503, mark=rejected)
+            await harness.deliver_head(
+                harness.attempts[-1], status=503, metadata=rejected
+            )
 
-    asyncio.run(play())
-    assert len(stage.attempts) == 2
-    assert stage.refusal is not None
-    assert stage.refusal.ran is Ran.NOT_RUN
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 2
+    assert harness.refusal is not None
+    assert harness.refusal.ran is Ran.NOT_RUN
 
 
 @pytest.mark.parametrize('rank', [0, 1])
-def test_a_stream_is_taken_up_elsewhere_once_a_box_starts_again(
-    stage: Stage,
+def test_a_stream_resumes_elsewhere_as_soon_as_a_box_restarts(
+    harness: ForwarderHarness,
     rank: int,
 ) -> None:
-    """Symptom: a stream went on 0.2 s late after a box had crashed.
+    """Attempts fail when their box restarts, not only by a silence timeout.
 
-    Sequence: a stream has begun; the list shows a box of its group in another
-    life.  Cause: an attempt was given up by its own silence only.
+    A stream resumed 0.2 s late when the box list already showed that a box of
+    its group had restarted.
     """
 
-    async def play() -> None:
-        task = await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
-        await stage.events(first, 0, 1)
-        group = stage.cluster.fleet.groups[first.replica.group]
-        await stage.restart(group.members[rank].box)
-        (_first, second) = stage.attempts
+    async def scenario() -> None:
+        task = await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        await harness.deliver_events(first, 0, 1)
+        group = harness.cluster.fleet.groups[first.replica.group]
+        await harness.restart_boxes(group.members[rank].box)
+        (_first, second) = harness.attempts
         assert second.replica.group != first.replica.group
-        await stage.head(second)
-        await stage.events(second, 2, 3)
-        await stage.end(second)
+        await harness.deliver_head(second)
+        await harness.deliver_events(second, 2, 3)
+        await harness.deliver_end(second)
         await task
 
-    asyncio.run(play())
-    assert stage.answer.end == 'whole'
-    assert list_numbers(stage.answer.body) == [0, 1, 2, 3]
+    asyncio.run(scenario())
+    assert harness.answer.end == 'complete'
+    assert list_numbers(harness.answer.body) == [0, 1, 2, 3]
 
 
-def test_what_may_not_run_twice_ends_visibly_when_its_box_starts_again(
+def test_an_unsafe_request_is_refused_when_its_box_restarts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = Stage(RouteKind.UNSAFE)
-    drive(made, monkeypatch)
+    harness = ForwarderHarness(RouteKind.UNSAFE)
+    intercept_attempts(harness, monkeypatch)
 
-    async def play() -> None:
-        task = await made.begin()
-        (first,) = made.attempts
-        await made.restart(first.replica.key.box)
+    async def scenario() -> None:
+        task = await harness.submit()
+        (first,) = harness.attempts
+        await harness.restart_boxes(first.replica.key.box)
         await task
 
-    asyncio.run(play())
-    assert len(made.attempts) == 1
-    assert made.refusal is not None
-    assert made.refusal.ran is Ran.MAY_HAVE_RUN
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 1
+    assert harness.refusal is not None
+    assert harness.refusal.ran is Ran.MAY_HAVE_RUN
 
 
-def test_a_restart_elsewhere_disturbs_no_stream(stage: Stage) -> None:
-    async def play() -> None:
-        task = await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
+def test_a_restart_in_another_group_does_not_disturb_a_stream(
+    harness: ForwarderHarness,
+) -> None:
+    async def scenario() -> None:
+        task = await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
         others = {
             box.box
-            for box in stage.cluster.fleet.boxes.values()
+            for box in harness.cluster.fleet.boxes.values()
             if box.standing and box.standing.group != first.replica.group
         }
-        await stage.restart(*others)
-        await stage.events(first, 0)
-        await stage.end(first)
+        await harness.restart_boxes(*others)
+        await harness.deliver_events(first, 0)
+        await harness.deliver_end(first)
         await task
 
-    asyncio.run(play())
-    assert len(stage.attempts) == 1
-    assert stage.answer.end == 'whole'
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 1
+    assert harness.answer.end == 'complete'
 
 
-async def _end_three(stage: Stage) -> None:
-    """Let three replicas end under the request that is played."""
-    fingerprint = stage.attempts[0].traits.fingerprint
+async def record_three_crashes(harness: ForwarderHarness) -> None:
+    """Record crashes of three replicas that ran the first request."""
+    fingerprint = harness.attempts[0].traits.fingerprint
     for number in (1, 2, 3):
-        stage.quarantine.history.record_crash(
+        harness.quarantine.history.record_crash(
             ReplicaKey(BoxId(f'x{number}')),
             {fingerprint: False},
-            stage.clock.now + number,
+            harness.clock.now + number,
         )
 
 
-def test_an_attempt_that_broke_is_told_with_what_it_had_brought(
-    stage: Stage,
+def test_a_crash_records_whether_the_answer_had_begun(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        stage.quarantine.ended.add(first.replica.key.box)
-        await stage.head(first)
-        await stage.events(first, 1)
-        await stage.end(first, is_whole=False)
-        second = stage.attempts[1]
-        stage.quarantine.ended.add(second.replica.key.box)
-        second.tell(Attempt.Fault(second, SendFault.BROKEN))
-        await stage.settle()
-
-    asyncio.run(play())
-    ends = stage.quarantine.history.crashes
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        harness.quarantine.ended.add(first.replica.key.box)
+        await harness.deliver_head(first)
+        await harness.deliver_events(first, 1)
+        await harness.deliver_end(first, is_whole=False)
+        second = harness.attempts[1]
+        harness.quarantine.ended.add(second.replica.key.box)
+        second.post(Attempt.Fault(second, SendFault.BROKEN))
+        await harness.run_pending()
+
+    asyncio.run(scenario())
+    ends = harness.quarantine.history.crashes
     assert [list(end.runs.values()) for end in ends] == [[True], [False]]
 
 
-def test_a_request_that_is_held_back_meanwhile_is_broken_off(
-    stage: Stage,
+def test_a_running_request_that_becomes_held_back_is_dropped(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        await _end_three(stage)
-        stage.quarantine._running.spare(stage.attempts[0].traits.fingerprint)
-        await stage.settle()
-
-    asyncio.run(play())
-    assert len(stage.attempts) == 1
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.TARGET_FAILED
-    assert stage.refusal.ran is Ran.MAY_HAVE_RUN
-    # Nothing speaks against a replica that was spared.
-    assert not stage.book.get(stage.attempts[0].replica.key).streak
-
-
-def test_a_stream_that_has_begun_goes_on_when_it_is_held_back(
-    stage: Stage,
+    async def scenario() -> None:
+        await harness.submit()
+        await record_three_crashes(harness)
+        harness.quarantine._running.fail_quarantined(
+            harness.attempts[0].traits.fingerprint
+        )
+        await harness.run_pending()
+
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 1
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.TARGET_FAILED
+    assert harness.refusal.ran is Ran.MAY_HAVE_RUN
+    # The replica has not failed, as it was protected from the request.
+    assert not harness.book.get(harness.attempts[0].replica.key).streak
+
+
+def test_a_begun_stream_continues_when_it_becomes_held_back(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
-        # The piece waits in the queue when the word comes.
-        first.tell(Attempt.Piece(first, StreamEvent(b'id: 1\n\n', 1)))
-        stage.quarantine._running.spare(first.traits.fingerprint)
-        await stage.settle()
-        await stage.events(first, 2)
-        await stage.end(first)
-
-    asyncio.run(play())
-    assert list_numbers(stage.answer.body) == [1, 2]
-    assert stage.answer.end == 'whole'
-
-
-def test_a_request_that_is_held_back_while_it_connects_is_not_written(
-    stage: Stage,
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        # The piece is still queued when the notice arrives.
+        first.post(Attempt.Piece(first, StreamEvent(b'id: 1\n\n', 1)))
+        harness.quarantine._running.fail_quarantined(first.traits.fingerprint)
+        await harness.run_pending()
+        await harness.deliver_events(first, 2)
+        await harness.deliver_end(first)
+
+    asyncio.run(scenario())
+    assert list_numbers(harness.answer.body) == [1, 2]
+    assert harness.answer.end == 'complete'
+
+
+def test_a_request_that_becomes_held_back_while_connecting_is_not_sent(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        await _end_three(stage)
-        assert not stage.may_send()
-        (first,) = stage.attempts
-        first.tell(Attempt.Fault(first, SendFault.TOO_LATE))
-        await stage.settle()
+    async def scenario() -> None:
+        await harness.submit()
+        await record_three_crashes(harness)
+        assert not harness.may_send()
+        (first,) = harness.attempts
+        first.post(Attempt.Fault(first, SendFault.TOO_LATE))
+        await harness.run_pending()
 
-    asyncio.run(play())
-    assert len(stage.attempts) == 1
-    assert stage.refusal is not None
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 1
+    assert harness.refusal is not None
 
 
-def test_a_request_that_is_held_back_is_refused_as_not_run(
-    stage: Stage,
+def test_a_held_back_request_is_refused_as_not_run(
+    harness: ForwarderHarness,
+) -> None:
+    async def scenario() -> None:
+        await harness.submit()
+        await record_three_crashes(harness)
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        await harness.deliver_events(first, 1)
+        await harness.deliver_end(first, is_whole=False)
+        # The begun stream does not resume elsewhere.
+        assert harness.answer.end == 'aborted'
+        await harness.submit()
+
+    asyncio.run(scenario())
+    assert len(harness.attempts) == 1
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.REQUEST_HELD_BACK
+    assert harness.refusal.ran is Ran.NOT_RUN
+
+
+def test_a_complete_answer_clears_a_request_of_crashes(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        await _end_three(stage)
-        (first,) = stage.attempts
-        await stage.head(first)
-        await stage.events(first, 1)
-        await stage.end(first, is_whole=False)
-        # The stream that had begun is not taken up elsewhere.
-        assert stage.answer.end == 'cut'
-        await stage.begin()
-
-    asyncio.run(play())
-    assert len(stage.attempts) == 1
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.REQUEST_HELD_BACK
-    assert stage.refusal.ran is Ran.NOT_RUN
-
-
-def test_an_answer_that_is_whole_clears_the_request(stage: Stage) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        stage.quarantine.ended.add(first.replica.key.box)
-        first.tell(Attempt.Fault(first, SendFault.BROKEN))
-        await stage.settle()
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        harness.quarantine.ended.add(first.replica.key.box)
+        first.post(Attempt.Fault(first, SendFault.BROKEN))
+        await harness.run_pending()
         assert (
-            stage.quarantine.history.count_crashes(first.traits.fingerprint)
+            harness.quarantine.history.count_crashes(first.traits.fingerprint)
             == 1
         )
-        second = stage.attempts[1]
-        await stage.head(second)
-        await stage.events(second, 1)
-        await stage.end(second)
+        second = harness.attempts[1]
+        await harness.deliver_head(second)
+        await harness.deliver_events(second, 1)
+        await harness.deliver_end(second)
 
-    asyncio.run(play())
-    fingerprint = stage.attempts[0].traits.fingerprint
-    assert not stage.quarantine.history.count_crashes(fingerprint)
+    asyncio.run(scenario())
+    fingerprint = harness.attempts[0].traits.fingerprint
+    assert not harness.quarantine.history.count_crashes(fingerprint)
 
 
-def test_events_without_numbers_are_never_passed_on_twice(
-    stage: Stage,
+def test_events_without_numbers_are_never_relayed_twice(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin()
-        (first,) = stage.attempts
-        await stage.head(first)
+    async def scenario() -> None:
+        await harness.submit()
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
         event = StreamEvent(b'data: a\n\n', None)
-        first.tell(Attempt.Piece(first, event))
-        await stage.settle()
-        await stage.pass_time(0.25)
-        assert stage.attempts == [first]
-        await stage.end(first, is_whole=False)
-        assert stage.attempts == [first]
+        first.post(Attempt.Piece(first, event))
+        await harness.run_pending()
+        await harness.advance_time(0.25)
+        assert harness.attempts == [first]
+        await harness.deliver_end(first, is_whole=False)
+        assert harness.attempts == [first]
 
-    asyncio.run(play())
-    assert stage.answer.body == b'data: a\n\n'
-    assert stage.answer.end == 'cut'
+    asyncio.run(scenario())
+    assert harness.answer.body == b'data: a\n\n'
+    assert harness.answer.end == 'aborted'
 
 
-def test_a_plain_answer_to_a_caller_that_resumes_is_never_resumed(
-    stage: Stage,
+def test_a_plain_answer_is_not_resumed_even_if_its_caller_resumes(
+    harness: ForwarderHarness,
 ) -> None:
-    async def play() -> None:
-        await stage.begin(resume_after=2)
-        (first,) = stage.attempts
-        await stage.head(first)
-        first.tell(Attempt.Piece(first, StreamEvent(b'part', None)))
-        await stage.settle()
-        await stage.end(first, is_whole=False)
-        assert stage.attempts == [first]
-
-    asyncio.run(play())
-    assert stage.answer.body == b'part'
-    assert stage.answer.end == 'cut'
+    async def scenario() -> None:
+        await harness.submit(resume_after=2)
+        (first,) = harness.attempts
+        await harness.deliver_head(first)
+        first.post(Attempt.Piece(first, StreamEvent(b'part', None)))
+        await harness.run_pending()
+        await harness.deliver_end(first, is_whole=False)
+        assert harness.attempts == [first]
+
+    asyncio.run(scenario())
+    assert harness.answer.body == b'part'
+    assert harness.answer.end == 'aborted'
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.forwarder_stage import Stage
+from tests.forwarder_harness import ForwarderHarness
 from tests.held_clock import HeldClock
 from tests.lone_rate_limiter import LoneRateLimiter
 from tests.test_membership import make_record
@@ -23,8 +23,8 @@
 from waywell.ids import BoxId, HallName, Incarnation, NodeId
 from waywell.limits.rate_limiter import PERMIT_SECONDS, STARTUP_SECONDS
 from waywell.membership.links import PeerLinks
-from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.turn_source import MOST_MISSED
 from waywell.version.fleet import BoxLife
 
@@ -32,11 +32,11 @@
 HALL = HallName('h')
 OTHER = NodeId('other')
 
-LIMITED = AnswerMark('a1', limit=1.0)
+LIMITED = AnswerMetadata('a1', rate_limit=1.0)
 """Mark of an answer that reports a limit."""
 
-REJECTED = AnswerMark('a1', is_rejected=True, limit=1.0)
-"""Mark of an answer that reports a limit and rejects the request."""
+REJECTED = AnswerMetadata('a1', is_rejected=True, rate_limit=1.0)
+"""Mark of an answer that reports a rate_limit and rejects the request."""
 
 
 @pytest.fixture
@@ -209,36 +209,40 @@
     assert limiter.count()['limited'] == 0
 
 
-def test_retries_need_permits_too(stage: Stage) -> None:
+def test_retries_need_permits_too(harness: ForwarderHarness) -> None:
 
     async def send_requests() -> None:
         for _request in range(8):
-            await stage.begin()
-            for attempt in tuple(stage.attempts):
-                if attempt.head is None and not attempt._is_over:
-                    await stage.head(attempt, status=503, mark=REJECTED)
+            await harness.submit()
+            for attempt in tuple(harness.attempts):
+                if attempt.head is None and not attempt._is_abandoned:
+                    await harness.deliver_head(
+                        attempt, status=503, metadata=REJECTED
+                    )
 
     asyncio.run(send_requests())
-    assert stage.refusal is not None
-    assert stage.refusal.code is Code.REPLICAS_LIMITED
-    assert stage.refusal.ran is Ran.NOT_RUN
-    assert stage.refusal.retry_after is not None
-    assert stage.refusal.retry_after > 0
+    assert harness.refusal is not None
+    assert harness.refusal.code is Code.REPLICAS_LIMITED
+    assert harness.refusal.ran is Ran.NOT_RUN
+    assert harness.refusal.retry_after is not None
+    assert harness.refusal.retry_after > 0
 
 
 def test_a_connecting_request_is_not_sent_when_a_limit_is_reported(
-    stage: Stage,
+    harness: ForwarderHarness,
 ) -> None:
     async def report_limit_while_connecting() -> None:
-        stage.connects_at_once = False
-        await stage.begin()
-        (attempt,) = stage.attempts
+        harness.connects_at_once = False
+        await harness.submit()
+        (attempt,) = harness.attempts
         # Meanwhile the answer to another request reports the limit.
-        attempt.destination.on_mark(LIMITED, attempt.sent_at, stage.clock.now)
-        assert not stage.may_send()
-        attempt.tell(Attempt.Fault(attempt, SendFault.TOO_LATE))
-        await stage.settle()
-        assert stage.attempts[-1].replica != attempt.replica
+        attempt.destination.on_metadata(
+            LIMITED, attempt.sent_at, harness.clock.now
+        )
+        assert not harness.may_send()
+        attempt.post(Attempt.Fault(attempt, SendFault.TOO_LATE))
+        await harness.run_pending()
+        assert harness.attempts[-1].replica != attempt.replica
 
     asyncio.run(report_limit_while_connecting())
 
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -42,7 +42,7 @@
 
     from waywell.ids import NodeId
     from waywell.process.clock import Clock
-    from waywell.request.running import RunningAttempts
+    from waywell.request.running_attempts import RunningAttempts
     from waywell.request.traits import RequestTraits
     from waywell.version.fleet import FleetBox, Replica
 
@@ -264,7 +264,7 @@
             return True
         if trait in self.history.holds:
             # The hold has expired; a single attempt tests the trait again.
-            is_running = bool(running) or self._running.has(trait)
+            is_running = bool(running) or self._running.has_trait(trait)
             return self._is_prober() and not is_running
         return crashes + running < CRASHES_TO_HOLD
 
@@ -400,7 +400,7 @@
             seconds=round(hold.expires_at - self._clock.read(), 1),
             by=by,
         )
-        self._running.spare(trait)
+        self._running.fail_quarantined(trait)
         if trait in self._witnessed:
             self._publish(self.Held(trait, hold))
 
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -1,4 +1,4 @@
-"""The way of one request on the platform: route, account, service."""
+"""Resolution of a request to its route, account and service."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from waywell.codes import Code, Refusal
 from waywell.request.fingerprint import make_fingerprint
 from waywell.request.request_context import (
-    CallerAnswer,
-    ForwarderParts,
+    AnswerWriter,
+    ForwarderDependencies,
     RequestContext,
 )
 from waywell.request.request_execution import RequestExecution
@@ -17,123 +17,127 @@
 from waywell.request.traits import RequestTraits
 
 if TYPE_CHECKING:
-    from waywell.request.ask import Ask
+    from waywell.request.decoded_request import DecodedRequest
     from waywell.version.routes import KeyHolder, Route
 
 
 class Forwarder:
-    """Serves requests by what is in force.
+    """Serves requests according to the routes and boxes in force.
 
     Parameters
     ----------
-    parts
-        What it works with.
+    dependencies
+        Collaborators of the forwarder.
     """
 
-    def __init__(self, parts: ForwarderParts) -> None:
-        """Keep the parts."""
-        self._parts = parts
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        """Subscribe to ended replicas, to fail the attempts at them."""
+        self._dependencies = dependencies
         self._node_ends_at = math.inf
-        parts.cluster.add_end_listener(parts.running.break_off)
+        dependencies.cluster.add_end_listener(dependencies.running.fail_ended)
 
-    def leave(self, ends_at: float) -> None:
-        """Take nothing more that can't be expected to end by a moment.
+    def start_draining(self, ends_at: float) -> None:
+        """Refuse new requests that are not expected to end by ``ends_at``.
 
-        Callers do better elsewhere: of the streams that came within the last
-        seconds of a planned stop, 2 to 4 were cut by the end of the process in
-        each of four played days.
+        Callers are better served by another node: without this check, 2 to 4
+        streams that arrived in the last seconds before a planned stop were
+        truncated by the end of the process on each of four test days.
         """
         self._node_ends_at = ends_at
 
-    async def serve(self, ask: Ask, answer: CallerAnswer) -> None:
-        """Serve a request to its end.
+    async def serve(
+        self, request: DecodedRequest, answer: AnswerWriter
+    ) -> None:
+        """Serve a request until its answer has ended.
 
         Raises
         ------
         Refusal
-            When no answer was begun.
+            If no part of an answer was sent to the caller.
         """
-        context = self._identify(ask)
-        self._parts.guard.check(context.traits, context.arrived_at)
-        self._check_end(context)
-        if ask.forwarded is None:
-            # A forwarded request counts at the node that its caller asked.
-            self._parts.budget.note_request(
+        context = self._resolve(request)
+        self._dependencies.guard.check(context.traits, context.arrived_at)
+        self._check_node_end(context)
+        if request.forwarded is None:
+            # A forwarded request counts at the node that received it first.
+            self._dependencies.budget.note_request(
                 context.service, context.arrived_at
             )
-        await RequestExecution(self._parts, context, answer).run()
+        await RequestExecution(self._dependencies, context, answer).run()
 
-    def _check_end(self, context: RequestContext) -> None:
-        """Refuse what would be cut by the end of this node."""
+    def _check_node_end(self, context: RequestContext) -> None:
+        """Refuse a request that would still run when this node stops."""
         if math.isinf(self._node_ends_at):
             return
-        times = self._parts.answer_times
+        times = self._dependencies.answer_times
         if (
             times.estimate_end(context, context.arrived_at)
             > self._node_ends_at
         ):
             raise Refusal(Code.NODE_LEAVING, retry_after=0)
 
-    def _identify(self, ask: Ask) -> RequestContext:
-        """Find route, account and service."""
-        now = self._parts.clock.read()
-        cluster = self._parts.cluster
+    def _resolve(self, request: DecodedRequest) -> RequestContext:
+        """Resolve the route, client account and service of a request."""
+        now = self._dependencies.clock.read()
+        cluster = self._dependencies.cluster
         cluster.check_routes(now)
-        route = cluster.index.find_route(ask.host, ask.path)
+        route = cluster.index.find_route(request.host, request.path)
         if route is None:
             raise Refusal(Code.NO_ROUTE)
-        holder = self._find_holder(ask, route, now)
-        name = route.pick_service(self._parts.draw())
+        holder = self._find_holder(request, route, now)
+        name = route.pick_service(self._dependencies.draw())
         service = None if name is None else cluster.index.find_service(name)
         if service is None:
             raise Refusal(
                 Code.NO_WHOLE_GROUP,
                 retry_after=advise_return(
-                    ReturnReason.NO_GROUP, route.timeout, self._parts.draw()
+                    ReturnReason.NO_GROUP,
+                    route.timeout,
+                    self._dependencies.draw(),
                 ),
             )
         seconds = route.timeout
-        if ask.seconds is not None:
-            seconds = min(seconds, ask.seconds)
+        if request.timeout_seconds is not None:
+            seconds = min(seconds, request.timeout_seconds)
         return RequestContext(
-            ask,
+            request,
             route,
             service.name,
             holder,
             arrived_at=now,
-            ends_at=now + seconds,
+            deadline_at=now + seconds,
             traits=RequestTraits(
                 make_fingerprint(
-                    ask.method,
-                    ask.target,
-                    ask.body,
+                    request.method,
+                    request.target,
+                    request.body,
                     None if holder is None else holder.account,
                 ),
-                ask.prompt_parts,
+                request.prompt_parts,
             ),
             engine=service.engine,
-            last_event=ask.resume_after,
-            most_sends=_count_sends(ask, route),
+            last_event=request.resume_after,
+            max_sends=_count_sends(request, route),
         )
 
     def _find_holder(
         self,
-        ask: Ask,
+        request: DecodedRequest,
         route: Route,
         now: float,
     ) -> KeyHolder | None:
-        cluster = self._parts.cluster
+        cluster = self._dependencies.cluster
         if route.public or not cluster.index.table.has_accounts:
             return None
         cluster.check_keys(now)
-        holder = cluster.index.find_holder(ask.key)
+        holder = cluster.index.find_holder(request.api_key)
         if holder is None:
             raise Refusal(Code.UNKNOWN_KEY)
         return holder
 
 
-def _count_sends(ask: Ask, route: Route) -> int:
-    """Return how many replicas this node may send a request to."""
-    if ask.forwarded is None:
+def _count_sends(request: DecodedRequest, route: Route) -> int:
+    """Return the maximum number of replicas to send a request to."""
+    if request.forwarded is None:
         return route.most_targets
-    return min(route.most_targets, ask.forwarded.sends)
+    return min(route.most_targets, request.forwarded.sends)
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -1,4 +1,4 @@
-"""A peer that forwards requests for a node without links to replicas."""
+"""Forwarding through a peer when this node is cut off from replicas."""
 
 from __future__ import annotations
 
@@ -6,81 +6,87 @@
 
 from waywell.connection.exchange import Outgoing
 from waywell.connection.forwarding import ForwardMark, read_refusal
-from waywell.request.ask import AnswerMark
+from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.destination import Destination
 from waywell.request.peer_chooser import make_peer_key
 
 if TYPE_CHECKING:
     from waywell.connection.wire import RawHeaders
     from waywell.membership.membership import NodeRecord
-    from waywell.request.request_context import ForwarderParts, RequestContext
+    from waywell.request.request_context import (
+        ForwarderDependencies,
+        RequestContext,
+    )
 
 
 class PeerDestination(Destination):
-    """A peer that serves a request in this node's place.
+    """A peer that forwards a request to a replica for this node.
 
-    The peer draws on its own permits, budget and quarantine, so this node
-    records nothing of the replicas that it uses.
+    The peer applies its own permits, budget and quarantine, so this node
+    records nothing about the replicas that the peer uses.
 
     Parameters
     ----------
-    parts
-        What the forwarder works with.
+    dependencies
+        Collaborators of the forwarder.
     context
-        The request.
+        State of the request.
     peer
-        The peer.
+        Membership record of the peer.
     """
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        dependencies: ForwarderDependencies,
         context: RequestContext,
         peer: NodeRecord,
     ) -> None:
-        """Send nothing yet."""
+        """Reserve the remaining sends of the request for the peer."""
         self.key = make_peer_key(peer)
-        self.book = parts.peer_book
-        self._parts = parts
+        self.book = dependencies.peer_book
+        self._dependencies = dependencies
         self._context = context
         self._peer = peer
-        self._sends = max(1, context.most_sends - context.sends)
+        self._sends = max(1, context.max_sends - context.sends)
 
     def describe(self) -> dict[str, object]:
-        """Return what log lines tell of it."""
+        """Return the fields that identify the peer in log lines."""
         return {'peer': self._peer.node}
 
     def make_outgoing(self, now: float) -> Outgoing:
-        """Return the request as it is sent there at ``now``."""
+        """Return the request in the form in which it is sent at ``now``."""
         context = self._context
         return Outgoing(
             self._peer.host,
             self._peer.caller_port,
-            context.ask.method,
-            context.ask.target,
-            self._parts.wire.make_forward_headers(
-                context.ask,
-                ForwardMark(self._parts.node, self._sends),
-                context.ends_at - now,
+            context.request.method,
+            context.request.target,
+            self._dependencies.wire.make_forward_headers(
+                context.request,
+                ForwardMark(self._dependencies.node, self._sends),
+                context.deadline_at - now,
                 context.last_event,
             ),
-            context.ask.body,
+            context.request.body,
         )
 
     def may_send(self, now: float) -> bool:
-        """Answer that the request may go: the peer checks it anew."""
+        """Return ``True``, as the peer makes the checks itself."""
         return True
 
     def count_sends(self) -> int:
-        """Return how many replicas the attempt may reach."""
+        """Return the maximum number of replicas that the peer may use."""
         return self._sends
 
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMark:
-        """Return what the head of an answer says of it.
+    def read_metadata(
+        self, status: int, headers: RawHeaders
+    ) -> AnswerMetadata:
+        """Return the attempt id or the refusal from the head of an answer.
 
-        What a replica tells of itself there was told to the peer.
+        All other metadata of the replica concerns only the peer, which has
+        applied it.
         """
-        mark = self._parts.wire.read_mark(status, headers)
-        if mark.attempt:
-            return AnswerMark(mark.attempt)
-        return AnswerMark(refusal=read_refusal(headers))
+        metadata = self._dependencies.wire.read_mark(status, headers)
+        if metadata.attempt_id:
+            return AnswerMetadata(metadata.attempt_id)
+        return AnswerMetadata(refusal=read_refusal(headers))
--- a/waywell/request/attempts.py
+++ b/waywell/request/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts at one request that run side by side."""
+"""Concurrent attempts at one request."""
 
 from __future__ import annotations
 
@@ -14,129 +14,147 @@
 from waywell.telemetry.events import log_event
 
 if TYPE_CHECKING:
-    from waywell.request.request_context import ForwarderParts, RequestContext
+    from waywell.request.request_context import (
+        ForwarderDependencies,
+        RequestContext,
+    )
     from waywell.version.fleet import Replica
 
-MOST_LOGGED = 8
-"""Maximum number of prompt parts on a log line."""
+MAX_LOGGED_PARTS = 8
+"""Maximum number of prompt parts in a log line."""
 
 
-class Attempts:
-    """Starts and drops the attempts at one request.
+class RequestAttempts:
+    """Starts, hedges and drops the attempts at one request.
 
     Parameters
     ----------
-    parts
-        What the forwarder works with.
+    dependencies
+        Collaborators of the forwarder.
     context
-        The request.
+        State of the request.
     inbox
-        Where what comes back is put.
+        Queue that receives the messages of the attempts.
     """
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        dependencies: ForwarderDependencies,
         context: RequestContext,
         inbox: Inbox,
     ) -> None:
-        """Start none yet."""
+        """Compute the hedge timeouts without starting an attempt."""
         self.running: list[Attempt] = []
         self.hedge_timeouts = measure_hedge_timeouts(
             context.route,
             context.engine,
-            context.ask,
-            parts.pauses.get(context.ask.model),
+            context.request,
+            dependencies.pauses.get(context.request.model),
         )
-        self._parts = parts
+        self._dependencies = dependencies
         self._context = context
         self._inbox = inbox
 
     def start(self) -> bool:
-        """Start an attempt at the best replica left; answer whether so."""
-        now = self._parts.clock.read()
-        destination = self._choose(now) if self._may_risk(0, now) else None
+        """Start an attempt at the best untried replica, if there is one.
+
+        Returns
+        -------
+        bool
+            Whether an attempt was started.
+        """
+        now = self._dependencies.clock.read()
+        destination = (
+            self._choose(now) if self._may_expose_replica(0, now) else None
+        )
         if destination is None:
             return False
         self._send(destination, now)
         return True
 
     async def start_at_peer(self) -> bool:
-        """Start an attempt at a peer, where this node's links are lost."""
+        """Start an attempt at a peer if this node is cut off from replicas."""
         return await self._check_links() and self.start()
 
-    async def start_paid_anywhere(self, now: float) -> bool:
-        """Start a second attempt; where none is left, find out about links."""
-        if self.start_paid(now):
+    async def start_resend_anywhere(self, now: float) -> bool:
+        """Start a resend; if no replica is left, diagnose the links first."""
+        if self.start_resend(now):
             return True
         if not self.has_sends_left() or not await self._check_links():
             return False
-        return self.start_paid(self._parts.clock.read())
+        return self.start_resend(self._dependencies.clock.read())
 
-    def start_paid(self, now: float, beside: int = 0) -> bool:
-        """Start a second attempt within the budget; answer whether so.
+    def start_resend(self, now: float, concurrent: int = 0) -> bool:
+        """Start another attempt if the resend budget allows it.
 
         Parameters
         ----------
         now
-            The present time, in seconds.
-        beside
-            Attempts that go on beside it.
+            Current time, in seconds.
+        concurrent
+            Number of attempts that continue to run beside it.
+
+        Returns
+        -------
+        bool
+            Whether an attempt was started.
         """
-        if not self.has_sends_left() or not self._may_risk(beside, now):
+        if not self.has_sends_left() or not self._may_expose_replica(
+            concurrent, now
+        ):
             return False
         destination = self._choose(now)
-        # Nothing is paid for an attempt that no replica is left for.
-        nodes = self._parts.count_nodes()
+        # The budget is charged only if a replica is left to try.
+        nodes = self._dependencies.count_nodes()
         service = self._context.service
         if destination is None:
             return False
-        if not self._parts.budget.spend(service, nodes, now):
+        if not self._dependencies.budget.spend(service, nodes, now):
             return False
         self._send(destination, now)
         return True
 
     def drop(self, attempt: Attempt) -> None:
-        """Break an attempt off, unless it was dropped before."""
+        """Stop an attempt, unless it was dropped before."""
         if attempt in self.running:
             self.running.remove(attempt)
-            self._parts.running.discard(attempt)
+            self._dependencies.running.discard(attempt)
             destination = attempt.destination
             destination.book.note_end(destination.key)
             attempt.stop()
 
     def drop_others(self, attempt: Attempt) -> None:
-        """Give all up but one.
+        """Drop all attempts but one.
 
-        A replica that is asked no more may still answer that it wants no
-        requests for a while, or that it leaves.
+        The heads of their answers are still awaited: they may ask for a pause
+        or announce that the replica is leaving.
         """
-        seconds = self._context.ends_at - self._parts.clock.read()
+        seconds = self._context.deadline_at - self._dependencies.clock.read()
         for other in tuple(self.running):
             if other is not attempt:
-                other.release(seconds)
+                other.await_head_only(seconds)
                 self.drop(other)
 
     def drop_all(self) -> None:
-        """Break all off."""
+        """Drop all attempts."""
         for attempt in tuple(self.running):
             self.drop(attempt)
 
     def can_hedge(self) -> bool:
-        """Answer whether a second attempt may run beside the first."""
+        """Return whether a hedge may be started beside the only attempt."""
         return (
             len(self.running) == 1
-            and self._context.may_move
+            and self._context.may_retry_elsewhere
             and self.has_sends_left()
-            and self._may_risk(1, self._parts.clock.read())
+            and self._may_expose_replica(1, self._dependencies.clock.read())
         )
 
     def has_sends_left(self) -> bool:
-        """Answer whether the route allows one more replica."""
-        return self._context.sends < self._context.most_sends
+        """Return whether the request may be sent to one more replica."""
+        return self._context.sends < self._context.max_sends
 
-    def get_hedge_at(self) -> float:
-        """Return when the one attempt has been silent for too long."""
+    def get_hedge_time(self) -> float:
+        """Return when the only attempt becomes due for a hedge, in seconds."""
         attempt = self.running[0]
         destination = attempt.destination
         heard_at = destination.book.get(destination.key).heard_at
@@ -145,18 +163,18 @@
         return attempt.started_at + self.hedge_timeouts.first
 
     def hedge(self, now: float) -> None:
-        """Start a second attempt beside a silent one, or wait once more."""
+        """Start a hedge beside a silent attempt, or restart its timeout."""
         attempt = self.running[0]
-        self.note_silence(now)
-        if self.start_paid(now, beside=1):
+        self.record_silence(now)
+        if self.start_resend(now, concurrent=1):
             self.log('hedged', attempt, now)
             return
         attempt.started_at = now
         destination = attempt.destination
         destination.book.get(destination.key).heard_at = now
 
-    def note_silence(self, now: float) -> None:
-        """Let a replica rest from which nothing at all comes any more."""
+    def record_silence(self, now: float) -> None:
+        """Record replicas that are silent on all requests as failed."""
         for attempt in self.running:
             destination = attempt.destination
             book, key = destination.book, destination.key
@@ -166,22 +184,22 @@
                 self.log('silent', attempt, now)
 
     def check_unsent(self, now: float) -> None:
-        """Refuse a request that was not sent because of what it is.
+        """Refuse a request that was not sent and may not be sent any more.
 
         Raises
         ------
         Refusal
-            When its key was removed, or replicas ended under it meanwhile.
+            If its API key was removed or it was quarantined meanwhile.
         """
         context = self._context
         if context.may_have_run:
             return
-        self._parts.guard.check(context.traits, now)
+        self._dependencies.guard.check(context.traits, now)
         if context.holder is None:
             return
-        cluster = self._parts.cluster
+        cluster = self._dependencies.cluster
         cluster.check_keys(now)
-        if cluster.index.find_holder(context.ask.key) is None:
+        if cluster.index.find_holder(context.request.api_key) is None:
             raise Refusal(Code.UNKNOWN_KEY)
 
     def log(
@@ -191,13 +209,13 @@
         now: float,
         **pairs: object,
     ) -> None:
-        """Log what becomes of an attempt."""
+        """Log and count an event of an attempt."""
         context = self._context
-        cluster = self._parts.cluster
-        self._parts.metrics.count_attempt(event, context.service)
+        cluster = self._dependencies.cluster
+        self._dependencies.metrics.count_attempt(event, context.service)
         log_event(
             event,
-            request=context.ask.attempt,
+            request=context.request.attempt_id,
             fingerprint=context.traits.fingerprint,
             route=context.route.name,
             attempt=attempt.number,
@@ -210,16 +228,21 @@
         )
 
     def explain_unroutable(self, now: float) -> Unroutable:
-        """Return why no replica is left for the request."""
-        if self._is_partitioned() and self._context.ask.forwarded is not None:
+        """Return why no replica can take the request."""
+        if (
+            self._is_partitioned()
+            and self._context.request.forwarded is not None
+        ):
             return Unroutable(Code.NODE_PARTITIONED, ReturnReason.NO_GROUP)
-        backpressure = self._parts.backpressure
+        backpressure = self._dependencies.backpressure
         replicas = self._list_replicas()
-        wanting = backpressure.list_open(replicas, now)
+        open_replicas = backpressure.list_open(replicas, now)
         return explain_unroutable(
-            backpressure.find_release([one.key.life for one in replicas], now),
-            self._parts.turns.find_wait(
-                [one.key.life for one in wanting], now
+            backpressure.find_release(
+                [replica.key.life for replica in replicas], now
+            ),
+            self._dependencies.permits.find_wait(
+                [replica.key.life for replica in open_replicas], now
             ),
             self._context.rejections,
         )
@@ -232,13 +255,13 @@
             len(context.tried),
             self._inbox,
             context.traits,
-            self._parts.clock,
+            self._dependencies.clock,
         )
         self.running.append(attempt)
-        self._parts.running.add(attempt)
+        self._dependencies.running.add(attempt)
         record = destination.book.get(destination.key)
         if not record.in_flight:
-            # Silence is counted from when it has work.
+            # Silence is measured only while the replica has work.
             record.heard_at = now
         destination.book.note_start(destination.key)
         attempt.start(lambda: self._may_send(attempt), now)
@@ -249,68 +272,77 @@
             now,
             load=record.in_flight,
             rests=rests,
-            limit=self._parts.turns.get_limit(destination.key.life),
-            prompt_parts=','.join(context.ask.prompt_parts[:MOST_LOGGED]),
+            limit=self._dependencies.permits.get_limit(destination.key.life),
+            prompt_parts=','.join(
+                context.request.prompt_parts[:MAX_LOGGED_PARTS]
+            ),
         )
 
     def _list_replicas(self) -> list[Replica]:
         context = self._context
-        return self._parts.cluster.list_replicas(
-            context.service, context.ask.model
+        return self._dependencies.cluster.list_replicas(
+            context.service, context.request.model
         )
 
     async def _check_links(self) -> bool:
-        """Answer whether a peer may reach replicas that this node can't."""
-        if self._context.ask.forwarded is not None:
+        """Return whether peers have to forward, after diagnosing the links."""
+        if self._context.request.forwarded is not None:
             return False
-        await self._parts.paths.await_diagnosis(self._context.service)
+        await self._dependencies.paths.await_diagnosis(self._context.service)
         return self._is_partitioned()
 
     def _is_partitioned(self) -> bool:
-        """Answer whether this node has lost its links to the service."""
-        return self._parts.paths.is_partitioned(self._context.service)
+        """Return whether this node is cut off from the service's replicas."""
+        return self._dependencies.paths.is_partitioned(self._context.service)
 
     def _choose(self, now: float) -> Destination | None:
         if not self._is_partitioned():
             return self._choose_replica(now)
-        if self._context.ask.forwarded is not None:
-            # Its sender has other peers.
+        if self._context.request.forwarded is not None:
+            # A request is forwarded once: the sender tries other peers.
             return None
         context = self._context
-        peer = self._parts.paths.choose_peer(
+        peer = self._dependencies.paths.choose_peer(
             context.service, context.tried, now
         )
         if peer is None:
             return self._choose_replica(now)
-        return PeerDestination(self._parts, context, peer)
+        return PeerDestination(self._dependencies, context, peer)
 
     def _choose_replica(self, now: float) -> ReplicaDestination | None:
-        # A replica that has asked for rest, or has no turn, is no last resort.
-        replicas = self._parts.backpressure.list_open(
+        # Replicas that asked for a pause or have no permit are excluded even
+        # if no other replica is left.
+        replicas = self._dependencies.backpressure.list_open(
             self._list_replicas(), now
         )
-        missed = self._context.turns_missed
-        replica = self._parts.chooser.choose(
-            self._parts.turns.list_open(replicas, missed, now),
+        missed = self._context.permits_missed
+        replica = self._dependencies.chooser.choose(
+            self._dependencies.permits.list_open(replicas, missed, now),
             self._context.tried,
-            self._parts.book,
+            self._dependencies.book,
             now,
         )
         if replica is None:
             return None
-        return ReplicaDestination(self._parts, self._context, replica)
+        return ReplicaDestination(self._dependencies, self._context, replica)
+
+    def _may_expose_replica(self, concurrent: int, now: float) -> bool:
+        """Return whether the request may be sent to one more replica.
 
-    def _may_risk(self, beside: int, now: float) -> bool:
-        """Answer whether the request may put one more replica at risk."""
-        return self._parts.guard.may_send(self._context.traits, beside, now)
+        The guard limits on how many replicas a request that may crash them
+        runs at a time.
+        """
+        return self._dependencies.guard.may_send(
+            self._context.traits, concurrent, now
+        )
 
     def _may_send(self, attempt: Attempt) -> bool:
-        """Answer, in the turn of the write, whether it still may go out."""
+        """Return, right before the write, whether it may still be sent."""
         context = self._context
-        now = self._parts.clock.read()
-        if now >= context.ends_at:
+        now = self._dependencies.clock.read()
+        if now >= context.deadline_at:
             return False
-        if self._parts.guard.find_release(context.traits, now):
+        if self._dependencies.guard.find_release(context.traits, now):
             return False
         if not attempt.destination.may_send(now):
             return False
