--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -32,7 +32,7 @@
 from waywell.request.forwarder import Forwarder
 from waywell.request.paths import DirectPaths
 from waywell.request.peer_chooser import make_peer_key
-from waywell.request.placement import Chooser
+from waywell.request.placement import ReplicaChooser
 from waywell.request.replica_book import ReplicaBook
 from waywell.request.request_context import CallerAnswer, ForwarderParts
 from waywell.request.resend_budget import ResendBudget, ResendLimits
@@ -155,7 +155,9 @@
             ForwarderParts(
                 outlook=outlook,
                 wire=_Wire(),
-                chooser=Chooser(HallName('port'), SharedLoads(), Random(1)),
+                chooser=ReplicaChooser(
+                    HallName('port'), SharedLoads(), Random(1)
+                ),
                 book=self.book,
                 budget=self.budget,
                 paths=self.paths,
--- a/tests/test_answer_times.py
+++ b/tests/test_answer_times.py
@@ -11,7 +11,7 @@
 from waywell.codes import Code, Ran
 from waywell.request.answer_times import (
     MARGIN,
-    MOST_SIZES,
+    MAX_SIZE_CLASSES,
     WINDOW_SECONDS,
     AnswerTimes,
 )
@@ -33,7 +33,7 @@
 
 def test_a_route_without_an_answer_may_take_all_its_time() -> None:
     times = AnswerTimes()
-    times.note(make_context(10.0, route='other'), 12.0)
+    times.record(make_context(10.0, route='other'), 12.0)
     assert times.estimate_end(make_context(20.0), 20.0) == 28.0
 
 
@@ -44,8 +44,8 @@
     that the stream had more tokens is inferred, its head was not looked at.
     """
     times = AnswerTimes()
-    times.note(make_context(10.0, tokens=300), 13.0)
-    times.note(make_context(10.0, tokens=20), 11.0)
+    times.record(make_context(10.0, tokens=300), 13.0)
+    times.record(make_context(10.0, tokens=20), 11.0)
     longest = make_context(20.0, tokens=500)
     assert times.estimate_end(longest, 20.0) == 20.0 + 5.0 * MARGIN
     short = make_context(20.0, tokens=20)
@@ -57,13 +57,13 @@
 def test_the_longest_answer_counts_with_a_margin() -> None:
     times = AnswerTimes()
     for seconds in (1.0, 3.0, 2.0):
-        times.note(make_context(10.0), 10.0 + seconds)
+        times.record(make_context(10.0), 10.0 + seconds)
     assert times.estimate_end(make_context(20.0), 20.0) == 20.0 + 3.0 * MARGIN
 
 
 def test_no_request_lasts_longer_than_its_own_time() -> None:
     times = AnswerTimes()
-    times.note(make_context(10.0), 13.0)
+    times.record(make_context(10.0), 13.0)
     assert times.estimate_end(make_context(20.0, seconds=1.0), 20.0) == 21.0
 
 
@@ -75,7 +75,7 @@
     seconds: float,
 ) -> None:
     times = AnswerTimes()
-    times.note(make_context(10.0), 13.0)
+    times.record(make_context(10.0), 13.0)
     now = 13.0 + windows * WINDOW_SECONDS
     context = make_context(now)
     assert times.estimate_end(context, now) == now + seconds * MARGIN
@@ -85,10 +85,10 @@
     """Routes come and go with each version, for as long as a node runs."""
     times = AnswerTimes()
     now = 0.0
-    for number in range(20 * MOST_SIZES):
-        now += 5 * WINDOW_SECONDS / MOST_SIZES
-        times.note(make_context(now - 1.0, route=f'r{number}'), now)
-    assert len(times) <= MOST_SIZES
+    for number in range(20 * MAX_SIZE_CLASSES):
+        now += 5 * WINDOW_SECONDS / MAX_SIZE_CLASSES
+        times.record(make_context(now - 1.0, route=f'r{number}'), now)
+    assert len(times) <= MAX_SIZE_CLASSES
     context = make_context(now, route=f'r{number}')
     assert times.estimate_end(context, now) == now + MARGIN
 
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -20,7 +20,7 @@
 from waywell.request.attempt import Attempt
 from waywell.request.backpressure import (
     LEAVING_SECONDS,
-    MOST_KEPT,
+    MAX_BOXES,
     Backpressure,
 )
 from waywell.version.fleet import BoxLife
@@ -48,18 +48,18 @@
     @rule(life=lives, seconds=st.floats(0, 20))
     def ask_for_rest(self, life: BoxLife, seconds: float) -> None:
         mark = AnswerMark(is_rejected=True, rest_seconds=seconds)
-        self.pressure.note(life, mark, self.now)
+        self.pressure.record(life, mark, self.now)
         ends_at = self.now + seconds
         self.ends[life] = max(ends_at, self.ends.get(life, 0.0))
 
     @rule(life=lives)
     def leave(self, life: BoxLife) -> None:
-        self.pressure.note(life, AnswerMark(is_leaving=True), self.now)
+        self.pressure.record(life, AnswerMark(is_leaving=True), self.now)
         self.leaving.add(life)
 
     @rule(life=lives)
     def answer(self, life: BoxLife) -> None:
-        self.pressure.note(life, AnswerMark('a1'), self.now)
+        self.pressure.record(life, AnswerMark('a1'), self.now)
 
     @rule(life=lives)
     def end(self, life: BoxLife) -> None:
@@ -73,7 +73,7 @@
 
     @rule()
     def tend(self) -> None:
-        self.pressure.forget_old(self.now)
+        self.pressure.forget_expired(self.now)
 
     @invariant()
     def each_rest_lasts_until_it_ends(self) -> None:
@@ -98,20 +98,20 @@
 
 def test_what_is_kept_is_bounded() -> None:
     pressure = Backpressure()
-    for number in range(MOST_KEPT + 10):
-        pressure.note(make_life(f'b{number}'), REST, float(number))
-    assert pressure.count(0.0)['resting'] <= MOST_KEPT
-    pressure.forget_old(MOST_KEPT + 20.0)
+    for number in range(MAX_BOXES + 10):
+        pressure.record(make_life(f'b{number}'), REST, float(number))
+    assert pressure.count(0.0)['resting'] <= MAX_BOXES
+    pressure.forget_expired(MAX_BOXES + 20.0)
     assert not pressure.count(0.0)['resting']
 
 
 def test_a_word_of_leaving_is_bounded_as_well() -> None:
     pressure = Backpressure()
     leaves = AnswerMark(is_leaving=True)
-    for number in range(MOST_KEPT + 10):
-        pressure.note(make_life(f'b{number}'), leaves, 0.0)
-    assert pressure.count(0.0)['leaving'] <= MOST_KEPT
-    pressure.forget_old(LEAVING_SECONDS)
+    for number in range(MAX_BOXES + 10):
+        pressure.record(make_life(f'b{number}'), leaves, 0.0)
+    assert pressure.count(0.0)['leaving'] <= MAX_BOXES
+    pressure.forget_expired(LEAVING_SECONDS)
     assert not pressure.count(0.0)['leaving']
 
 
@@ -244,7 +244,7 @@
             for one in stage.outlook.list_replicas('llm', 'notes')
             if one != stream.replica
         )
-        stage.forwarder._parts.backpressure.note(
+        stage.forwarder._parts.backpressure.record(
             other.key.life, REST, stage.clock.now
         )
         # Neither beside a silent attempt, nor in place of a broken one.
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -6,7 +6,7 @@
 
 from tests.boxes import make_box, make_fleet, make_group, make_life
 from waywell.ids import ModelName
-from waywell.request.demand import DemandGauge, count_by_model
+from waywell.request.demand import DemandEstimator, count_by_model
 
 BIG, SMALL = ModelName('big'), ModelName('small')
 
@@ -27,11 +27,11 @@
 
 def test_the_first_look_counts_whole() -> None:
     # A node that takes up the duty must not think that nobody calls.
-    assert DemandGauge().observe({BIG: 12}, 5.0) == {BIG: 12.0}
+    assert DemandEstimator().observe({BIG: 12}, 5.0) == {BIG: 12.0}
 
 
 def test_what_is_over_fades() -> None:
-    gauge = DemandGauge()
+    gauge = DemandEstimator()
     gauge.observe({BIG: 12, SMALL: 1}, 0.0)
     soon = gauge.observe({SMALL: 1}, 0.3)
     assert soon[BIG] == pytest.approx(10.86, abs=0.01)
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -19,7 +19,7 @@
 )
 from waywell.ids import Epoch, GroupId, NodeId
 from waywell.membership.links import PeerLinks
-from waywell.request.replica_book import LONGEST_REST, ReplicaBook
+from waywell.request.replica_book import MAX_BACKOFF_SECONDS, ReplicaBook
 from waywell.version.fleet import Replica, ReplicaKey
 
 BOX = make_box('a')
@@ -97,16 +97,16 @@
 
 def test_a_word_is_not_believed_while_something_comes() -> None:
     bench = Bench()
-    bench.book.note_heard(REPLICA.key, bench.clock.now)
+    bench.book.record_message(REPLICA.key, bench.clock.now)
     bench.receive('d1')
-    assert bench.book.get(REPLICA.key).rests_until == 0
+    assert bench.book.get(REPLICA.key).backoff_until == 0
 
 
 def test_any_number_of_failures_is_counted() -> None:
     book = ReplicaBook()
     for _failure in range(5000):
-        book.note_failure(REPLICA.key, 1.0)
-    assert book.get(REPLICA.key).rests_until == 1.0 + LONGEST_REST
+        book.record_failure(REPLICA.key, 1.0)
+    assert book.get(REPLICA.key).backoff_until == 1.0 + MAX_BACKOFF_SECONDS
 
 
 def test_a_doubt_is_taken_back_once_the_replica_goes_on() -> None:
@@ -120,12 +120,12 @@
     """
     bench = Bench()
     bench.receive('d1')
-    assert bench.book.get(REPLICA.key).rests_until > bench.clock.now
+    assert bench.book.get(REPLICA.key).backoff_until > bench.clock.now
     bench.pass_time(LISTEN_SECONDS / 2)
-    bench.book.note_event(REPLICA.key, bench.clock.now)
-    bench.book.get(REPLICA.key).rests_until = bench.clock.now + 1.0
+    bench.book.record_event(REPLICA.key, bench.clock.now)
+    bench.book.get(REPLICA.key).backoff_until = bench.clock.now + 1.0
     bench.pass_time(LISTEN_SECONDS)
-    assert bench.book.get(REPLICA.key).rests_until == 0
+    assert bench.book.get(REPLICA.key).backoff_until == 0
     assert bench.heard == [REPLICA.group]
     assert isinstance(bench.links.words[-1], ReplicaHeard)
 
@@ -136,7 +136,7 @@
     word = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
     for node in ('n2', 'n3'):
         bench.doubts.on_received(PeerLinks.Received(NodeId(node), word))
-    assert bench.book.get(REPLICA.key).rests_until == 0
+    assert bench.book.get(REPLICA.key).backoff_until == 0
     assert bench.heard == [REPLICA.group]
 
 
--- a/tests/test_peer_chooser.py
+++ b/tests/test_peer_chooser.py
@@ -55,7 +55,7 @@
     busy, idle = make_node('a'), make_node('b')
     bench = Bench(busy, idle)
     for _request in range(3):
-        bench.book.note_start(make_peer_key(busy))
+        bench.book.record_start(make_peer_key(busy))
     counts = Counter(bench.choose() for _draw in range(400))
     assert counts['b'] > 2 * counts['a']
 
@@ -77,7 +77,7 @@
     first, second = make_node('a'), make_node('b')
     bench = Bench(first, second)
     assert bench.choose(first) == 'b'
-    bench.book.note_failure(make_peer_key(second), 9.9)
+    bench.book.record_failure(make_peer_key(second), 9.9)
     assert bench.choose() == 'a'
     assert not bench.choose(first)
 
--- a/tests/test_prompt_parts.py
+++ b/tests/test_prompt_parts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from waywell.request.prompt_parts import (
-    MOST_PARTS,
+    MAX_PARTS,
     count_requests,
     decode_prompt_parts,
     is_prompt_part,
@@ -34,7 +34,7 @@
 def test_a_long_list_is_bounded() -> None:
     text = ','.join(f'{number:x}:1' for number in range(10_000))
     parts = decode_prompt_parts(text)
-    assert len(parts) == MOST_PARTS
+    assert len(parts) == MAX_PARTS
     assert all(is_prompt_part(part) for part in parts)
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -76,7 +76,7 @@
         if end:
             witness.ended.add(name)
         for traits in requests:
-            witness.note_broken(
+            witness.record_broken_attempt(
                 make_replica(name), traits, has_begun=False, is_over=False
             )
         for _turn in range(5):
@@ -102,10 +102,10 @@
     bench = Bench(nodes=4)
     for number in (1, 2, 3):
         await bench.end(f'b{number}', 'deadly', f'x{number}', node=number)
-    assert not bench.node.find_release(DEADLY_REQUEST, bench.clock.now)
+    assert not bench.node.get_hold_seconds(DEADLY_REQUEST, bench.clock.now)
     bench.carry_words()
-    assert bench.node.find_release(DEADLY_REQUEST, bench.clock.now) > 0
-    assert not bench.node.find_release(
+    assert bench.node.get_hold_seconds(DEADLY_REQUEST, bench.clock.now) > 0
+    assert not bench.node.get_hold_seconds(
         RequestTraits(Fingerprint('x1')), bench.clock.now
     )
     with pytest.raises(Refusal) as caught:
@@ -186,7 +186,7 @@
     assert bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
     # No second one beside it: that could be the fourth.
     assert not bench.node.may_send(DEADLY_REQUEST, 1, bench.clock.now)
-    bench.node.note_broken(
+    bench.node.record_broken_attempt(
         make_replica('b3'), DEADLY_REQUEST, has_begun=False, is_over=False
     )
     assert not bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
@@ -201,9 +201,9 @@
 async def test_what_was_served_a_moment_ago_is_sent_on_all_the_while() -> None:
     """Answers get lost at many replicas, and many ask for the same."""
     bench = Bench()
-    bench.node.note_served(OTHER_REQUEST)
+    bench.node.record_served(OTHER_REQUEST)
     for number in range(5):
-        bench.node.note_broken(
+        bench.node.record_broken_attempt(
             make_replica(f'b{number}'),
             OTHER_REQUEST,
             has_begun=False,
@@ -250,7 +250,10 @@
     assert not bench.node.may_send(requests[4], 0, bench.clock.now)
     bench.node._running.discard(running)
     await bench.break_off('b4', requests[0])
-    assert bench.node.find_release(requests[4], bench.clock.now) > HOLD_SECONDS
+    assert (
+        bench.node.get_hold_seconds(requests[4], bench.clock.now)
+        > HOLD_SECONDS
+    )
 
 
 @in_loop
@@ -263,7 +266,7 @@
         RequestTraits(Fingerprint(Trait(f'r{number}')), (first,))
         for number in range(4)
     ]
-    witness.note_served(requests[0])
+    witness.record_served(requests[0])
     for number in (1, 2, 3):
         await bench.break_off(f'b{number}', requests[number], node=1)
         bench.carry_words()
@@ -307,7 +310,7 @@
     bench.carry_words()
     caught = Fingerprint('caught')
     assert bench.node.book.count_crashes(caught) == 2
-    bench.nodes[1].note_served(RequestTraits(caught))
+    bench.nodes[1].record_served(RequestTraits(caught))
     bench.carry_words()
     assert not bench.node.book.count_crashes(caught)
 
@@ -319,15 +322,15 @@
     bench = Bench(nodes=2)
     fresh = bench.nodes[1]
     hot = Fingerprint('hot')
-    bench.node.note_served(RequestTraits(hot))
+    bench.node.record_served(RequestTraits(hot))
     for number in (1, 2, 3):
         await bench.end(f'b{number}', 'hot', f'x{number}', node=1)
-    assert fresh.find_release(RequestTraits(hot), bench.clock.now) > 0
+    assert fresh.get_hold_seconds(RequestTraits(hot), bench.clock.now) > 0
     bench.carry_words()
     for node, word in bench.node.noted.sent:
         assert node == PEER
         fresh.on_received(PeerLinks.Received(NodeId('n1'), word))
-    assert not fresh.find_release(RequestTraits(hot), bench.clock.now)
+    assert not fresh.get_hold_seconds(RequestTraits(hot), bench.clock.now)
     # What nobody has served is not spoken for.
     assert len(bench.node.noted.sent) == 3
 
@@ -337,7 +340,7 @@
     bench = Bench()
     await bench.end('b1', 'caught')
     bench.node.noted.spread_words.clear()
-    bench.node.note_served(RequestTraits(Fingerprint('caught')))
+    bench.node.record_served(RequestTraits(Fingerprint('caught')))
     assert not bench.node.noted.spread_words
     assert not bench.node.book.count_crashes(Fingerprint('caught'))
 
@@ -360,7 +363,7 @@
 async def test_a_known_end_needs_no_question() -> None:
     """The list shows that the box has started again under its name."""
     bench = Bench()
-    bench.node.note_broken(
+    bench.node.record_broken_attempt(
         make_replica('b1'), DEADLY_REQUEST, has_begun=False, is_over=True
     )
     assert bench.node.book.count_crashes(DEADLY) == 1
--- a/tests/test_resend_budget.py
+++ b/tests/test_resend_budget.py
@@ -4,7 +4,7 @@
 
 from waywell.ids import ServiceName
 from waywell.request.resend_budget import (
-    FRESH_SHARE,
+    STARTUP_SLACK_SHARE,
     ResendBudget,
     ResendLimits,
 )
@@ -26,7 +26,7 @@
     for _node in range(nodes):
         budget = ResendBudget(LIMITS, 0.0)
         for _request in range(100):
-            budget.note_request(LLM, 50.0)
+            budget.record_request(LLM, 50.0)
         total += spend_all(budget, nodes, 50.0)
     assert total <= 0.2 * 900 + 90
     assert total > 0.5 * (0.2 * 900 + 90)
@@ -62,4 +62,4 @@
 def test_a_fresh_process_takes_a_small_part() -> None:
     fresh = spend_all(ResendBudget(LIMITS, 50.0), 1, 50.0)
     old = spend_all(ResendBudget(LIMITS, 0.0), 1, 50.0)
-    assert fresh <= old * FRESH_SHARE + 1
+    assert fresh <= old * STARTUP_SLACK_SHARE + 1
--- a/tests/test_return_advice.py
+++ b/tests/test_return_advice.py
@@ -14,7 +14,7 @@
 
 from waywell.request.return_advice import (
     FULL_SECONDS,
-    MOST_OF_TIME_LEFT,
+    MAX_SHARE_OF_TIME_LEFT,
     NO_GROUP_SECONDS,
     ReturnReason,
     advise_return,
@@ -56,4 +56,4 @@
 ) -> None:
     advised = advise_return(reason, left, draw)
     assert advised >= 0
-    assert advised <= max(0.0, MOST_OF_TIME_LEFT * left) + 0.001
+    assert advised <= max(0.0, MAX_SHARE_OF_TIME_LEFT * left) + 0.001
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,9 +9,9 @@
 
 from waywell.ids import Epoch, GroupId, HallName, SessionId
 from waywell.request.routing import (
+    ChoiceReason,
     GroupLoad,
     LoadSource,
-    Reason,
     choose_for_session,
     choose_less_loaded,
 )
@@ -82,9 +82,9 @@
         moved, reason = choose(session, frozenset(('g3',)))
         if group == 'g3':
             assert moved != 'g3'
-            assert reason is Reason.MOVED_DOWN
+            assert reason is ChoiceReason.MOVED_DOWN
         else:
-            assert (moved, reason) == (group, Reason.SESSION)
+            assert (moved, reason) == (group, ChoiceReason.SESSION)
         assert choose(session) == before[session]
 
 
@@ -94,7 +94,7 @@
     choice = choose_for_session(SessionId('a/1'), GROUPS, is_usable, loads)
     assert choice is not None
     assert choice.group.group != own
-    assert choice.reason is Reason.MOVED_LOAD
+    assert choice.reason is ChoiceReason.MOVED_LOAD
 
 
 def test_session_stays_when_all_are_over_the_bound() -> None:
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -9,7 +9,7 @@
 
 from tests.boxes import make_life
 from waywell.ids import BoxId, NodeId
-from waywell.request.shared_loads import KEPT_SECONDS, SharedLoads
+from waywell.request.shared_loads import REPORT_TTL_SECONDS, SharedLoads
 
 NODES = st.sampled_from([NodeId(name) for name in 'abcd'])
 LOADS = st.dictionaries(
@@ -28,12 +28,12 @@
     now = 0.0
     for node, loads, pause in steps:
         now += pause
-        shared.take(node, loads, now)
+        shared.update(node, loads, now)
         told[node] = (loads, now)
         fresh = {
             name: kept
             for name, (kept, at) in told.items()
-            if now - at <= KEPT_SECONDS
+            if now - at <= REPORT_TTL_SECONDS
         }
         total: Counter[BoxId] = Counter()
         others: Counter[BoxId] = Counter()
@@ -42,4 +42,4 @@
             others.update(kept if name != skipped else {})
         assert shared.list_nodes() == set(fresh)
         assert {box: shared.get(box) for box in total} == dict(total)
-        assert +shared.add_up((skipped,)) == others
+        assert +shared.sum_loads((skipped,)) == others
--- a/tests/test_stale_loads.py
+++ b/tests/test_stale_loads.py
@@ -20,7 +20,7 @@
 
 from tests.boxes import make_box
 from waywell.ids import Epoch, HallName
-from waywell.request.placement import Chooser
+from waywell.request.placement import ReplicaChooser
 from waywell.request.replica_book import ReplicaBook
 from waywell.version.fleet import BoxLife, Replica, ReplicaKey
 
@@ -49,7 +49,7 @@
         self.book = ReplicaBook()
         self.loads = OldLoads()
         self.own: Counter[BoxLife] = Counter()
-        self.chooser = Chooser(
+        self.chooser = ReplicaChooser(
             self.hall,
             self.loads,  # type: ignore[arg-type]
             Random(seed),
@@ -138,7 +138,7 @@
             _at, index, key = heapq.heappop(self.ends)
             self.true[key.life] -= 1
             self.nodes[index].own[key.life] -= 1
-            self.nodes[index].book.note_end(key)
+            self.nodes[index].book.record_end(key)
 
     def tell(self, now: float) -> None:
         if not self.told or now - self.told[-1][0] >= SNAPSHOT_SECONDS:
@@ -168,7 +168,7 @@
         stays = self.random.expovariate(1 / STREAM_SECONDS) * longer
         self.true[box] += 1
         node.own[box] += 1
-        node.book.note_start(chosen.key)
+        node.book.record_start(chosen.key)
         heapq.heappush(self.ends, (now + stays, index, chosen.key))
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -25,7 +25,7 @@
 from waywell.membership.links import PeerLinks
 from waywell.request.ask import AnswerMark
 from waywell.request.attempt import Attempt
-from waywell.request.turn_source import MOST_MISSED
+from waywell.request.permit_source import MAX_PERMIT_DENIALS
 from waywell.version.fleet import BoxLife
 
 LIFE = BoxLife(BoxId('a'), Incarnation(1))
@@ -54,7 +54,7 @@
 
 
 def take(turns: LoneTurns) -> Any:
-    return asyncio.run(turns.take_turn(LIFE, HALL, 0))
+    return asyncio.run(turns.acquire_permit(LIFE, HALL, 0))
 
 
 def meet_dealers(turns: LoneTurns) -> None:
@@ -73,10 +73,10 @@
     turns: LoneTurns,
 ) -> None:
     now = turns._clock.read()
-    turns.note_answer(LIFE, HALL, 1.0, now - 0.1)
+    turns.record_limit(LIFE, HALL, 1.0, now - 0.1)
     (told,) = turns.noted.spread_words
     assert told.limit == 1.0
-    turns.note_answer(LIFE, HALL, 1.0, now - 0.1)
+    turns.record_limit(LIFE, HALL, 1.0, now - 0.1)
     assert len(turns.noted.spread_words) == 1
     tell(turns, make_told(0.5, 0.1, 0.0))
     assert turns.get_limit(LIFE) == 0.5
@@ -85,9 +85,9 @@
 
 def test_a_node_that_knows_a_later_word_says_so(turns: LoneTurns) -> None:
     now = turns._clock.read()
-    turns.note_answer(LIFE, HALL, 1.0, now - 5.0)
+    turns.record_limit(LIFE, HALL, 1.0, now - 5.0)
     turns._clock.now += 1.0
-    turns.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
+    turns.record_limit(LIFE, HALL, NO_LIMIT, now + 0.5)
     tell(turns, make_told(1.0, 4.0, 3.0))
     assert turns.get_limit(LIFE) == NO_LIMIT
     ((node, told),) = turns.noted.sent
@@ -98,9 +98,9 @@
 @pytest.mark.parametrize('gap', [-0.2, -0.01, 0.0, 0.01, 0.04, 0.06, 0.2])
 def test_two_nodes_that_differ_soon_agree(gap: float) -> None:
     first, second = LoneTurns(HeldClock()), LoneTurns(HeldClock())
-    first.note_answer(LIFE, HALL, 1.0, first._clock.now - 0.1)
+    first.record_limit(LIFE, HALL, 1.0, first._clock.now - 0.1)
     second._clock.now += gap
-    second.note_answer(LIFE, HALL, 2.0, second._clock.now)
+    second.record_limit(LIFE, HALL, 2.0, second._clock.now)
     first._clock.now = second._clock.now = 101.0
     words = [(first, second), (second, first)]
     for teller, _listener in words:
@@ -118,7 +118,7 @@
 def test_a_peer_that_may_have_missed_words_gets_them_all(
     turns: LoneTurns,
 ) -> None:
-    turns.note_answer(LIFE, HALL, 1.0, 0.0)
+    turns.record_limit(LIFE, HALL, 1.0, 0.0)
     turns.on_opened(PeerLinks.Opened(make_record('other')))
     ((_node, known),) = turns.noted.sent
     other = LoneTurns(HeldClock())
@@ -128,7 +128,7 @@
 
 
 def test_a_turn_lapses(turns: LoneTurns) -> None:
-    turns.note_answer(LIFE, HALL, 1.0, 0.0)
+    turns.record_limit(LIFE, HALL, 1.0, 0.0)
     turn = take(turns)
     now = turns._clock.read()
     assert turns.may_send(LIFE, turn, now)
@@ -139,7 +139,7 @@
 def test_a_node_that_got_no_turn_does_not_ask_at_once_again(
     turns: LoneTurns,
 ) -> None:
-    turns.note_answer(LIFE, HALL, 0.2, 0.0)
+    turns.record_limit(LIFE, HALL, 0.2, 0.0)
     while take(turns) is not None:
         continue
     now = turns._clock.read()
@@ -154,7 +154,7 @@
 def test_a_node_that_just_started_deals_nothing() -> None:
     turns = LoneTurns(HeldClock())
     turns._deals_from = turns._clock.read() + START_SECONDS
-    turns.note_answer(LIFE, HALL, 100.0, 0.0)
+    turns.record_limit(LIFE, HALL, 100.0, 0.0)
     assert take(turns) is None
     turns._clock.now += START_SECONDS + 3.0
     turns.tend(turns._clock.now)
@@ -178,7 +178,7 @@
 def test_a_silent_dealer_is_given_up_and_its_late_turn_is_used(
     turns: LoneTurns,
 ) -> None:
-    turns.note_answer(LIFE, HALL, 1.0, 0.0)
+    turns.record_limit(LIFE, HALL, 1.0, 0.0)
     meet_dealers(turns)
     assert take(turns) is None
     asked = [word for _node, word in turns.noted.sent]
@@ -193,11 +193,11 @@
     turns: LoneTurns,
 ) -> None:
     now = turns._clock.read()
-    turns.note_answer(LIFE, HALL, 0.0, now)
+    turns.record_limit(LIFE, HALL, 0.0, now)
     while take(turns) is not None:
         continue
     turns._clock.now += 1.0
-    turns.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
+    turns.record_limit(LIFE, HALL, NO_LIMIT, now + 0.5)
     assert turns.may_ask(LIFE, 0, turns._clock.now)
     assert take(turns) is not None
     assert turns.count()['limited'] == 0
@@ -240,7 +240,7 @@
 def test_a_request_asks_few_replicas_for_a_turn(turns: LoneTurns) -> None:
     now = turns._clock.read()
     free = BoxLife(BoxId('b'), Incarnation(1))
-    turns.note_answer(LIFE, HALL, 1.0, now)
-    assert turns.may_ask(LIFE, MOST_MISSED - 1, now)
-    assert not turns.may_ask(LIFE, MOST_MISSED, now)
-    assert turns.may_ask(free, MOST_MISSED, now)
+    turns.record_limit(LIFE, HALL, 1.0, now)
+    assert turns.may_ask(LIFE, MAX_PERMIT_DENIALS - 1, now)
+    assert not turns.may_ask(LIFE, MAX_PERMIT_DENIALS, now)
+    assert turns.may_ask(free, MAX_PERMIT_DENIALS, now)
--- a/waywell/bench/baselines.py
+++ b/waywell/bench/baselines.py
@@ -30,7 +30,7 @@
         return None
     return routing.Choice(
         random.choice(usable),
-        routing.Reason.LESS_LOADED,
+        routing.ChoiceReason.LESS_LOADED,
     )
 
 
@@ -50,7 +50,7 @@
     )
     if best is None:
         return None
-    return routing.Choice(best, routing.Reason.LESS_LOADED)
+    return routing.Choice(best, routing.ChoiceReason.LESS_LOADED)
 
 
 BASELINES = {
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -26,9 +26,9 @@
 )
 from waywell.membership.membership import MembershipTable, NodeRecord
 from waywell.process.loads import LoadTable
-from waywell.request.balance import Balance
 from waywell.request.claim import ClaimKey, ClaimTable, issue_prefix
 from waywell.request.routing import choose_for_session, choose_less_loaded
+from waywell.request.service_loads import ServiceLoadCache
 from waywell.standins.harness import hash_text
 from waywell.version.assembly import AssemblyView, plan_assembly
 from waywell.version.configuration import (
@@ -179,13 +179,15 @@
     health = HealthTable(6)
     for group in found:
         health.note_answer(group.group, random.random(), 0)
-    balance = Balance(health, LoadTable())
-    loads = balance.weigh('llm', found, 0)
+    balance = ServiceLoadCache(health, LoadTable())
+    loads = balance.build_loads('llm', found, 0)
     is_usable = partial(_is_usable, health)
     return {
         'groups': groups,
         'summary_us': time_call(
-            lambda: Balance(health, LoadTable()).weigh('llm', found, 0),
+            lambda: ServiceLoadCache(health, LoadTable()).build_loads(
+                'llm', found, 0
+            ),
         )
         * 1000,
         'less_loaded_us': time_call(
--- a/waywell/experiment/call.py
+++ b/waywell/experiment/call.py
@@ -20,7 +20,7 @@
 from waywell.request.ask import Ask
 from waywell.request.hedge_timeouts import (
     HedgeTimeouts,
-    measure_hedge_timeouts,
+    compute_hedge_timeouts,
 )
 from waywell.request.return_advice import advise_return
 from waywell.request.unroutable import explain_unroutable
@@ -171,13 +171,13 @@
             answer_tokens=arrival.answer_tokens,
         )
         route = self.parts.routes[arrival.kind.name]
-        return measure_hedge_timeouts(route, self.parts.engine, ask)
+        return compute_hedge_timeouts(route, self.parts.engine, ask)
 
     def _ask(self) -> None:
         if self.ending is not None:
             return
         now = self.parts.timeline.now
-        self.node.budget.note_request(SERVICE, now)
+        self.node.budget.record_request(SERVICE, now)
         self._tried = frozenset()
         self._sends = 0
         self._rejections = 0
@@ -297,7 +297,7 @@
         record = self._book.get(key)
         if not record.in_flight:
             record.heard_at = now
-        self._book.note_start(key)
+        self._book.record_start(key)
         fleet_model = self._call.parts.fleet_model
         self._timeline.schedule_in(
             self._call.patience.first, self._check_silence
@@ -315,7 +315,7 @@
 
     def stop(self) -> None:
         """Break it off."""
-        self._book.note_end(self._replica.key)
+        self._book.record_end(self._replica.key)
         if self._engine is not None:
             self._record_attempt()
             self._engine.drop(self._work)
@@ -323,24 +323,24 @@
     def on_first(self) -> None:
         """Take in the first event."""
         now = self._timeline.now
-        self._book.note_event(self._replica.key, now)
+        self._book.record_event(self._replica.key, now)
         self._has_begun = True
         expected = self._call.patience.expected_first
         if expected > 0:
             ratio = (now - self._started_at) / expected
-            self._book.note_first(self._replica.key, ratio)
+            self._book.record_first_event(self._replica.key, ratio)
         self._call.on_first(self)
 
     def on_end(self) -> None:
         """Take in the last event."""
-        self._book.note_event(self._replica.key, self._timeline.now)
+        self._book.record_event(self._replica.key, self._timeline.now)
         self._call.on_end(self)
 
     def on_stalled(self) -> None:
         """Take in that nothing more comes."""
         if self._has_begun:
             now = self._timeline.now
-            self._book.note_event(self._replica.key, now)
+            self._book.record_event(self._replica.key, now)
             self._record_attempt()
             self._call.on_quiet()
             self._timeline.schedule_in(
@@ -358,15 +358,15 @@
 
     def record_failure(self) -> None:
         """Let the replica rest."""
-        self._book.note_failure(self._replica.key, self._timeline.now)
+        self._book.record_failure(self._replica.key, self._timeline.now)
 
     def record_silence(self) -> None:
         """Let a replica rest from which nothing comes, and doubt it."""
         key, now = self._replica.key, self._timeline.now
         if self._is_sound():
-            self._book.note_heard(key, now)
+            self._book.record_message(key, now)
         if self._book.is_silent(key, self._call.patience.gap, now):
-            self._book.note_failure(key, now)
+            self._book.record_failure(key, now)
             self._call.parts.holder.raise_doubt(self._replica)
 
     def wait_again(self) -> None:
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -9,7 +9,11 @@
 from waywell.duties.box_survey import BoxSurvey
 from waywell.duties.forming import EPOCHS_A_TERM, PLAN_SECONDS
 from waywell.experiment.model_box import SERVICE
-from waywell.request.demand import DemandGauge, count_at, count_by_model
+from waywell.request.demand import (
+    DemandEstimator,
+    count_by_model,
+    count_in_flight_at,
+)
 from waywell.version.fleet import Fleet
 from waywell.version.forming import FormingPlanner, FormingView
 from waywell.version.forming_memory import FormingMemory
@@ -66,7 +70,7 @@
         self._node = node
         self._timeline = timeline
         self._delays = delays
-        self._gauge = DemandGauge()
+        self._gauge = DemandEstimator()
         self._memory = FormingMemory(
             next_epoch=EPOCHS_A_TERM + 1,
             last_models=outlook.last_models,
@@ -116,14 +120,14 @@
         )
 
     def _read_demand(self) -> Mapping[ModelName, float]:
-        loads = self._node.loads.add_up()
+        loads = self._node.loads.sum_loads()
         loads.update(self._node.book.list_loads())
         in_flight = count_by_model(loads, self._outlook.fleet)
         means = self._gauge.observe(in_flight, self._timeline.now)
         return means if self.measures_demand else {}
 
     def _count_requests(self, life: BoxLife) -> int:
-        return count_at(self._node.book, self._node.loads, life)
+        return count_in_flight_at(self._node.book, self._node.loads, life)
 
     def _begin_probe(self, box: FleetBox) -> None:
         self._probe(box)
--- a/waywell/experiment/node.py
+++ b/waywell/experiment/node.py
@@ -8,7 +8,7 @@
 import attrs
 
 from waywell.ids import NodeId
-from waywell.request.placement import Chooser
+from waywell.request.placement import ReplicaChooser
 from waywell.request.replica_book import ReplicaBook
 from waywell.request.resend_budget import ResendBudget
 from waywell.request.shared_loads import SharedLoads
@@ -24,7 +24,7 @@
     name: NodeId
     """Name."""
 
-    chooser: Chooser
+    chooser: ReplicaChooser
     """Chooses replicas."""
 
     loads: SharedLoads
@@ -47,4 +47,4 @@
         told = teller.book.list_loads()
         for hearer in listed:
             if hearer is not teller:
-                hearer.loads.take(teller.name, told, now)
+                hearer.loads.update(teller.name, told, now)
--- a/waywell/experiment/play.py
+++ b/waywell/experiment/play.py
@@ -23,7 +23,7 @@
 from waywell.ids import BoxId, DomainName, HallName, ModelName, NodeId
 from waywell.knowledge.outlook import Outlook
 from waywell.process.front_settings import MS, PromiseSettings
-from waywell.request.placement import Chooser
+from waywell.request.placement import ReplicaChooser
 from waywell.request.resend_budget import ResendBudget, ResendLimits
 from waywell.request.shared_loads import SharedLoads
 from waywell.version.routes import (
@@ -220,7 +220,7 @@
     limits = ResendLimits(policy.resend_ratio, policy.resend_slack)
     return Node(
         NodeId(f'node-{number}'),
-        Chooser(hall, loads, draws, lambda: choosing),
+        ReplicaChooser(hall, loads, draws, lambda: choosing),
         loads,
         ResendBudget(limits, -KNOWN_SECONDS),
         make_random(seed, f'returns.{number}'),
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -19,7 +19,7 @@
 from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
 from waywell.ids import GroupId
 from waywell.process.actor import Actor
-from waywell.request.paths import LinkCheck, trust_links
+from waywell.request.paths import LinkCheck, assume_links_work
 from waywell.telemetry.events import log_event
 from waywell.version.fleet import ReplicaKey
 
@@ -87,7 +87,7 @@
         clock: Clock,
         listeners: DoubtListeners,
         call_later: Scheduler = _call_later,
-        verify: LinkCheck = trust_links,
+        verify: LinkCheck = assume_links_work,
     ) -> None:
         """Start without doubts."""
         super().__init__('doubts')
@@ -152,7 +152,7 @@
             believed=is_believed,
         )
         if is_believed:
-            self._book.note_failure(key, now)
+            self._book.record_failure(key, now)
         self._begin(key, word.group, now)
 
     async def _raise_verified(self, replica: Replica) -> None:
@@ -195,7 +195,7 @@
     def _end(self, key: ReplicaKey, group: GroupId) -> None:
         """Let a replica get requests again that goes on."""
         self._open.discard(key)
-        self._book.forgive(key)
+        self._book.retract_failure(key)
         self._listeners.on_heard(group)
 
     def _is_news(self, key: ReplicaKey, now: float) -> bool:
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -229,7 +229,7 @@
         loads = Counter(self._book.list_loads())
         if self.is_reader():
             others = self._loads.list_nodes() - self._followers
-            loads.update(self._loads.add_up(others))
+            loads.update(self._loads.sum_loads(others))
         return _encode_loads(loads)
 
     def _ask(
@@ -313,12 +313,12 @@
             return
         if ask.hall == self._own.hall:
             self._followers.add(peer)
-        self._loads.take(peer, _decode_loads(ask.loads), now)
+        self._loads.update(peer, _decode_loads(ask.loads), now)
 
     def _list_loads_but(self, peer: NodeId) -> tuple[BoxLoad, ...]:
         """Return all requests in flight but those that a node tells of."""
         loads = Counter(self._book.list_loads())
-        loads.update(self._loads.add_up((peer,)))
+        loads.update(self._loads.sum_loads((peer,)))
         return _encode_loads(loads)
 
     def _take(self, peer: NodeId, answer: FeedAnswer) -> None:
@@ -328,7 +328,7 @@
         self._take_routes(peer, answer, asked.at)
         if peer == self._readers.own:
             loads = _decode_loads(answer.loads)
-            self._loads.take(peer, loads, self._clock.read())
+            self._loads.update(peer, loads, self._clock.read())
         if asked.wants_boxes:
             self._take_boxes(peer, answer, asked)
         else:
--- a/waywell/limits/turns.py
+++ b/waywell/limits/turns.py
@@ -25,7 +25,11 @@
 from waywell.limits.turn_dealer import TurnDealer
 from waywell.membership.links import PeerLinks
 from waywell.process.actor import Actor, Message
-from waywell.request.turn_source import MOST_MISSED, Turn, TurnSource
+from waywell.request.permit_source import (
+    MAX_PERMIT_DENIALS,
+    Permit,
+    PermitSource,
+)
 from waywell.version.fleet import BoxLife
 
 if TYPE_CHECKING:
@@ -55,7 +59,7 @@
     until: float
 
 
-class Turns(Actor, TurnSource):
+class Turns(Actor, PermitSource):
     """Tells limits, deals turns and asks for them.
 
     Parameters
@@ -126,7 +130,7 @@
             for life in kept.keys() - limited.keys():
                 kept.pop(life)
 
-    def note_answer(
+    def record_limit(
         self,
         life: BoxLife,
         hall: HallName,
@@ -146,35 +150,35 @@
         """Return the requests a second that a box takes from all nodes."""
         return self.limits.get(life)
 
-    def may_ask(self, life: BoxLife, missed: int, now: float) -> bool:
+    def may_ask(self, life: BoxLife, denied: int, now: float) -> bool:
         """Answer whether a box has no limit, or may have a turn left."""
-        if missed >= MOST_MISSED and self.limits.is_limited(life):
+        if denied >= MAX_PERMIT_DENIALS and self.limits.is_limited(life):
             return False
         return self._waits.get(life, 0.0) <= now
 
-    def list_open(
+    def filter_available(
         self,
         replicas: Sequence[Replica],
-        missed: int,
+        denied: int,
         now: float,
     ) -> Sequence[Replica]:
         """Return the replicas that may be asked."""
-        if not self._waits and not missed:
+        if not self._waits and not denied:
             return replicas
         return [
-            one for one in replicas if self.may_ask(one.key.life, missed, now)
+            one for one in replicas if self.may_ask(one.key.life, denied, now)
         ]
 
-    async def take_turn(
+    async def acquire_permit(
         self,
         life: BoxLife,
         hall: HallName,
         rank: int,
-    ) -> Turn | None:
+    ) -> Permit | None:
         """Return a turn of a replica, or ``None`` where there is none now."""
         now = self._clock.read()
         if not self.limits.is_limited(life):
-            return Turn()
+            return Permit()
         held = self._take_held(life, now)
         if held is not None:
             return held
@@ -257,13 +261,13 @@
             self._is_due = True
             self.post(self.Changed())
 
-    def _take_held(self, life: BoxLife, now: float) -> Turn | None:
+    def _take_held(self, life: BoxLife, now: float) -> Permit | None:
         """Return one of the turns that this node holds."""
         purse = self._purses.get(life)
         if purse is None or now >= purse.until or not purse.turns:
             return None
         purse.turns -= 1
-        return Turn(purse.until)
+        return Permit(purse.until)
 
     def _keep(self, life: BoxLife, turns: int, until: float) -> None:
         """Keep turns that were dealt; those of before are used first."""
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -38,12 +38,12 @@
 from waywell.process.watch import HallDuty
 from waywell.quarantine.tasks import make_lone_quarantine
 from waywell.request.admission import Admission
-from waywell.request.balance import Balance
 from waywell.request.claim import ClaimTable, issue_prefix
-from waywell.request.dispatcher import Dispatcher, NodeFacts, Parts
+from waywell.request.dispatcher import Dispatcher, DispatcherParts, NodeFacts
 from waywell.request.facts import REQUEST_ID_HEADER
 from waywell.request.request_claims import RequestClaims
 from waywell.request.retry import RetryBudget
+from waywell.request.service_loads import ServiceLoadCache
 from waywell.telemetry.events import log_event
 from waywell.telemetry.history import open_history
 from waywell.telemetry.measures import DowntimeMeter, count_serving
@@ -327,10 +327,10 @@
         claims = ClaimTable(own.node, self.incarnation)
         self.home_claimer = HomeClaimer(claims, self.members, self.clock)
         self.gossip.watch_changes(self.home_claimer.note_node)
-        parts = Parts(
+        parts = DispatcherParts(
             in_force=self.in_force,
             health=self.health,
-            balance=Balance(self.health, self.loads),
+            service_loads=ServiceLoadCache(self.health, self.loads),
             admission=self.admission,
             budget=RetryBudget(),
             claims=RequestClaims(
@@ -343,7 +343,7 @@
             history=history,
             random=self._random,
             guard=self.quarantine,
-            turns=self._turns,
+            permits=self._turns,
             paths=self._paths,
         )
         self.parts = parts
@@ -429,7 +429,7 @@
                 self.clock.read(),
             )
             now = self.clock.read()
-            self.parts.backpressure.forget_old(now)
+            self.parts.backpressure.forget_expired(now)
             self._turns.tend(now)
             await asyncio.sleep(MEASURE_SECONDS)
 
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -36,9 +36,13 @@
 from waywell.process.front_ports import FrontHandlers, FrontPorts
 from waywell.quarantine.tasks import make_quarantine
 from waywell.request.backpressure import Backpressure
-from waywell.request.demand import DemandGauge, count_at, count_by_model
+from waywell.request.demand import (
+    DemandEstimator,
+    count_by_model,
+    count_in_flight_at,
+)
 from waywell.request.forwarder import Forwarder
-from waywell.request.placement import Chooser
+from waywell.request.placement import ReplicaChooser
 from waywell.request.replica_book import ReplicaBook
 from waywell.request.request_context import CallerAnswer, ForwarderParts
 from waywell.request.resend_budget import ResendBudget
@@ -110,7 +114,7 @@
             lambda _change: self.outlook.begin_recovery(self.clock.read())
         )
         self.loads = SharedLoads()
-        self.demand = DemandGauge()
+        self.demand = DemandEstimator()
         self.incarnation = Incarnation(int(self.clock.read_wall() * 1000))
         self.in_flight = 0
         self._adapter = adapter
@@ -266,7 +270,7 @@
             self.clock,
             ListedBoxes(self.outlook),
             self._random,
-            self.book.end_rests,
+            self.book.clear_backoffs,
         )
         self.feed = Feed(
             self.links,
@@ -296,7 +300,7 @@
             timing.lease,
             FormingSources(
                 self._read_demand,
-                partial(count_at, self.book, self.loads),
+                partial(count_in_flight_at, self.book, self.loads),
                 self.paths.watch,
             ),
         )
@@ -358,7 +362,7 @@
             ForwarderParts(
                 outlook=self.outlook,
                 wire=self._adapter.wire,
-                chooser=Chooser(
+                chooser=ReplicaChooser(
                     HallName(node.hall),
                     self.loads,
                     self._random,
@@ -411,7 +415,7 @@
             self.forming.post(word(group))
 
     def _read_demand(self, now: float) -> Mapping[Any, float]:
-        loads = self.loads.add_up()
+        loads = self.loads.sum_loads()
         loads.update(self.book.list_loads())
         in_flight = count_by_model(loads, self.outlook.fleet)
         return self.demand.observe(in_flight, now)
@@ -471,7 +475,7 @@
             self.outlook.compare_routes(self.presence.get_contacts(), now)
             self._tell_readiness()
             self._forget_replicas()
-            self.backpressure.forget_old(now)
+            self.backpressure.forget_expired(now)
             self.turns.tend(now)
             for watch in (self.routes, self.fleet, self.quarantine.records):
                 watch.look_again(now)
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -160,13 +160,16 @@
                     'other_requests': node.loads.get(replica.key.life),
                     'slowness': round(record.slowness, 2),
                     'rests_seconds': round(
-                        max(0.0, record.rests_until - now), 2
+                        max(0.0, record.backoff_until - now), 2
                     ),
                     'wants_requests': node.backpressure.may_send(
                         replica.key.life, now
                     ),
                     'asked_rest_seconds': round(
-                        node.backpressure.find_rest(replica.key.life, now), 2
+                        node.backpressure.get_remaining_rest(
+                            replica.key.life, now
+                        ),
+                        2,
                     ),
                 },
             )
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -32,7 +32,7 @@
     Hold,
 )
 from waywell.request.guard import RequestGuard
-from waywell.request.paths import LinkCheck, trust_links
+from waywell.request.paths import LinkCheck, assume_links_work
 from waywell.request.prompt_parts import count_requests, describe_trait
 from waywell.telemetry.events import log_detail, log_event, log_warning
 from waywell.version.fleet import ReplicaKey
@@ -102,7 +102,7 @@
         clock: Clock,
         is_reachable: Callable[[FleetBox], Awaitable[bool]],
         is_prober: Callable[[], bool],
-        verify: LinkCheck = trust_links,
+        verify: LinkCheck = assume_links_work,
     ) -> None:
         """Hold nothing back."""
         super().__init__('quarantine')
@@ -134,7 +134,7 @@
         """Call a watcher with each replica that ended, whoever saw it."""
         self._watchers.append(watcher)
 
-    def find_release(self, traits: RequestTraits, now: float) -> float:
+    def get_hold_seconds(self, traits: RequestTraits, now: float) -> float:
         """Return in how many seconds a request may be sent on; 0 for now."""
         held = self.book.held
         holds = [held[trait] for trait in traits if trait in held]
@@ -156,7 +156,7 @@
         """
         return all(self._may_risk(trait, running, now) for trait in traits)
 
-    def note_broken(
+    def record_broken_attempt(
         self,
         replica: Replica,
         traits: RequestTraits,
@@ -177,7 +177,7 @@
         if not is_asked:
             self.spawn(self._check(replica))
 
-    def note_served(self, traits: RequestTraits) -> None:
+    def record_served(self, traits: RequestTraits) -> None:
         """Take in that a request was answered whole, so it crashes nothing."""
         held = self.book.held
         for trait in traits:
--- a/waywell/request/answer_times.py
+++ b/waywell/request/answer_times.py
@@ -16,7 +16,7 @@
 MARGIN = 1.25
 """Times the slowest answer seen of late that the next one may take."""
 
-MOST_SIZES = 2000
+MAX_SIZE_CLASSES = 2000
 """Sizes of routes that are kept: five of each of 400 routes.  Those that were
 answered longest ago are forgotten, as routes come and go."""
 
@@ -62,7 +62,7 @@
         """Return how many sizes are kept."""
         return len(self._slowest)
 
-    def note(self, context: RequestContext, now: float) -> None:
+    def record(self, context: RequestContext, now: float) -> None:
         """Take in that a request was answered whole."""
         pace = (now - context.arrived_at) / _count_tokens(context)
         found = self._find(context, now)
@@ -71,7 +71,7 @@
         self._slowest[key] = attrs.evolve(
             found, present=max(found.present, pace)
         )
-        if len(self._slowest) > MOST_SIZES:
+        if len(self._slowest) > MAX_SIZE_CLASSES:
             self._slowest.pop(next(iter(self._slowest)))
 
     def estimate_end(self, context: RequestContext, now: float) -> float:
--- a/waywell/request/attempts.py
+++ b/waywell/request/attempts.py
@@ -7,7 +7,7 @@
 from waywell.codes import Code, Refusal
 from waywell.request.attempt import Attempt, Inbox
 from waywell.request.destination import Destination, ReplicaDestination
-from waywell.request.hedge_timeouts import measure_hedge_timeouts
+from waywell.request.hedge_timeouts import compute_hedge_timeouts
 from waywell.request.peer_destination import PeerDestination
 from waywell.request.return_advice import ReturnReason
 from waywell.request.unroutable import Unroutable, explain_unroutable
@@ -42,7 +42,7 @@
     ) -> None:
         """Start none yet."""
         self.running: list[Attempt] = []
-        self.hedge_timeouts = measure_hedge_timeouts(
+        self.hedge_timeouts = compute_hedge_timeouts(
             context.route,
             context.engine,
             context.ask,
@@ -102,7 +102,7 @@
             self.running.remove(attempt)
             self._parts.running.discard(attempt)
             destination = attempt.destination
-            destination.book.note_end(destination.key)
+            destination.book.record_end(destination.key)
             attempt.stop()
 
     def drop_others(self, attempt: Attempt) -> None:
@@ -161,7 +161,7 @@
             destination = attempt.destination
             book, key = destination.book, destination.key
             if book.is_silent(key, self.hedge_timeouts.gap, now):
-                book.note_failure(key, now)
+                book.record_failure(key, now)
                 destination.on_silent()
                 self.log('silent', attempt, now)
 
@@ -215,9 +215,11 @@
             return Unroutable(Code.NODE_PARTITIONED, ReturnReason.NO_GROUP)
         backpressure = self._parts.backpressure
         replicas = self._list_replicas()
-        wanting = backpressure.list_open(replicas, now)
+        wanting = backpressure.filter_available(replicas, now)
         return explain_unroutable(
-            backpressure.find_release([one.key.life for one in replicas], now),
+            backpressure.get_shortest_rest(
+                [one.key.life for one in replicas], now
+            ),
             self._parts.turns.find_wait(
                 [one.key.life for one in wanting], now
             ),
@@ -240,9 +242,9 @@
         if not record.in_flight:
             # Silence is counted from when it has work.
             record.heard_at = now
-        destination.book.note_start(destination.key)
+        destination.book.record_start(destination.key)
         attempt.start(lambda: self._may_send(attempt), now)
-        rests = round(max(0.0, record.rests_until - now), 3)
+        rests = round(max(0.0, record.backoff_until - now), 3)
         self.log(
             'attempt',
             attempt,
@@ -286,12 +288,12 @@
 
     def _choose_replica(self, now: float) -> ReplicaDestination | None:
         # A replica that has asked for rest, or has no turn, is no last resort.
-        replicas = self._parts.backpressure.list_open(
+        replicas = self._parts.backpressure.filter_available(
             self._list_replicas(), now
         )
         missed = self._context.turns_missed
         replica = self._parts.chooser.choose(
-            self._parts.turns.list_open(replicas, missed, now),
+            self._parts.turns.filter_available(replicas, missed, now),
             self._context.tried,
             self._parts.book,
             now,
@@ -310,7 +312,7 @@
         now = self._parts.clock.read()
         if now >= context.ends_at:
             return False
-        if self._parts.guard.find_release(context.traits, now):
+        if self._parts.guard.get_hold_seconds(context.traits, now):
             return False
         if not attempt.destination.may_send(now):
             return False
--- a/waywell/request/backpressure.py
+++ b/waywell/request/backpressure.py
@@ -24,7 +24,7 @@
 """For which a box that said that it leaves gets nothing: it is to end within
 a minute, and a word that was wrong costs a box no longer than this."""
 
-MOST_KEPT = 4096
+MAX_BOXES = 4096
 """Boxes whose wish is kept, some 200 bytes each: more than a fleet has."""
 
 
@@ -36,7 +36,7 @@
         self._rests: dict[BoxLife, float] = {}
         self._leaving: dict[BoxLife, float] = {}
 
-    def note(self, life: BoxLife, mark: AnswerMark, now: float) -> None:
+    def record(self, life: BoxLife, mark: AnswerMark, now: float) -> None:
         """Take in what an answer asks.
 
         Parameters
@@ -53,15 +53,17 @@
         if mark.rest_seconds:
             self._note_rest(life, mark.rest_seconds, now)
 
-    def find_rest(self, life: BoxLife, now: float) -> float:
+    def get_remaining_rest(self, life: BoxLife, now: float) -> float:
         """Return for how long a box still wants nothing, in seconds."""
         return max(0.0, self._rests.get(life, now) - now)
 
     def may_send(self, life: BoxLife, now: float) -> bool:
         """Answer whether a box may get a request."""
-        return life not in self._leaving and not self.find_rest(life, now)
+        return life not in self._leaving and not self.get_remaining_rest(
+            life, now
+        )
 
-    def list_open(
+    def filter_available(
         self,
         replicas: Sequence[Replica],
         now: float,
@@ -71,7 +73,7 @@
             return replicas
         return [one for one in replicas if self.may_send(one.key.life, now)]
 
-    def find_release(
+    def get_shortest_rest(
         self,
         lives: Iterable[BoxLife],
         now: float,
@@ -84,7 +86,7 @@
             ``None`` when one of them is open, or none of them will be.
         """
         rests = [
-            self.find_rest(life, now)
+            self.get_remaining_rest(life, now)
             for life in lives
             if life not in self._leaving
         ]
@@ -96,7 +98,7 @@
             self._rests.pop(one.life, None)
             self._leaving.pop(one.life, None)
 
-    def forget_old(self, now: float) -> None:
+    def forget_expired(self, now: float) -> None:
         """Forget the wishes whose time is over."""
         for wishes in (self._rests, self._leaving):
             for life, ends_at in tuple(wishes.items()):
@@ -132,11 +134,11 @@
         ends_at = now + seconds
         self._rests[life] = max(ends_at, self._rests.get(life, ends_at))
         _drop_first_to_end(self._rests)
-        left = round(self.find_rest(life, now), 3)
+        left = round(self.get_remaining_rest(life, now), 3)
         log_event('rest_asked', box=life.box, seconds=seconds, left=left)
 
 
 def _drop_first_to_end(wishes: dict[BoxLife, float]) -> None:
     """Keep no more wishes than are allowed."""
-    if len(wishes) > MOST_KEPT:
+    if len(wishes) > MAX_BOXES:
         wishes.pop(min(wishes, key=wishes.__getitem__))
--- a/waywell/request/demand.py
+++ b/waywell/request/demand.py
@@ -21,7 +21,7 @@
 streams, and well under the time in which a model is loaded."""
 
 
-class DemandGauge:
+class DemandEstimator:
     """Keeps a running mean of the requests in flight, by model.
 
     Any node can work it out from what all nodes tell of their requests, so a
@@ -72,6 +72,8 @@
     return counts
 
 
-def count_at(book: ReplicaBook, loads: SharedLoads, life: BoxLife) -> int:
+def count_in_flight_at(
+    book: ReplicaBook, loads: SharedLoads, life: BoxLife
+) -> int:
     """Return the requests in flight at a box, of this node and all others."""
     return book.list_loads().get(life, 0) + loads.get(life)
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from waywell.connection.wire import RawHeaders
     from waywell.request.ask import AnswerMark
+    from waywell.request.permit_source import Permit
     from waywell.request.replica_book import ReplicaBook
     from waywell.request.request_context import ForwarderParts, RequestContext
-    from waywell.request.turn_source import Turn
     from waywell.version.fleet import Replica, ReplicaKey
 
 
@@ -106,7 +106,7 @@
         self.book = parts.book
         self._parts = parts
         self._context = context
-        self._turn: Turn | None = None
+        self._turn: Permit | None = None
 
     def describe(self) -> dict[str, object]:
         """Return what log lines tell of it."""
@@ -134,7 +134,7 @@
 
     async def take_turn(self) -> bool:
         """Answer whether a request may go there by its limit."""
-        self._turn = await self._parts.turns.take_turn(
+        self._turn = await self._parts.turns.acquire_permit(
             self.key.life, self.replica.head.hall, self._context.priority
         )
         if self._turn is None:
@@ -175,14 +175,14 @@
     def on_mark(self, mark: AnswerMark, sent_at: float, now: float) -> None:
         """Take in what an answer says, also where nobody waits for it."""
         life = self.key.life
-        self._parts.backpressure.note(life, mark, now)
+        self._parts.backpressure.record(life, mark, now)
         if mark.limit is not None:
             hall = self.replica.head.hall
-            self._parts.turns.note_answer(life, hall, mark.limit, sent_at)
+            self._parts.turns.record_limit(life, hall, mark.limit, sent_at)
 
     def on_failed(self, now: float) -> None:
         """Take in that an answer failed, broke off or was refused."""
-        self.book.note_failure(self.key, now)
+        self.book.record_failure(self.key, now)
 
     def on_silent(self) -> None:
         """Take in that nothing comes although it has work."""
@@ -190,7 +190,7 @@
 
     def on_broken(self, *, has_begun: bool, is_over: bool) -> None:
         """Take in that an attempt broke after bytes had left."""
-        self._parts.guard.note_broken(
+        self._parts.guard.record_broken_attempt(
             self.replica,
             self._context.traits,
             has_begun=has_begun,
@@ -203,8 +203,8 @@
 
     def on_pause(self, seconds: float) -> None:
         """Take in for how long it was silent between two pieces."""
-        self._parts.pauses.note(self.replica.model, seconds)
+        self._parts.pauses.record(self.replica.model, seconds)
 
     def on_first_piece(self, ratio: float) -> None:
         """Take in how slowly an answer began, as a part of what is usual."""
-        self.book.note_first(self.key, ratio)
+        self.book.record_first_event(self.key, ratio)
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -20,7 +20,6 @@
 from waywell.request.admission import Admission
 from waywell.request.ask import AnswerMark
 from waywell.request.backpressure import Backpressure
-from waywell.request.balance import Balance
 from waywell.request.claim import ClaimKey, ClaimState
 from waywell.request.facts import read_facts
 from waywell.request.fingerprint import make_fingerprint
@@ -32,20 +31,21 @@
 )
 from waywell.request.guard import RequestGuard
 from waywell.request.paths import DirectPaths, ReplicaPaths
+from waywell.request.permit_source import Permit, PermitSource
 from waywell.request.request_claims import (
     NO_GROUP_RETRY_SECONDS,
     RequestClaims,
 )
-from waywell.request.retry import MOST_ATTEMPTS, RetryBudget
+from waywell.request.retry import MAX_ATTEMPTS, RetryBudget
 from waywell.request.return_advice import advise_return
 from waywell.request.routing import (
     Choice,
     choose_for_session,
     choose_less_loaded,
 )
+from waywell.request.service_loads import ServiceLoadCache
 from waywell.request.submission import CallerPort, Submission, Work
 from waywell.request.traits import RequestTraits
-from waywell.request.turn_source import Turn, TurnSource
 from waywell.request.unroutable import explain_unroutable
 from waywell.telemetry.history import History
 from waywell.version.roster import Group, GroupState
@@ -98,7 +98,7 @@
 
 
 @attrs.frozen
-class Parts:
+class DispatcherParts:
     """What a dispatcher works with."""
 
     in_force: InForce
@@ -107,7 +107,7 @@
     health: HealthTable
     """What speaks against groups."""
 
-    balance: Balance
+    service_loads: ServiceLoadCache
     """Loads of the groups."""
 
     admission: Admission
@@ -134,7 +134,7 @@
     guard: RequestGuard
     """Knows which requests crash targets."""
 
-    turns: TurnSource
+    permits: PermitSource
     """Knows the limits of targets."""
 
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
@@ -157,7 +157,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: DispatcherParts,
         describe_node: Callable[[], NodeFacts],
     ) -> None:
         """Keep the parts."""
@@ -300,7 +300,7 @@
 
     async def _attempt_all(self, work: Work) -> bool:
         """Make attempts until one is answered."""
-        for attempt in range(MOST_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             self._check_links(work)
             choice, turn = await self._choose_with_turn(work)
             answer = await self._attempt(work, choice, turn)
@@ -335,12 +335,12 @@
             retry_after=0 if named else NO_GROUP_RETRY_SECONDS,
         )
 
-    async def _choose_with_turn(self, work: Work) -> tuple[Choice, Turn]:
+    async def _choose_with_turn(self, work: Work) -> tuple[Choice, Permit]:
         """Choose a group that has a turn for the request."""
         while True:
             choice = self._choose(work)
             group = choice.group
-            turn = await self._parts.turns.take_turn(
+            turn = await self._parts.permits.acquire_permit(
                 make_life(group), group.hall, -work.account.priority
             )
             if turn is not None:
@@ -353,7 +353,9 @@
         # The index may be a newer one than at the attempt before.
         groups = self._parts.in_force.index.list_groups(work.shape)
         now = self._parts.clock.read()
-        loads = self._parts.balance.weigh(work.service.name, groups, now)
+        loads = self._parts.service_loads.build_loads(
+            work.service.name, groups, now
+        )
         is_usable = partial(self._can_use, work)
         if work.session is None:
             choice = choose_less_loaded(
@@ -379,8 +381,8 @@
         backpressure = self._parts.backpressure
         wanting = [life for life in lives if backpressure.may_send(life, now)]
         unroutable = explain_unroutable(
-            backpressure.find_release(lives, now),
-            self._parts.turns.find_wait(wanting, now),
+            backpressure.get_shortest_rest(lives, now),
+            self._parts.permits.find_wait(wanting, now),
             rejections=0,
         )
         seconds = NO_GROUP_RETRY_SECONDS
@@ -403,7 +405,7 @@
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return False
-        if not self._parts.turns.may_ask(life, work.turns_missed, now):
+        if not self._parts.permits.may_ask(life, work.turns_missed, now):
             return False
         return self._parts.health.is_usable(group.group, group.epoch, now)
 
@@ -411,7 +413,7 @@
         self,
         work: Work,
         choice: Choice,
-        turn: Turn,
+        turn: Permit,
     ) -> TargetAnswer | DispatchFault:
         """Send the request to a group; take in how that went."""
         clock = self._parts.clock
@@ -464,9 +466,9 @@
         now = self._parts.clock.read()
         if answer.rest_seconds:
             mark = AnswerMark(rest_seconds=answer.rest_seconds)
-            self._parts.backpressure.note(make_life(group), mark, now)
+            self._parts.backpressure.record(make_life(group), mark, now)
         if answer.limit is not None:
-            self._parts.turns.note_answer(
+            self._parts.permits.record_limit(
                 make_life(group), group.hall, answer.limit, started_at
             )
         self._parts.health.note_answer(group.group, now - started_at, now)
@@ -476,7 +478,7 @@
         self,
         group: Group,
         fault: DispatchFault,
-        turn: Turn,
+        turn: Permit,
         now: float,
     ) -> DispatchFault:
         """Tell a wish that came while it connected from a late request."""
@@ -485,7 +487,7 @@
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return DispatchFault.RESTING
-        if not self._parts.turns.may_send(life, turn, now):
+        if not self._parts.permits.may_send(life, turn, now):
             return DispatchFault.NO_TURN
         return fault
 
@@ -498,13 +500,13 @@
         """Note what a failed attempt leaves open."""
         work.tried.add(group.group)
         if fault is DispatchFault.BROKEN:
-            self._note_broken(work, group, has_begun=False)
+            self._record_broken_attempt(work, group, has_begun=False)
         if fault not in _NOT_RUN_FAULTS:
             work.may_have_run = True
         self._note('attempt_failed', work, group, fault=fault.value)
         return fault
 
-    def _may_send(self, work: Work, group: Group, turn: Turn) -> bool:
+    def _may_send(self, work: Work, group: Group, turn: Permit) -> bool:
         """Answer, right before the write, whether it is still wanted."""
         if work.caller.is_gone():
             return False
@@ -512,7 +514,7 @@
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return False
-        if not self._parts.turns.may_send(life, turn, now):
+        if not self._parts.permits.may_send(life, turn, now):
             return False
         return now < work.deadline_at
 
@@ -529,13 +531,13 @@
             self._parts.health.note_end(choice.group.group)
         self._note('answered', work, choice.group, whole=whole)
         if whole and answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            cleared = work.traits.list_cleared(answer.status)
-            self._parts.guard.note_served(cleared)
+            cleared = work.traits.select_cleared(answer.status)
+            self._parts.guard.record_served(cleared)
         if not whole:
-            self._note_broken(work, choice.group, has_begun=True)
+            self._record_broken_attempt(work, choice.group, has_begun=True)
         return whole
 
-    def _note_broken(
+    def _record_broken_attempt(
         self,
         work: Work,
         group: Group,
@@ -543,7 +545,7 @@
         has_begun: bool,
     ) -> None:
         """Note what ran at a target that may have ended under it."""
-        self._parts.guard.note_broken(
+        self._parts.guard.record_broken_attempt(
             make_replica(work, group),
             work.traits,
             has_begun=has_begun,
@@ -556,7 +558,7 @@
         fault: DispatchFault,
         attempt: int,
     ) -> bool:
-        if attempt + 1 >= MOST_ATTEMPTS or fault in _LAST_FAULTS:
+        if attempt + 1 >= MAX_ATTEMPTS or fault in _LAST_FAULTS:
             return False
         if work.may_have_run and not work.facts.repeatable:
             return False
--- a/waywell/request/facts.py
+++ b/waywell/request/facts.py
@@ -41,7 +41,7 @@
 MAX_DEADLINE = 86_400.0
 """Longest deadline, in seconds."""
 
-MOST_LABELS = 16
+MAX_LABELS = 16
 """Labels that a session may have."""
 
 _NAME = re.compile(r'[A-Za-z0-9._:@-]{1,128}')
@@ -163,7 +163,7 @@
     text = headers.get(LABELS_HEADER, '')
     try:
         pairs = parse_qsl(
-            text, strict_parsing=bool(text), max_num_fields=MOST_LABELS
+            text, strict_parsing=bool(text), max_num_fields=MAX_LABELS
         )
     except ValueError as error:
         raise Refusal(
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -58,7 +58,7 @@
         self._check_end(context)
         if ask.forwarded is None:
             # A forwarded request counts at the node that its caller asked.
-            self._parts.budget.note_request(
+            self._parts.budget.record_request(
                 context.service, context.arrived_at
             )
         await RequestExecution(self._parts, context, answer).run()
--- a/waywell/request/guard.py
+++ b/waywell/request/guard.py
@@ -16,7 +16,7 @@
     """Knows which requests crash the replicas that run them."""
 
     @abc.abstractmethod
-    def find_release(self, traits: RequestTraits, now: float) -> float:
+    def get_hold_seconds(self, traits: RequestTraits, now: float) -> float:
         """Return in how many seconds a request may be sent on; 0 for now."""
 
     @abc.abstractmethod
@@ -39,7 +39,7 @@
         """
 
     @abc.abstractmethod
-    def note_broken(
+    def record_broken_attempt(
         self,
         replica: Replica,
         traits: RequestTraits,
@@ -62,7 +62,7 @@
         """
 
     @abc.abstractmethod
-    def note_served(self, traits: RequestTraits) -> None:
+    def record_served(self, traits: RequestTraits) -> None:
         """Take in that a request was answered whole."""
 
     def check(self, traits: RequestTraits, now: float) -> None:
@@ -73,7 +73,7 @@
         Refusal
             With the time at which it may come back.
         """
-        seconds = self.find_release(traits, now)
+        seconds = self.get_hold_seconds(traits, now)
         if seconds > 0:
             raise Refusal(
                 Code.REQUEST_HELD_BACK, retry_after=round(seconds, 3)
--- a/waywell/request/hedge_timeouts.py
+++ b/waywell/request/hedge_timeouts.py
@@ -21,11 +21,11 @@
 first event takes more than half of the goal on a sound replica, so a second
 attempt can't be in time; earlier ones only load the replicas."""
 
-LEAST_GAP_PART = 0.4
+MIN_GAP_FRACTION = 0.4
 """Part of the longest pause that is in time after which a stream is taken up
 elsewhere at the soonest; the rest is for reading the prompt once more."""
 
-MOST_GAP_PART = 0.75
+MAX_GAP_FRACTION = 0.75
 """Part after which it is taken up at the latest, however long the pauses of
 sound replicas are."""
 
@@ -51,7 +51,7 @@
     """What the first event takes on an idle replica; 0 where unknown."""
 
 
-def measure_hedge_timeouts(
+def compute_hedge_timeouts(
     route: Route,
     engine: Engine | None,
     ask: Ask,
@@ -76,8 +76,8 @@
     if route.kind is not RouteKind.STREAM:
         return HedgeTimeouts(goal * PLAIN_PART, goal * PLAIN_PART, 0.0)
     longest = route.gap_goal or goal
-    gap = max(LEAST_GAP, longest * LEAST_GAP_PART, usual_pause)
-    gap = max(LEAST_GAP, min(gap, longest * MOST_GAP_PART))
+    gap = max(LEAST_GAP, longest * MIN_GAP_FRACTION, usual_pause)
+    gap = max(LEAST_GAP, min(gap, longest * MAX_GAP_FRACTION))
     return HedgeTimeouts(goal * FIRST_PART, gap, _expect_first(engine, ask))
 
 
--- a/waywell/request/paths.py
+++ b/waywell/request/paths.py
@@ -17,7 +17,7 @@
 """Answers whether this node's links to a service are sound."""
 
 
-async def trust_links(_service: ServiceName) -> bool:
+async def assume_links_work(_service: ServiceName) -> bool:
     """Answer that links are sound, for a node that can't find out."""
     return True
 
--- a/waywell/request/pauses.py
+++ b/waywell/request/pauses.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from waywell.ids import ModelName
 
-USUAL_PART = 0.998
+USUAL_QUANTILE = 0.998
 """Part of the pauses that are shorter than the estimate: a stream of some 30
 events is then taken for silent without cause once in about 20 times."""
 
@@ -22,7 +22,7 @@
 """Part by which a longer pause raises the estimate; shorter ones lower it by
 so much less that it stays at that part of the pauses."""
 
-FIRST_GUESS = 0.08
+INITIAL_ESTIMATE = 0.08
 """Estimate before any pause was seen, in seconds: two passes of an engine that
 reads a prompt between them."""
 
@@ -30,7 +30,7 @@
 """Lowest estimate, in seconds, so that it can rise again soon."""
 
 
-class PauseGauge:
+class PauseEstimator:
     """Estimates the longest usual pause between events, by model."""
 
     def __init__(self) -> None:
@@ -39,13 +39,13 @@
 
     def get(self, model: ModelName) -> float:
         """Return the longest usual pause of a model's replicas, in seconds."""
-        return self._estimates.get(model, FIRST_GUESS)
+        return self._estimates.get(model, INITIAL_ESTIMATE)
 
-    def note(self, model: ModelName, pause: float) -> None:
+    def record(self, model: ModelName, pause: float) -> None:
         """Take in a pause that ended with an event, in seconds."""
         estimate = self.get(model)
         if pause > estimate:
             estimate *= 1 + STEP
         else:
-            estimate *= 1 - STEP * (1 - USUAL_PART) / USUAL_PART
+            estimate *= 1 - STEP * (1 - USUAL_QUANTILE) / USUAL_QUANTILE
         self._estimates[model] = max(LEAST, estimate)
--- a/waywell/request/peer_chooser.py
+++ b/waywell/request/peer_chooser.py
@@ -92,7 +92,7 @@
         ]
 
     def _get_rest(self, record: NodeRecord) -> float:
-        return self._book.get(make_peer_key(record)).rests_until
+        return self._book.get(make_peer_key(record)).backoff_until
 
     def _compare(self, peers: list[NodeRecord]) -> NodeRecord:
         """Return the least loaded of a few that are drawn by their cores."""
--- a/waywell/request/turn_source.py
+++ b/waywell/request/permit_source.py
@@ -16,24 +16,24 @@
     from waywell.version.fleet import BoxLife, Replica
 
 
-MOST_MISSED = 3
+MAX_PERMIT_DENIALS = 3
 """Replicas with a limit at which a request asks for a turn; after that it only
 goes to those without, or is refused at once."""
 
 
 @attrs.frozen
-class Turn:
+class Permit:
     """The right to send one request to one replica."""
 
     until: float = 0.0
     """When it lapses, in seconds; it has no meaning without a limit."""
 
 
-class TurnSource(abc.ABC):
+class PermitSource(abc.ABC):
     """Knows the limits of replicas, and has the turns that all nodes share."""
 
     @abc.abstractmethod
-    def note_answer(
+    def record_limit(
         self,
         life: BoxLife,
         hall: HallName,
@@ -59,7 +59,7 @@
         """Return the requests a second that a box takes from all nodes."""
 
     @abc.abstractmethod
-    def may_ask(self, life: BoxLife, missed: int, now: float) -> bool:
+    def may_ask(self, life: BoxLife, denied: int, now: float) -> bool:
         """Answer whether a box has no limit, or may have a turn left.
 
         Parameters
@@ -73,12 +73,12 @@
         """
 
     @abc.abstractmethod
-    async def take_turn(
+    async def acquire_permit(
         self,
         life: BoxLife,
         hall: HallName,
         rank: int,
-    ) -> Turn | None:
+    ) -> Permit | None:
         """Return a turn, or ``None`` where there is none now.
 
         Parameters
@@ -102,15 +102,15 @@
         """
 
     @abc.abstractmethod
-    def list_open(
+    def filter_available(
         self,
         replicas: Sequence[Replica],
-        missed: int,
+        denied: int,
         now: float,
     ) -> Sequence[Replica]:
         """Return the replicas that may be asked."""
 
-    def may_send(self, life: BoxLife, turn: Turn | None, now: float) -> bool:
+    def may_send(self, life: BoxLife, turn: Permit | None, now: float) -> bool:
         """Answer, in the turn of the write, whether a request may go out."""
         if self.get_limit(life) == NO_LIMIT:
             return True
--- a/waywell/request/placement.py
+++ b/waywell/request/placement.py
@@ -86,7 +86,7 @@
 
 
 @attrs.frozen
-class Chooser:
+class ReplicaChooser:
     """Chooses for one node."""
 
     hall: HallName
@@ -128,7 +128,7 @@
             The present time, in seconds.
         """
         left = [one for one in replicas if one.key not in tried]
-        awake = [one for one in left if book.get(one.key).rests_until <= now]
+        awake = [one for one in left if book.get(one.key).backoff_until <= now]
         drawn = self._draw(awake or left, book)
         return min(
             drawn,
--- a/waywell/request/prompt_parts.py
+++ b/waywell/request/prompt_parts.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-MOST_PARTS = 32
+MAX_PARTS = 32
 """Maximum number of shared parts recorded for one request."""
 
 _PREFIX = 'part-'
@@ -36,7 +36,7 @@
     )
     named = [one for one in ids if _PART_ID.fullmatch(one)]
     return tuple(
-        PromptPart(Trait(f'{_PREFIX}{one}')) for one in named[:MOST_PARTS]
+        PromptPart(Trait(f'{_PREFIX}{one}')) for one in named[:MAX_PARTS]
     )
 
 
--- a/waywell/request/replica_book.py
+++ b/waywell/request/replica_book.py
@@ -12,14 +12,14 @@
 
     from waywell.version.fleet import BoxLife, ReplicaKey
 
-REST_SECONDS = 1.0
+BACKOFF_SECONDS = 1.0
 """For which a replica that fell silent or failed gets nothing new; a streak
 of failures doubles it.  The list lapses after about three heartbeats."""
 
-LONGEST_REST = 8.0
+MAX_BACKOFF_SECONDS = 8.0
 """Longest rest, in seconds; a replica that fails for longer is tried anew."""
 
-MOST_COUNTED = 8
+MAX_STREAK = 8
 """Failures in a row that are counted; the rest is at its longest before."""
 
 SMOOTHING = 0.2
@@ -39,7 +39,7 @@
     event_at: float = 0.0
     """When it last sent a piece of an answer, in seconds."""
 
-    rests_until: float = 0.0
+    backoff_until: float = 0.0
     """Until when it gets nothing new."""
 
     streak: int = 0
@@ -79,39 +79,39 @@
             if key not in present and not record.in_flight:
                 self._records.pop(key)
 
-    def note_start(self, key: ReplicaKey) -> None:
+    def record_start(self, key: ReplicaKey) -> None:
         """Count a request in."""
         self.get(key).in_flight += 1
 
-    def note_end(self, key: ReplicaKey) -> None:
+    def record_end(self, key: ReplicaKey) -> None:
         """Count a request out."""
         self.get(key).in_flight -= 1
 
-    def note_heard(self, key: ReplicaKey, now: float) -> None:
+    def record_message(self, key: ReplicaKey, now: float) -> None:
         """Note that something came."""
         record = self.get(key)
         record.heard_at = now
         record.streak = 0
-        record.rests_until = 0.0
+        record.backoff_until = 0.0
 
-    def note_event(self, key: ReplicaKey, now: float) -> None:
+    def record_event(self, key: ReplicaKey, now: float) -> None:
         """Note that a piece of an answer came."""
-        self.note_heard(key, now)
+        self.record_message(key, now)
         self.get(key).event_at = now
 
-    def forgive(self, key: ReplicaKey) -> None:
+    def retract_failure(self, key: ReplicaKey) -> None:
         """Let a replica rest no longer that was doubted for nothing."""
         record = self.get(key)
-        record.rests_until = 0.0
+        record.backoff_until = 0.0
         record.streak = max(0, record.streak - 1)
 
-    def end_rests(self) -> None:
+    def clear_backoffs(self) -> None:
         """Let no replica rest any longer: the failures were this node's."""
         for record in self._records.values():
-            record.rests_until = 0.0
+            record.backoff_until = 0.0
             record.streak = 0
 
-    def note_first(self, key: ReplicaKey, ratio: float) -> None:
+    def record_first_event(self, key: ReplicaKey, ratio: float) -> None:
         """Note how long an answer's beginning took.
 
         Parameters
@@ -124,12 +124,14 @@
         record = self.get(key)
         record.slowness += SMOOTHING * (ratio - record.slowness)
 
-    def note_failure(self, key: ReplicaKey, now: float) -> None:
+    def record_failure(self, key: ReplicaKey, now: float) -> None:
         """Let a replica rest that failed, refused or fell silent."""
         record = self.get(key)
-        record.streak = min(MOST_COUNTED, record.streak + 1)
-        rest = min(LONGEST_REST, REST_SECONDS * 2 ** (record.streak - 1))
-        record.rests_until = now + rest
+        record.streak = min(MAX_STREAK, record.streak + 1)
+        rest = min(
+            MAX_BACKOFF_SECONDS, BACKOFF_SECONDS * 2 ** (record.streak - 1)
+        )
+        record.backoff_until = now + rest
 
     def is_silent(self, key: ReplicaKey, since: float, now: float) -> bool:
         """Answer whether nothing came for a while although work is there."""
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -17,13 +17,13 @@
 from waywell.request.backpressure import Backpressure
 from waywell.request.guard import RequestGuard
 from waywell.request.paths import DirectPaths, ReplicaPaths
-from waywell.request.pauses import PauseGauge
-from waywell.request.placement import Chooser
+from waywell.request.pauses import PauseEstimator
+from waywell.request.permit_source import PermitSource
+from waywell.request.placement import ReplicaChooser
 from waywell.request.replica_book import ReplicaBook
 from waywell.request.resend_budget import ResendBudget
 from waywell.request.running import RunningAttempts
 from waywell.request.traits import RequestTraits
-from waywell.request.turn_source import TurnSource
 from waywell.telemetry.request_metrics import RequestMetrics
 from waywell.version.fleet import Replica, ReplicaKey
 from waywell.version.routes import Engine, KeyHolder, Route
@@ -67,7 +67,7 @@
     wire: Wire
     """How requests and answers look."""
 
-    chooser: Chooser
+    chooser: ReplicaChooser
     """Chooses replicas."""
 
     book: ReplicaBook
@@ -94,7 +94,7 @@
     guard: RequestGuard
     """Knows which requests crash replicas."""
 
-    turns: TurnSource
+    turns: PermitSource
     """Knows the limits of replicas."""
 
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
@@ -106,7 +106,7 @@
     node: str = ''
     """Name of this node."""
 
-    pauses: PauseGauge = attrs.Factory(PauseGauge)
+    pauses: PauseEstimator = attrs.Factory(PauseEstimator)
     """Pauses between events that are usual."""
 
     running: RunningAttempts = attrs.Factory(RunningAttempts)
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -88,7 +88,7 @@
             return
         now = self._parts.clock.read()
         self._note_pause(attempt, now)
-        attempt.destination.book.note_event(attempt.destination.key, now)
+        attempt.destination.book.record_event(attempt.destination.key, now)
         if not self._is_next(piece):
             # Another attempt was ahead of this one, or it skips an event.
             await self._fail(attempt, now, f'event_{piece.event.number}')
@@ -117,7 +117,7 @@
             # Its body is no rest of the answer that the caller has begun.
             await self._fail(attempt, now, f'status_{head.status}')
             return
-        attempt.destination.book.note_heard(attempt.destination.key, now)
+        attempt.destination.book.record_message(attempt.destination.key, now)
         if head.status >= SERVER_ERROR:
             attempt.destination.on_failed(now)
             if await self._retry(attempt, now, f'status_{head.status}'):
@@ -144,12 +144,12 @@
         self._answer.finish()
         status = attempt.head.status
         if status < SERVER_ERROR:
-            cleared = self._context.traits.list_cleared(status)
-            self._parts.guard.note_served(cleared)
+            cleared = self._context.traits.select_cleared(status)
+            self._parts.guard.record_served(cleared)
         self._attempts.log(
             'answered', attempt, now, status=status, **end.outcome.describe()
         )
-        self._parts.answer_times.note(self._context, now)
+        self._parts.answer_times.record(self._context, now)
         self._parts.metrics.time_answer(self._context.service, self._get_age())
         raise _Answered
 
@@ -171,7 +171,7 @@
             return
         if fault.fault is SendFault.NOT_SENT:
             destination = attempt.destination
-            destination.book.note_failure(destination.key, now)
+            destination.book.record_failure(destination.key, now)
         self._attempts.log('not_sent', attempt, now, fault=fault.fault.value)
         self._attempts.drop(attempt)
         if self._attempts.running:
@@ -270,7 +270,7 @@
             self._context.sends -= destination.count_sends()
         is_fit = refusal.code not in _UNFIT_PEER_CODES
         if not is_fit:
-            destination.book.note_failure(destination.key, now)
+            destination.book.record_failure(destination.key, now)
         self._attempts.drop(attempt)
         if self._attempts.running:
             return
--- a/waywell/request/resend_budget.py
+++ b/waywell/request/resend_budget.py
@@ -13,7 +13,7 @@
 TRUSTED_SHARE = 0.8
 """Part of the budget that is spent; the rest covers requests in flight."""
 
-FRESH_SHARE = 0.2
+STARTUP_SLACK_SHARE = 0.2
 """Part of its slack that a process takes in its first window: after all nodes
 were killed at once, it was spent before."""
 
@@ -65,7 +65,7 @@
         self._started_at = started_at
         self._counts: dict[ServiceName, _Counts] = defaultdict(_Counts)
 
-    def note_request(self, service: ServiceName, now: float) -> None:
+    def record_request(self, service: ServiceName, now: float) -> None:
         """Count a request of a caller."""
         self._counts[service].requests.append(now)
 
@@ -96,5 +96,5 @@
         if not nodes:
             return 0.0
         is_fresh = now - self._started_at < self._limits.window
-        share = FRESH_SHARE if is_fresh else 1.0
+        share = STARTUP_SLACK_SHARE if is_fresh else 1.0
         return self._limits.slack * share / nodes
--- a/waywell/request/retry.py
+++ b/waywell/request/retry.py
@@ -8,7 +8,7 @@
 MOST_SAVED = 5.0
 """Retries that an account can have saved up."""
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Attempts at one request, the first counted."""
 
 
--- a/waywell/request/return_advice.py
+++ b/waywell/request/return_advice.py
@@ -26,7 +26,7 @@
 """From when to when after the next turn of a replica with a limit: one turn
 is for one caller, so those that were refused come one after the other."""
 
-MOST_OF_TIME_LEFT = 0.3
+MAX_SHARE_OF_TIME_LEFT = 0.3
 """Part of the time that the caller has left: the rest is for the answer."""
 
 
@@ -79,4 +79,6 @@
     """
     soonest, latest = _SECONDS_BY_REASON[reason]
     seconds = rest + soonest + draw * (latest - soonest)
-    return round(max(0.0, min(seconds, MOST_OF_TIME_LEFT * seconds_left)), 3)
+    return round(
+        max(0.0, min(seconds, MAX_SHARE_OF_TIME_LEFT * seconds_left)), 3
+    )
--- a/waywell/request/routing.py
+++ b/waywell/request/routing.py
@@ -44,7 +44,7 @@
 """Requests in flight above the bound that never move a session."""
 
 
-class Reason(enum.Enum):
+class ChoiceReason(enum.Enum):
     """Why a group was chosen."""
 
     SESSION = 'session'
@@ -100,7 +100,7 @@
     group: Group
     """Where the request goes."""
 
-    reason: Reason
+    reason: ChoiceReason
     """Why."""
 
 
@@ -152,7 +152,7 @@
     ]
     heapq.heapify(ranked)
     bound = LOAD_BOUND * loads.get_mean_cost() + LOAD_SLACK
-    reason = Reason.SESSION
+    reason = ChoiceReason.SESSION
     fallback = None
     while ranked:
         group = groups[heapq.heappop(ranked)[1]]
@@ -160,9 +160,9 @@
             if loads.get_load(group.group).cost <= bound:
                 return Choice(group, reason)
             fallback = fallback or Choice(group, reason)
-            reason = Reason.MOVED_LOAD
+            reason = ChoiceReason.MOVED_LOAD
         else:
-            reason = Reason.MOVED_DOWN
+            reason = ChoiceReason.MOVED_DOWN
     return fallback
 
 
@@ -190,7 +190,7 @@
         key=lambda group: loads.get_load(group.group).cost,
         default=None,
     )
-    return None if best is None else Choice(best, Reason.LESS_LOADED)
+    return None if best is None else Choice(best, ChoiceReason.LESS_LOADED)
 
 
 def _is_awake(group: Group, loads: LoadSource) -> bool:
--- a/waywell/request/balance.py
+++ b/waywell/request/service_loads.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Summary:
+class LoadSummary:
     """What one pass over the groups of a service gave."""
 
     at: float
@@ -53,7 +53,7 @@
         self,
         health: HealthTable,
         reported: Mapping[GroupId, float],
-        summary: Summary,
+        summary: LoadSummary,
         now: float,
     ) -> None:
         """Keep what loads are made of."""
@@ -76,7 +76,7 @@
         return self._summary.mean_cost
 
 
-class Balance:
+class ServiceLoadCache:
     """Makes the loads of a service, with a summary that is reused.
 
     Parameters
@@ -91,9 +91,9 @@
         """Start without summaries."""
         self._health = health
         self._loads = loads
-        self._summaries: dict[str, Summary] = {}
+        self._summaries: dict[str, LoadSummary] = {}
 
-    def weigh(
+    def build_loads(
         self,
         service: str,
         groups: Sequence[Group],
@@ -112,7 +112,7 @@
         groups: Sequence[Group],
         reported: Mapping[GroupId, float],
         now: float,
-    ) -> Summary:
+    ) -> LoadSummary:
         names = [group.group for group in groups]
         typical = self._health.find_typical(names)
         costs = [
@@ -126,4 +126,4 @@
         ]
         # The median: one slow or resting group must not lift the bound.
         mean = sorted(costs)[len(costs) // 2] if costs else 0
-        return Summary(now, typical, mean)
+        return LoadSummary(now, typical, mean)
--- a/waywell/request/shared_loads.py
+++ b/waywell/request/shared_loads.py
@@ -15,7 +15,7 @@
 
     from waywell.ids import NodeId
 
-KEPT_SECONDS = 1.2
+REPORT_TTL_SECONDS = 1.2
 """For which a node's word about its requests counts: about one stream."""
 
 
@@ -33,7 +33,7 @@
         self._told: dict[NodeId, _Told] = {}
         self._total: Counter[BoxLife] = Counter()
 
-    def take(
+    def update(
         self,
         node: NodeId,
         loads: Mapping[BoxLife, int],
@@ -42,12 +42,12 @@
         """Take in what a node tells; it replaces what it told before."""
         self._forget(node)
         for name, told in tuple(self._told.items()):
-            if now - told.at > KEPT_SECONDS:
+            if now - told.at > REPORT_TTL_SECONDS:
                 self._forget(name)
         self._told[node] = _Told(loads, now)
         self._total.update(loads)
 
-    def add_up(self, skipped: Iterable[NodeId] = ()) -> Counter[BoxLife]:
+    def sum_loads(self, skipped: Iterable[NodeId] = ()) -> Counter[BoxLife]:
         """Return the requests in flight of all other nodes but some."""
         total = self._total.copy()
         for node in skipped:
--- a/waywell/request/traits.py
+++ b/waywell/request/traits.py
@@ -25,7 +25,7 @@
     prompt_parts: tuple[PromptPart, ...] = ()
     """Shared parts of its prompt, in order."""
 
-    def list_cleared(self, status: int) -> RequestTraits:
+    def select_cleared(self, status: int) -> RequestTraits:
         """Return the traits that a complete answer clears of crashes.
 
         A replica that turns a request down has not processed its prompt.
