--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -77,7 +77,7 @@
             witness.ended.add(name)
         for traits in requests:
             witness.record_broken_attempt(
-                make_replica(name), traits, has_begun=False, is_over=False
+                make_replica(name), traits, has_begun=False, has_ended=False
             )
         for _turn in range(5):
             await asyncio.sleep(0)
@@ -187,7 +187,7 @@
     # No second one beside it: that could be the fourth.
     assert not bench.node.may_send(DEADLY_REQUEST, 1, bench.clock.now)
     bench.node.record_broken_attempt(
-        make_replica('b3'), DEADLY_REQUEST, has_begun=False, is_over=False
+        make_replica('b3'), DEADLY_REQUEST, has_begun=False, has_ended=False
     )
     assert not bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
     assert bench.node.may_send(OTHER_REQUEST, 1, bench.clock.now)
@@ -207,7 +207,7 @@
             make_replica(f'b{number}'),
             OTHER_REQUEST,
             has_begun=False,
-            is_over=False,
+            has_ended=False,
         )
     assert bench.node.may_send(OTHER_REQUEST, 1, bench.clock.now)
 
@@ -364,6 +364,6 @@
     """The list shows that the box has started again under its name."""
     bench = Bench()
     bench.node.record_broken_attempt(
-        make_replica('b1'), DEADLY_REQUEST, has_begun=False, is_over=True
+        make_replica('b1'), DEADLY_REQUEST, has_begun=False, has_ended=True
     )
     assert bench.node.book.count_crashes(DEADLY) == 1
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -42,7 +42,7 @@
     def get_load(self, group: GroupId) -> GroupLoad:
         return self.loads.get(group, GroupLoad())
 
-    def get_mean_cost(self) -> float:
+    def get_average_cost(self) -> float:
         return 1
 
 
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -162,11 +162,11 @@
         traits: RequestTraits,
         *,
         has_begun: bool,
-        is_over: bool,
+        has_ended: bool,
     ) -> None:
         """Find out whether a replica has ended under an attempt."""
         key = replica.key
-        if is_over:
+        if has_ended:
             self._take_end(replica, dict.fromkeys(traits, has_begun))
             return
         is_asked = key in self._checks
--- a/waywell/request/__init__.py
+++ b/waywell/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a request: facts, admission, choice, claims, retry."""
+"""Request path: headers, admission, routing, claims, retries and hedging."""
--- a/waywell/request/admission.py
+++ b/waywell/request/admission.py
@@ -1,7 +1,7 @@
-"""Limits: what one entry box admits of the accounts' requests.
+"""Admission control of one entry box: account limits and node capacity.
 
-There is no shared store: each entry box holds an equal part of an
-account's limits, by the number of live entry boxes it knows.
+There is no shared store: each entry box enforces an equal share of every
+account's limits, divided by the number of live entry boxes that it knows.
 """
 
 from __future__ import annotations
@@ -17,42 +17,43 @@
     from waywell.version.objects import Account
 
 BURST_SECONDS = 1.0
-"""Seconds of its rate that an account may use at once."""
+"""Burst size of an account, in seconds of its request rate."""
 
-CROWDED_SHARE = 0.8
-"""Share of the node's limit above which fair shares are enforced."""
+FAIR_SHARE_THRESHOLD = 0.8
+"""Fraction of the node's limit above which accounts get equal shares."""
 
 BUSY_RETRY_SECONDS = 1.0
-"""Advice to callers while the node is at its limit."""
+"""Retry-after value, in seconds, for a limit on requests in flight."""
 
 
 class TokenBucket:
-    """Tokens that flow in at a rate up to a burst."""
+    """Token bucket whose rate is given with each call."""
 
     def __init__(self, now: float) -> None:
-        """Start full at the first use."""
+        """Create a full bucket; the first rate given limits it."""
         self._tokens = math.inf
-        self._filled_at = now
+        self._refilled_at = now
 
     def take(self, rate: float, now: float) -> float:
-        """Take one token.
+        """Take one token if the bucket has one.
 
         Parameters
         ----------
         rate
-            Tokens a second.
+            Refill rate, in tokens per second.
         now
-            Present time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         float
-            0 when a token was taken, else seconds until one is there.
+            0 if a token was taken, otherwise the seconds until the next
+            token is available.
         """
         burst = max(1.0, rate * BURST_SECONDS)
-        flown = max(0.0, now - self._filled_at) * rate
-        self._tokens = min(burst, self._tokens + flown)
-        self._filled_at = now
+        added = max(0.0, now - self._refilled_at) * rate
+        self._tokens = min(burst, self._tokens + added)
+        self._refilled_at = now
         if self._tokens >= 1:
             self._tokens -= 1
             return 0
@@ -60,16 +61,16 @@
 
 
 class Admission:
-    """Counts requests in flight and admits new ones.
+    """Counts requests in flight by account and admits new ones.
 
     Parameters
     ----------
     node_limit
-        Requests that this node carries at once.
+        Maximum number of requests in flight on this node.
     """
 
     def __init__(self, node_limit: int) -> None:
-        """Start with nothing in flight."""
+        """Create an admission control without requests in flight."""
         self.total = 0
         self._node_limit = node_limit
         self._in_flight: dict[str, int] = {}
@@ -81,24 +82,24 @@
         nodes: int,
         now: float,
     ) -> Result[None, Refusal]:
-        """Count a request in, or refuse it at once.
+        """Admit and count a request, or return why it is refused.
 
         Parameters
         ----------
         account
-            Client account.
+            Client account of the request.
         nodes
-            Live entry boxes, this one counted.
+            Number of live entry boxes, including this one.
         now
-            Present time, in seconds.
+            Current time, in seconds.
         """
         used = self._in_flight.get(account.name, 0)
-        part = max(1, nodes)
-        if used >= math.ceil(account.in_flight / part):
+        sharing = max(1, nodes)
+        if used >= math.ceil(account.in_flight / sharing):
             return Failure(_refuse_busy(Code.ACCOUNT_IN_FLIGHT))
-        if self._is_crowded_out(used):
+        if self._exceeds_fair_share(used):
             return Failure(_refuse_busy(Code.NODE_BUSY))
-        rate = account.requests_per_second / part
+        rate = account.requests_per_second / sharing
         wait = self._get_bucket(account.name, now).take(rate, now)
         if wait:
             return Failure(Refusal(Code.ACCOUNT_RATE, retry_after=wait))
@@ -107,24 +108,24 @@
         return Success(None)
 
     def release(self, account: str) -> None:
-        """Count a request out."""
+        """Release the slot of a request that has ended."""
         self.total -= 1
-        left = self._in_flight[account] - 1
-        if left:
-            self._in_flight[account] = left
+        remaining = self._in_flight[account] - 1
+        if remaining:
+            self._in_flight[account] = remaining
         else:
             self._in_flight.pop(account)
 
     def list_in_flight(self) -> dict[str, int]:
-        """Return the requests in flight by account."""
+        """Return the number of requests in flight by account."""
         return dict(self._in_flight)
 
-    def _is_crowded_out(self, used: int) -> bool:
+    def _exceeds_fair_share(self, used: int) -> bool:
         if self.total >= self._node_limit:
             return True
-        if self.total < self._node_limit * CROWDED_SHARE:
+        if self.total < self._node_limit * FAIR_SHARE_THRESHOLD:
             return False
-        # One share more than there are accounts, for the next newcomer.
+        # One share is kept free for an account without requests so far.
         shares = len(self._in_flight) + 1
         return used >= self._node_limit / shares
 
--- a/waywell/request/answer_times.py
+++ b/waywell/request/answer_times.py
@@ -1,4 +1,4 @@
-"""How long whole answers take, by route and size, as observed of late."""
+"""Estimates of how long complete answers take, by route and answer size."""
 
 from __future__ import annotations
 
@@ -10,85 +10,91 @@
     from waywell.request.request_context import RequestContext
 
 WINDOW_SECONDS = 60.0
-"""For which an answer counts at the least, and twice that at the most: some
-dozens of answers of each size of a route that is asked twice a second."""
+"""Length of an observation window, in seconds.  An answer counts for one to
+two windows, which gives some dozens of answers of each size for a route with
+two requests per second."""
 
 MARGIN = 1.25
-"""Times the slowest answer seen of late that the next one may take."""
+"""Factor by which an answer may exceed the slowest recent one."""
 
 MAX_SIZE_CLASSES = 2000
-"""Sizes of routes that are kept: five of each of 400 routes.  Those that were
-answered longest ago are forgotten, as routes come and go."""
+"""Maximum number of pairs of route and size that are kept: five sizes for each
+of 400 routes.  The least recently answered pairs are evicted, because routes
+are added and removed while the node runs."""
 
 SizeKey = tuple[str, int]
-"""A route, and the power of two below the most tokens of an answer."""
+"""Name of a route and the bit length of the answer's maximum token count."""
 
 
 @attrs.frozen
-class _Slowest:
-    """The slowest answers in this window and the last one."""
+class _SlowestAnswers:
+    """The slowest answer of the current and of the previous window."""
 
     since: float
-    """When this window began, in seconds."""
+    """Start of the current window, in seconds."""
 
-    present: float = 0.0
-    """Seconds a token of the slowest in this window."""
+    current: float = 0.0
+    """Seconds per token of the slowest answer in the current window."""
 
-    last: float = 0.0
-    """Seconds a token of the slowest in the window before."""
+    previous: float = 0.0
+    """Seconds per token of the slowest answer in the previous window."""
 
-    def move_to(self, now: float) -> _Slowest:
-        """Return the windows of a moment."""
-        passed = now - self.since
-        if passed < WINDOW_SECONDS:
+    def advance_to(self, now: float) -> _SlowestAnswers:
+        """Return the windows as of ``now``, with expired answers dropped."""
+        elapsed = now - self.since
+        if elapsed < WINDOW_SECONDS:
             return self
-        is_next = passed < 2 * WINDOW_SECONDS
-        return _Slowest(now, last=self.present if is_next else 0.0)
+        is_next = elapsed < 2 * WINDOW_SECONDS
+        return _SlowestAnswers(now, previous=self.current if is_next else 0.0)
 
 
 class AnswerTimes:
-    """Keeps the slowest answers of each route and size.
+    """Tracks the slowest recent answer of each route and answer size.
 
-    By route alone a node that ended still cut one stream in four played days;
-    by size as well, none in seven.
+    Size matters: with estimates by route alone, a node that shut down still
+    cut one stream in four test days; with estimates by route and size, it cut
+    none in seven.
     """
 
     def __init__(self) -> None:
-        """Start without an answer seen."""
-        # The one that was answered last comes last.
-        self._slowest: dict[SizeKey, _Slowest] = {}
+        """Create estimates without any answer observed."""
+        # Ordered by the time of the last answer, most recent last.
+        self._slowest: dict[SizeKey, _SlowestAnswers] = {}
 
     def __len__(self) -> int:
-        """Return how many sizes are kept."""
+        """Return the number of pairs of route and size that are kept."""
         return len(self._slowest)
 
     def record(self, context: RequestContext, now: float) -> None:
-        """Take in that a request was answered whole."""
-        pace = (now - context.arrived_at) / _count_tokens(context)
-        found = self._find(context, now)
+        """Record that a request was answered completely at ``now``."""
+        per_token = (now - context.arrived_at) / _count_tokens(context)
+        found = self._get_slowest(context, now)
         key = _make_key(context)
         self._slowest.pop(key, None)
         self._slowest[key] = attrs.evolve(
-            found, present=max(found.present, pace)
+            found, current=max(found.current, per_token)
         )
         if len(self._slowest) > MAX_SIZE_CLASSES:
             self._slowest.pop(next(iter(self._slowest)))
 
     def estimate_end(self, context: RequestContext, now: float) -> float:
-        """Return by when a request is answered or given up, in seconds.
+        """Return the latest time at which a request should end, in seconds.
 
-        One without an answer like it of late takes all the time that it has.
+        A request without a recent answer of its route and size is assumed to
+        need all the time until its deadline.
         """
-        found = self._find(context, now)
-        pace = max(found.present, found.last)
-        if not pace:
+        found = self._get_slowest(context, now)
+        per_token = max(found.current, found.previous)
+        if not per_token:
             return context.ends_at
-        seconds = pace * _count_tokens(context) * MARGIN
+        seconds = per_token * _count_tokens(context) * MARGIN
         return min(context.ends_at, now + seconds)
 
-    def _find(self, context: RequestContext, now: float) -> _Slowest:
-        found = self._slowest.get(_make_key(context), _Slowest(now))
-        return found.move_to(now)
+    def _get_slowest(
+        self, context: RequestContext, now: float
+    ) -> _SlowestAnswers:
+        found = self._slowest.get(_make_key(context), _SlowestAnswers(now))
+        return found.advance_to(now)
 
 
 def _make_key(context: RequestContext) -> SizeKey:
@@ -96,5 +102,5 @@
 
 
 def _count_tokens(context: RequestContext) -> int:
-    """Return the most tokens of an answer; plain ones count as one."""
+    """Return the maximum tokens of the answer; 1 for a plain request."""
     return max(1, context.ask.answer_tokens)
--- a/waywell/request/backpressure.py
+++ b/waywell/request/backpressure.py
@@ -1,10 +1,10 @@
-"""What replicas have asked of this node: to rest, or nothing more.
+"""Backpressure signals that replicas send to this node with their answers.
 
-Answers replicas that turn requests away and tell for how long they want
-nothing more, and replicas that say in their answers that they leave, before
-the box list shows it.  What a replica asks is kept apart from what this node
-believes of its health: no answer to another request, no regrouping and no new
-box list takes it back, only time and the end of the box's life.
+A replica that rejects requests may name a rest period in which it wants no
+new ones, and a replica that is shutting down announces it in its answers
+before the box list shows it.  These signals are kept apart from this node's
+view of a replica's health: answers to other requests, regrouping and new box
+lists do not revoke them, only time and the end of the box's incarnation do.
 """
 
 from __future__ import annotations
@@ -21,44 +21,49 @@
     from waywell.version.lives import EndedLife
 
 LEAVING_SECONDS = 3600.0
-"""For which a box that said that it leaves gets nothing: it is to end within
-a minute, and a word that was wrong costs a box no longer than this."""
+"""Seconds for which a box that announced its shutdown gets no requests.  The
+box should end within a minute; the limit bounds the cost of a false
+announcement."""
 
 MAX_BOXES = 4096
-"""Boxes whose wish is kept, some 200 bytes each: more than a fleet has."""
+"""Maximum number of boxes kept for each kind of signal, at about 200 bytes
+each; more than a fleet has."""
 
 
 class Backpressure:
-    """Keeps the wishes of replicas to one node, by the life of their box."""
+    """Keeps the backpressure signals of replicas, by incarnation of the box.
+
+    Both kinds of signals map a box to the time at which they expire.
+    """
 
     def __init__(self) -> None:
-        """Know of no wish."""
+        """Create a table without signals."""
         self._rests: dict[BoxLife, float] = {}
         self._leaving: dict[BoxLife, float] = {}
 
     def record(self, life: BoxLife, mark: AnswerMark, now: float) -> None:
-        """Take in what an answer asks.
+        """Record the backpressure signals of an answer.
 
         Parameters
         ----------
         life
-            The box that answered.
+            Box that answered, with its incarnation.
         mark
-            What it says of its answer.
+            Metadata of the answer.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
         if mark.is_leaving:
-            self._note_leaving(life, now)
+            self._record_leaving(life, now)
         if mark.rest_seconds:
-            self._note_rest(life, mark.rest_seconds, now)
+            self._record_rest(life, mark.rest_seconds, now)
 
     def get_remaining_rest(self, life: BoxLife, now: float) -> float:
-        """Return for how long a box still wants nothing, in seconds."""
+        """Return the seconds until a box's rest period ends; 0 without one."""
         return max(0.0, self._rests.get(life, now) - now)
 
     def may_send(self, life: BoxLife, now: float) -> bool:
-        """Answer whether a box may get a request."""
+        """Return whether a box accepts new requests."""
         return life not in self._leaving and not self.get_remaining_rest(
             life, now
         )
@@ -68,22 +73,27 @@
         replicas: Sequence[Replica],
         now: float,
     ) -> Sequence[Replica]:
-        """Return the replicas that may get a request."""
+        """Return the replicas that accept new requests."""
         if not self._rests and not self._leaving:
             return replicas
-        return [one for one in replicas if self.may_send(one.key.life, now)]
+        return [
+            replica
+            for replica in replicas
+            if self.may_send(replica.key.life, now)
+        ]
 
     def get_shortest_rest(
         self,
         lives: Iterable[BoxLife],
         now: float,
     ) -> float | None:
-        """Return in how many seconds the first of some boxes is open.
+        """Return the seconds until the first of some boxes ends its rest.
 
         Returns
         -------
         float or None
-            ``None`` when one of them is open, or none of them will be.
+            ``None`` if one of them accepts requests now or if all of them
+            are leaving.
         """
         rests = [
             self.get_remaining_rest(life, now)
@@ -93,20 +103,20 @@
         return min(rests, default=0.0) or None
 
     def forget_ended(self, ended: Iterable[EndedLife]) -> None:
-        """Forget what boxes asked in lives that are over."""
-        for one in ended:
-            self._rests.pop(one.life, None)
-            self._leaving.pop(one.life, None)
+        """Remove the signals of box incarnations that have ended."""
+        for entry in ended:
+            self._rests.pop(entry.life, None)
+            self._leaving.pop(entry.life, None)
 
     def forget_expired(self, now: float) -> None:
-        """Forget the wishes whose time is over."""
-        for wishes in (self._rests, self._leaving):
-            for life, ends_at in tuple(wishes.items()):
+        """Remove the signals that have expired."""
+        for signals in (self._rests, self._leaving):
+            for life, ends_at in tuple(signals.items()):
                 if ends_at <= now:
-                    wishes.pop(life)
+                    signals.pop(life)
 
     def count(self, now: float) -> dict[str, float]:
-        """Return how many boxes want nothing at the moment."""
+        """Return the number of boxes that accept no requests, by signal."""
         resting = sum(ends_at > now for ends_at in self._rests.values())
         return {
             'resting': float(resting),
@@ -114,7 +124,7 @@
         }
 
     def dump(self, now: float) -> dict[str, object]:
-        """Return the wishes as plain values."""
+        """Return the signals as plain values for the state dump."""
         return {
             'resting': {
                 life.box: round(ends_at - now, 2)
@@ -124,21 +134,21 @@
             'leaving': [life.box for life in self._leaving],
         }
 
-    def _note_leaving(self, life: BoxLife, now: float) -> None:
+    def _record_leaving(self, life: BoxLife, now: float) -> None:
         if life not in self._leaving:
             log_event('leaving_told', box=life.box)
         self._leaving[life] = now + LEAVING_SECONDS
-        _drop_first_to_end(self._leaving)
+        _evict_first_to_expire(self._leaving)
 
-    def _note_rest(self, life: BoxLife, seconds: float, now: float) -> None:
+    def _record_rest(self, life: BoxLife, seconds: float, now: float) -> None:
         ends_at = now + seconds
         self._rests[life] = max(ends_at, self._rests.get(life, ends_at))
-        _drop_first_to_end(self._rests)
+        _evict_first_to_expire(self._rests)
         left = round(self.get_remaining_rest(life, now), 3)
         log_event('rest_asked', box=life.box, seconds=seconds, left=left)
 
 
-def _drop_first_to_end(wishes: dict[BoxLife, float]) -> None:
-    """Keep no more wishes than are allowed."""
-    if len(wishes) > MAX_BOXES:
-        wishes.pop(min(wishes, key=wishes.__getitem__))
+def _evict_first_to_expire(signals: dict[BoxLife, float]) -> None:
+    """Remove the signal that expires first if there are too many."""
+    if len(signals) > MAX_BOXES:
+        signals.pop(min(signals, key=signals.__getitem__))
--- a/waywell/request/demand.py
+++ b/waywell/request/demand.py
@@ -1,4 +1,4 @@
-"""How much work callers ask of each model."""
+"""Demand for each model, estimated from requests in flight."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
     from waywell.request.shared_loads import SharedLoads
     from waywell.version.fleet import BoxLife, Fleet
 
-MEMORY_SECONDS = 3.0
-"""Time in which the weight of what was seen falls to about a third: a few
-streams, and well under the time in which a model is loaded."""
+TIME_CONSTANT = 3.0
+"""Time constant of the moving average, in seconds.  It spans a few streams and
+is well below the time that loading a model takes."""
 
 
 class DemandEstimator:
-    """Keeps a running mean of the requests in flight, by model.
+    """Keeps an exponential moving average of requests in flight, by model.
 
-    Any node can work it out from what all nodes tell of their requests, so a
-    node that takes up the forming duty knows it at once.
+    Every node can compute it from the loads that all nodes report, so a node
+    that takes over the forming duty has the estimate at once.
     """
 
     def __init__(self) -> None:
-        """Start without a look."""
+        """Create an estimator without observations."""
         self._means: dict[ModelName, float] = {}
-        self._looked_at: float | None = None
+        self._observed_at: float | None = None
 
     def observe(
         self,
         in_flight: Mapping[ModelName, int],
         now: float,
     ) -> Mapping[ModelName, float]:
-        """Take in the requests in flight and return their mean.
+        """Add an observation and return the updated averages.
 
         Parameters
         ----------
         in_flight
-            Requests of all nodes, by model.
+            Requests in flight from all nodes, by model.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
-        kept = 0.0
-        if self._looked_at is not None:
-            kept = math.exp((self._looked_at - now) / MEMORY_SECONDS)
-        self._looked_at = now
+        decay = 0.0
+        if self._observed_at is not None:
+            decay = math.exp((self._observed_at - now) / TIME_CONSTANT)
+        self._observed_at = now
         self._means = {
-            model: kept * self._means.get(model, 0.0)
-            + (1.0 - kept) * in_flight.get(model, 0)
+            model: decay * self._means.get(model, 0.0)
+            + (1.0 - decay) * in_flight.get(model, 0)
             for model in self._means.keys() | in_flight.keys()
         }
         return self._means
@@ -63,7 +63,10 @@
     loads: Mapping[BoxLife, int],
     fleet: Fleet,
 ) -> Counter[ModelName]:
-    """Return the requests in flight by the model of the box's group."""
+    """Return the requests in flight by model, from loads by box.
+
+    Boxes that are unknown or that belong to no group are skipped.
+    """
     counts: Counter[ModelName] = Counter()
     for life, requests in loads.items():
         box = fleet.find_life(life)
@@ -75,5 +78,5 @@
 def count_in_flight_at(
     book: ReplicaBook, loads: SharedLoads, life: BoxLife
 ) -> int:
-    """Return the requests in flight at a box, of this node and all others."""
+    """Return the requests in flight at a box, from this and other nodes."""
     return book.list_loads().get(life, 0) + loads.get(life)
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -194,7 +194,7 @@
             self.replica,
             self._context.traits,
             has_begun=has_begun,
-            is_over=is_over,
+            has_ended=is_over,
         )
 
     def on_misdirected(self) -> None:
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -549,7 +549,7 @@
             make_replica(work, group),
             work.traits,
             has_begun=has_begun,
-            is_over=False,
+            has_ended=False,
         )
 
     def _may_retry(
--- a/waywell/request/facts.py
+++ b/waywell/request/facts.py
@@ -1,4 +1,4 @@
-"""What a caller says of a request in its path and headers."""
+"""Parsing of a request's path and headers."""
 
 from __future__ import annotations
 
@@ -18,61 +18,61 @@
     from collections.abc import Mapping
 
 KIND_HEADER = 'waywell-kind'
-"""Request kind."""
+"""Names the request kind, which routing rules may match."""
 
 SESSION_HEADER = 'waywell-session'
-"""Session id."""
+"""Carries the session id; requests of a session go to the same group."""
 
 LABELS_HEADER = 'waywell-session-labels'
 """Labels of the session, as ``key=value&key=value``."""
 
 DEADLINE_HEADER = 'waywell-deadline'
-"""Seconds from now in which the answer is of use."""
+"""Seconds from the arrival after which the answer is of no use."""
 
 REPEATABLE_HEADER = 'waywell-repeatable'
-"""``yes`` or ``no``."""
+"""Whether the request may run more than once, ``yes`` or ``no``."""
 
 REQUEST_ID_HEADER = 'waywell-request-id'
-"""Request id, for requests that may not be repeated."""
+"""Identifies a request that must run at most once."""
 
 PROMPT_HEADER = 'waywell-prompt-parts'
 """Parts of the prompt in order, as ``ID:TOKENS`` separated by commas."""
 
 MAX_DEADLINE = 86_400.0
-"""Longest deadline, in seconds."""
+"""Longest accepted deadline, in seconds."""
 
 MAX_LABELS = 16
-"""Labels that a session may have."""
+"""Maximum number of labels of a session."""
 
 _NAME = re.compile(r'[A-Za-z0-9._:@-]{1,128}')
 
 
 class RequestFacts(msgspec.Struct, frozen=True):
-    """What is known of a request before its body is looked at."""
+    """Properties of a request that its path and headers state."""
 
     service: str
-    """Service asked for."""
+    """Name of the requested service."""
 
     path: str
     """Path and query below the service."""
 
     key: str
-    """Key of the client account."""
+    """Bearer key that identifies the client account."""
 
     kind: str = DEFAULT_KIND
-    """Request kind."""
+    """Request kind, which routing rules may match."""
 
     session: SessionId | None = None
-    """Session, if the request belongs to one."""
+    """Session id as the caller gave it, if any."""
 
     session_labels: tuple[tuple[str, str], ...] = ()
-    """Labels of the session."""
+    """Labels of the session as pairs of key and value, sorted."""
 
     deadline: float | None = None
-    """Seconds from the arrival, or ``None`` for the service's own."""
+    """Seconds from the arrival; ``None`` for the default of the service."""
 
     repeatable: bool = True
-    """Whether a target may run it more than once."""
+    """Whether targets may run the request more than once."""
 
     request_id: RequestId | None = None
     """Request id, if the caller gave one."""
@@ -86,16 +86,16 @@
     target: str,
     headers: Mapping[str, str],
 ) -> Result[RequestFacts, Refusal]:
-    """Return what a request says of itself.
+    """Return the facts of a request, or a refusal if it is malformed.
 
     Parameters
     ----------
     method
-        HTTP method; GET and HEAD are repeatable unless they say no.
+        HTTP method; GET and HEAD are repeatable unless a header denies it.
     target
         Path with query, ``/services/NAME/...``.
     headers
-        Headers with names in lower case.
+        Headers by lower-case name.
     """
     try:
         return Success(_read_facts(method, target, headers))
@@ -128,8 +128,8 @@
     if len(parts) < 3 or parts[1] != 'services' or not parts[2]:
         raise Refusal(Code.UNKNOWN_SERVICE, detail='use /services/NAME/...')
     rest = parts[3] if len(parts) > 3 else ''
-    service, mark, query = parts[2].partition('?')
-    return service, f'/{rest}{mark}{query}'
+    service, separator, query = parts[2].partition('?')
+    return service, f'/{rest}{separator}{query}'
 
 
 def _read_key(headers: Mapping[str, str]) -> str:
--- a/waywell/request/fingerprint.py
+++ b/waywell/request/fingerprint.py
@@ -1,7 +1,7 @@
-"""What tells a request again, whatever node it comes to and however often.
+"""Fingerprints that identify repeated requests on any node.
 
-Each attempt of a caller has an id of its own, so the id does not tell that a
-request was here before.
+A caller sends each of its attempts with a new id, so ids can't identify a
+request that is sent again.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
     from waywell.ids import AccountName
 
 DIGEST_BYTES = 8
-"""Bytes of a fingerprint: of a thousand million requests a day, two with the
-same one come once in some tens of years."""
+"""Bytes of a fingerprint.  At a billion requests per day, two requests have
+the same fingerprint once in some tens of years."""
 
 LENGTH_BYTES = 8
-"""Bytes of the length before each part, so that no part runs into the next."""
+"""Bytes of the length prefix of each hashed part, which keeps the boundaries
+between parts unambiguous."""
 
 
 def make_fingerprint(
@@ -28,9 +29,9 @@
     body: bytes,
     account: AccountName | str | None,
 ) -> Fingerprint:
-    """Return the fingerprint of a request: who asks for what.
+    """Return the fingerprint of a request.
 
-    Neither the host nor the service counts, as routes move between services
+    The host and the service are left out: a route may move to another service
     while the request stays the same.
 
     Parameters
@@ -40,10 +41,10 @@
     target
         Path and query.
     body
-        Body.
+        Request body.
     account
-        Client account, where the route asks for a key; a caller may change
-        the key.
+        Client account if the route requires a key, else ``None``.  The key
+        itself is left out, as a caller may change it.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     head = (method, target, account or '')
--- a/waywell/request/group_views.py
+++ b/waywell/request/group_views.py
@@ -1,4 +1,4 @@
-"""A group of the roster, as what serves a request looks at it."""
+"""Conversions of roster groups to the types that serving a request uses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_dispatch(work: Work, group: Group) -> Dispatch:
-    """Return a request on its way to a group."""
+    """Return the dispatch of a request to a group."""
     return Dispatch(
         member=group.head,
         group=group.group,
@@ -24,19 +24,19 @@
         headers=work.submission.passed,
         body=work.submission.body,
         priority=work.account.priority,
-        # A kept connection may be closed by the target in the moment of
-        # the write, which leaves the outcome open.
+        # The target may close an idle connection while the request is being
+        # written, which leaves open whether the request ran.
         fresh=not work.facts.repeatable,
     )
 
 
 def make_life(group: Group) -> BoxLife:
-    """Return the life of the box that a group was formed with."""
+    """Return the box incarnation that a group was formed with."""
     return BoxLife(group.head.box, Incarnation(group.head.boot))
 
 
 def make_replica(work: Work, group: Group) -> Replica:
-    """Return a group as the guard knows replicas."""
+    """Return a group as a replica for the request guard."""
     head = group.head
     box = FleetBox(
         head.box,
@@ -50,7 +50,7 @@
 
 
 def make_fleet_box(group: Group, member: Member) -> FleetBox:
-    """Return a member of a group as a box of the group's service."""
+    """Return a group member as a fleet box of the group's service."""
     return FleetBox(
         member.box,
         ServiceName(group.service),
--- a/waywell/request/guard.py
+++ b/waywell/request/guard.py
@@ -1,4 +1,4 @@
-"""What the way of a request asks before it puts a replica at risk."""
+"""Interface of the guard that holds back requests that crash replicas."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     @abc.abstractmethod
     def get_hold_seconds(self, traits: RequestTraits, now: float) -> float:
-        """Return in how many seconds a request may be sent on; 0 for now."""
+        """Return the seconds for which a request is held; 0 if it is not."""
 
     @abc.abstractmethod
     def may_send(
@@ -26,16 +26,16 @@
         running: int,
         now: float,
     ) -> bool:
-        """Answer whether one more replica may be put at risk.
+        """Return whether a request may be sent to one more replica.
 
         Parameters
         ----------
         traits
-            What the request may be blamed by.
+            Traits of the request by which crashes are attributed to it.
         running
-            Attempts at it that run already.
+            Number of its attempts that are running.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
 
     @abc.abstractmethod
@@ -45,33 +45,33 @@
         traits: RequestTraits,
         *,
         has_begun: bool,
-        is_over: bool,
+        has_ended: bool,
     ) -> None:
-        """Take in that an attempt broke.
+        """Record an attempt whose connection broke.
 
         Parameters
         ----------
         replica
-            Where.
+            Replica that ran the attempt.
         traits
-            What the request may be blamed by.
+            Traits of the request by which crashes are attributed to it.
         has_begun
-            Whether it had brought a piece of the answer.
-        is_over
+            Whether a part of the answer had arrived.
+        has_ended
             Whether the replica is known to have ended.
         """
 
     @abc.abstractmethod
     def record_served(self, traits: RequestTraits) -> None:
-        """Take in that a request was answered whole."""
+        """Record that a request was answered completely."""
 
     def check(self, traits: RequestTraits, now: float) -> None:
-        """Refuse a request that is held back.
+        """Raise a refusal if a request is held back.
 
         Raises
         ------
         Refusal
-            With the time at which it may come back.
+            If the request is held back, with the seconds until its release.
         """
         seconds = self.get_hold_seconds(traits, now)
         if seconds > 0:
--- a/waywell/request/hedge_timeouts.py
+++ b/waywell/request/hedge_timeouts.py
@@ -1,4 +1,4 @@
-"""How long an attempt may be silent before another is made beside it."""
+"""Timeouts after which an attempt is hedged with a second attempt."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
     from waywell.request.ask import Ask
     from waywell.version.routes import Engine, Route
 
-PLAIN_PART = 0.6
-"""Part of the goal after which a plain request is sent again: what is left
-covers one more answer in the usual time."""
+PLAIN_FRACTION = 0.6
+"""Fraction of the latency goal after which a plain request is hedged.  The
+rest is enough for one more answer in the usual time."""
 
-FIRST_PART = 1.0
-"""Part of the goal after which a stream without an event is sent again.  A
-first event takes more than half of the goal on a sound replica, so a second
-attempt can't be in time; earlier ones only load the replicas."""
+FIRST_EVENT_FRACTION = 1.0
+"""Fraction of the latency goal after which a stream without an event is
+hedged.  A first event takes more than half of the goal on a healthy replica,
+so a hedge can't meet the goal; an earlier one would only add load."""
 
 MIN_GAP_FRACTION = 0.4
-"""Part of the longest pause that is in time after which a stream is taken up
-elsewhere at the soonest; the rest is for reading the prompt once more."""
+"""Smallest fraction of the gap goal after which a silent stream is resumed on
+another replica.  The rest is for processing the prompt again."""
 
 MAX_GAP_FRACTION = 0.75
-"""Part after which it is taken up at the latest, however long the pauses of
-sound replicas are."""
+"""Largest fraction of the gap goal after which a silent stream is resumed on
+another replica, however long the pauses of healthy replicas are."""
 
-LEAST_GAP = 0.08
-"""Least silence that says something, in seconds: two passes of an engine that
-reads a prompt between them."""
+MIN_GAP_SECONDS = 0.08
+"""Shortest silence that indicates a fault, in seconds: two passes of an engine
+that processes a prompt between them."""
 
 DEFAULT_GOAL = 0.5
-"""Goal of a route that names none, in seconds."""
+"""Latency goal of a route that sets none, in seconds."""
 
 
 @attrs.frozen
 class HedgeTimeouts:
-    """Seconds of silence until an attempt is hedged."""
+    """Periods of silence, in seconds, after which an attempt is hedged."""
 
     first: float
-    """From the sending to the first event, or the whole plain answer."""
+    """Limit from sending to the first event or the complete plain answer."""
 
     gap: float
-    """Between two events."""
+    """Limit between two events of a stream."""
 
     expected_first: float
-    """What the first event takes on an idle replica; 0 where unknown."""
+    """Seconds to the first event on an idle replica; 0 if unknown."""
 
 
 def compute_hedge_timeouts(
@@ -57,31 +57,33 @@
     ask: Ask,
     usual_pause: float = 0.0,
 ) -> HedgeTimeouts:
-    """Return the silences that an attempt is granted.
+    """Return the hedge timeouts of an attempt.
 
     Parameters
     ----------
     route
-        The route of the request.
+        Route of the request, with its latency and gap goals.
     engine
-        Engine of its service, where it has one.
+        Engine of the route's service, if it has one.
     ask
-        The request.
+        Request to be sent.
     usual_pause
-        Longest usual pause of a sound replica, in seconds: one that is
-        shorter is no silence, and to take the stream up elsewhere only makes
-        another replica read its prompt.
+        Longest usual pause of a healthy replica, in seconds.  Resuming the
+        stream elsewhere after a shorter one would only make another replica
+        process the prompt.
     """
     goal = route.goal or DEFAULT_GOAL
     if route.kind is not RouteKind.STREAM:
-        return HedgeTimeouts(goal * PLAIN_PART, goal * PLAIN_PART, 0.0)
-    longest = route.gap_goal or goal
-    gap = max(LEAST_GAP, longest * MIN_GAP_FRACTION, usual_pause)
-    gap = max(LEAST_GAP, min(gap, longest * MAX_GAP_FRACTION))
-    return HedgeTimeouts(goal * FIRST_PART, gap, _expect_first(engine, ask))
+        return HedgeTimeouts(goal * PLAIN_FRACTION, goal * PLAIN_FRACTION, 0.0)
+    gap_goal = route.gap_goal or goal
+    gap = max(MIN_GAP_SECONDS, gap_goal * MIN_GAP_FRACTION, usual_pause)
+    gap = max(MIN_GAP_SECONDS, min(gap, gap_goal * MAX_GAP_FRACTION))
+    return HedgeTimeouts(
+        goal * FIRST_EVENT_FRACTION, gap, _estimate_first_event(engine, ask)
+    )
 
 
-def _expect_first(engine: Engine | None, ask: Ask) -> float:
+def _estimate_first_event(engine: Engine | None, ask: Ask) -> float:
     if engine is None or not engine.read_per_second:
         return 0.0
     model = engine.find_model(ask.model)
--- a/waywell/request/paths.py
+++ b/waywell/request/paths.py
@@ -1,4 +1,4 @@
-"""What requests need to know of this node's links to replicas."""
+"""Interface to this node's network paths to replicas and to peers."""
 
 from __future__ import annotations
 
@@ -14,39 +14,40 @@
 
 
 LinkCheck = Callable[[ServiceName], Awaitable[bool]]
-"""Answers whether this node's links to a service are sound."""
+"""Returns whether this node's links to a service work."""
 
 
 async def assume_links_work(_service: ServiceName) -> bool:
-    """Answer that links are sound, for a node that can't find out."""
+    """Return that links work, for a node that has no means to verify it."""
     return True
 
 
 class ReplicaPaths(abc.ABC):
-    """Knows whether links work, and which peers forward requests."""
+    """Tracks links to replicas and the peers that can forward requests."""
 
     @abc.abstractmethod
     def record(self, box: FleetBox, now: float, *, is_connected: bool) -> None:
-        """Record how an attempt to connect to a box ended."""
+        """Record whether a connection attempt to a box succeeded."""
 
     @abc.abstractmethod
     def is_partitioned(self, service: ServiceName) -> bool:
-        """Answer whether this node has lost its links to a service."""
+        """Return whether this node has lost its links to a service."""
 
     @abc.abstractmethod
     async def verify(self, service: ServiceName) -> bool:
-        """Answer whether this node's links to a service are sound.
+        """Return whether this node's links to a service work.
 
-        Asked before a failure that this node sees is told of a box.
+        Callers check it before they report a failure of a box, which may be
+        a failure of this node's own links.
         """
 
     @abc.abstractmethod
     async def await_diagnosis(self, service: ServiceName) -> None:
-        """Wait while this node finds out whether its links are lost."""
+        """Wait until this node knows whether its links are lost."""
 
     @abc.abstractmethod
     def list_peers(self, service: ServiceName) -> list[NodeRecord]:
-        """Return the peers that reach the replicas of a service."""
+        """Return the peers that can reach the replicas of a service."""
 
     @abc.abstractmethod
     def choose_peer(
@@ -55,38 +56,38 @@
         tried: frozenset[ReplicaKey],
         now: float,
     ) -> NodeRecord | None:
-        """Return a peer to forward a request through.
+        """Return a peer to forward a request through, if there is one.
 
         Parameters
         ----------
         service
             Service of the request.
         tried
-            Destinations that it was sent to before.
+            Destinations that the request was already sent to.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
 
 
 class DirectPaths(ReplicaPaths):
-    """Links that always work, for a node without peers."""
+    """Paths that always count as working, for a node without peers."""
 
     def record(self, box: FleetBox, now: float, *, is_connected: bool) -> None:
-        """Record nothing."""
+        """Ignore the result, as partitions are not detected."""
 
     def is_partitioned(self, service: ServiceName) -> bool:
-        """Answer that this node has its links."""
+        """Return ``False``, as partitions are not detected."""
         return False
 
     async def verify(self, service: ServiceName) -> bool:
-        """Answer that this node has its links."""
+        """Return ``True``, as links count as working."""
         return True
 
     async def await_diagnosis(self, service: ServiceName) -> None:
-        """Wait for nothing."""
+        """Return at once, as there is no diagnosis to wait for."""
 
     def list_peers(self, service: ServiceName) -> list[NodeRecord]:
-        """Return no peer."""
+        """Return an empty list, as there are no peers."""
         return []
 
     def choose_peer(
@@ -95,4 +96,4 @@
         tried: frozenset[ReplicaKey],
         now: float,
     ) -> NodeRecord | None:
-        """Return no peer."""
+        """Return ``None``, as there are no peers."""
--- a/waywell/request/pauses.py
+++ b/waywell/request/pauses.py
@@ -1,10 +1,11 @@
-"""How long sound replicas are silent between two events, as observed.
-
-A replica reads the prompts of new requests between the tokens of running
-ones, so its pauses grow with the prompts that come.  What counts as silence
-follows the pauses that are usual just now.  On a loaded day one arrival in 14
-at replicas is then given up in a queue, in place of one in seven (241 of 3,454
-and 492 of 3,723, counted by the replicas over one day each).
+"""Estimates of how long healthy replicas pause between two stream events.
+
+A replica processes the prompts of new requests between the tokens of running
+ones, so its pauses grow with the prompts that arrive.  The silence after which
+a stream is hedged therefore follows the pauses that are currently usual.
+Under load this lowered the share of requests abandoned in a replica's queue
+from one in seven (492 of 3,723) to one in 14 (241 of 3,454), as counted by the
+replicas over one day each.
 """
 
 from __future__ import annotations
@@ -15,26 +16,29 @@
     from waywell.ids import ModelName
 
 USUAL_QUANTILE = 0.998
-"""Part of the pauses that are shorter than the estimate: a stream of some 30
-events is then taken for silent without cause once in about 20 times."""
+"""Quantile of the pauses that the estimate tracks.  About one in 20 streams of
+some 30 events then has a longer pause and counts as silent without cause."""
 
 STEP = 0.05
-"""Part by which a longer pause raises the estimate; shorter ones lower it by
-so much less that it stays at that part of the pauses."""
+"""Relative increase of the estimate after a longer pause.  Shorter pauses
+lower it by a smaller step, chosen so that it settles at the quantile."""
 
 INITIAL_ESTIMATE = 0.08
-"""Estimate before any pause was seen, in seconds: two passes of an engine that
-reads a prompt between them."""
+"""Estimate before any pause was observed, in seconds: two passes of an engine
+that processes a prompt between them."""
 
-LEAST = 0.01
-"""Lowest estimate, in seconds, so that it can rise again soon."""
+MIN_ESTIMATE = 0.01
+"""Lowest estimate, in seconds, from which it can rise again quickly."""
 
 
 class PauseEstimator:
-    """Estimates the longest usual pause between events, by model."""
+    """Estimates the longest usual pause between events, by model.
+
+    The estimate is a running quantile that needs no history of pauses.
+    """
 
     def __init__(self) -> None:
-        """Start without a pause seen."""
+        """Create an estimator without observations."""
         self._estimates: dict[ModelName, float] = {}
 
     def get(self, model: ModelName) -> float:
@@ -42,10 +46,10 @@
         return self._estimates.get(model, INITIAL_ESTIMATE)
 
     def record(self, model: ModelName, pause: float) -> None:
-        """Take in a pause that ended with an event, in seconds."""
+        """Record a pause in seconds that ended with an event."""
         estimate = self.get(model)
         if pause > estimate:
             estimate *= 1 + STEP
         else:
             estimate *= 1 - STEP * (1 - USUAL_QUANTILE) / USUAL_QUANTILE
-        self._estimates[model] = max(LEAST, estimate)
+        self._estimates[model] = max(MIN_ESTIMATE, estimate)
--- a/waywell/request/peer_chooser.py
+++ b/waywell/request/peer_chooser.py
@@ -1,7 +1,8 @@
-"""The choice of a peer that forwards a request.
+"""Choice of the peer that forwards a request.
 
-Answers nodes that have lost their links to replicas: their requests are spread
-over all nodes that have theirs, so that none of these carries them alone.
+Nodes that have lost their links to replicas forward their requests through
+peers.  The requests are spread over all peers whose links work, so that none
+of them carries the load alone.
 """
 
 from __future__ import annotations
@@ -19,29 +20,29 @@
     from waywell.membership.membership import MembershipTable, NodeRecord
     from waywell.request.replica_book import ReplicaBook
 
-COMPARED = 2
-"""Peers that are drawn and compared by their requests in flight."""
+CANDIDATES = 2
+"""Number of random peers that are compared by their requests in flight."""
 
-LEAST_CORES = 0.1
-"""Cores that a peer counts for which does not tell them."""
+MIN_CORES = 0.1
+"""Cores assumed for a peer that reports none."""
 
 
 def make_peer_key(record: NodeRecord) -> ReplicaKey:
-    """Return what tells a run of a peer from other destinations."""
+    """Return the key of a peer's incarnation among request destinations."""
     return ReplicaKey(BoxId(record.node), incarnation=record.incarnation)
 
 
 class PeerChooser:
-    """Chooses peers for one node.
+    """Chooses the peers through which one node forwards requests.
 
     Parameters
     ----------
     members
         Entry boxes that this node knows.
     book
-        What this node has seen of peers.
+        This node's load and failure records of its peers.
     random
-        Draws the peers that are compared.
+        Source of the random draws of candidates.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         book: ReplicaBook,
         random: Random,
     ) -> None:
-        """Choose nobody yet."""
+        """Create a chooser for the node that owns the membership table."""
         self._members = members
         self._book = book
         self._random = random
@@ -61,27 +62,27 @@
         tried: frozenset[ReplicaKey],
         now: float,
     ) -> NodeRecord | None:
-        """Return a peer that is likely to reach the replicas of a service.
+        """Return a peer that should reach a service, if there is one.
 
         Parameters
         ----------
         service
             Service of the request.
         tried
-            Destinations that the request was sent to before.
+            Destinations that the request was already sent to.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
         peers = [
             record
             for record in self.list_peers(service)
             if make_peer_key(record) not in tried
-            and self._get_rest(record) <= now
+            and self._get_backoff_end(record) <= now
         ]
-        return self._compare(peers) if peers else None
+        return self._draw_least_loaded(peers) if peers else None
 
     def list_peers(self, service: ServiceName) -> list[NodeRecord]:
-        """Return the peers that say that they reach a service."""
+        """Return the live peers that report that they reach a service."""
         return [
             record
             for record in self._members.list_live()
@@ -91,21 +92,22 @@
             and _reaches(record, service)
         ]
 
-    def _get_rest(self, record: NodeRecord) -> float:
+    def _get_backoff_end(self, record: NodeRecord) -> float:
         return self._book.get(make_peer_key(record)).backoff_until
 
-    def _compare(self, peers: list[NodeRecord]) -> NodeRecord:
-        """Return the least loaded of a few that are drawn by their cores."""
-        cores = [max(LEAST_CORES, peer.cores) for peer in peers]
-        drawn = self._random.choices(peers, cores, k=COMPARED)
-        return min(drawn, key=self._count_in_flight)
+    def _draw_least_loaded(self, peers: list[NodeRecord]) -> NodeRecord:
+        """Return the least loaded of a few peers drawn by their cores."""
+        cores = [max(MIN_CORES, peer.cores) for peer in peers]
+        candidates = self._random.choices(peers, cores, k=CANDIDATES)
+        return min(candidates, key=self._compute_load)
 
-    def _count_in_flight(self, record: NodeRecord) -> float:
+    def _compute_load(self, record: NodeRecord) -> float:
+        """Return this node's requests in flight at a peer, per core."""
         in_flight = self._book.get(make_peer_key(record)).in_flight
-        return in_flight / max(LEAST_CORES, record.cores)
+        return in_flight / max(MIN_CORES, record.cores)
 
 
 def _reaches(record: NodeRecord, service: ServiceName) -> bool:
-    """Answer whether a peer says that it reaches the replicas of a service."""
+    """Return whether a peer reports that it reaches a service's replicas."""
     lost = record.lost_services
     return lost is not None and service not in lost
--- a/waywell/request/routing.py
+++ b/waywell/request/routing.py
@@ -90,7 +90,7 @@
         """Return the load of a group."""
 
     @abc.abstractmethod
-    def get_mean_cost(self) -> float:
+    def get_average_cost(self) -> float:
         """Return the mean cost over the groups to choose from."""
 
 
@@ -151,7 +151,7 @@
         for place, group in enumerate(groups)
     ]
     heapq.heapify(ranked)
-    bound = LOAD_BOUND * loads.get_mean_cost() + LOAD_SLACK
+    bound = LOAD_BOUND * loads.get_average_cost() + LOAD_SLACK
     reason = ChoiceReason.SESSION
     fallback = None
     while ranked:
--- a/waywell/request/service_loads.py
+++ b/waywell/request/service_loads.py
@@ -1,4 +1,4 @@
-"""Loads as the choice of a group sees them, summed up now and then."""
+"""Loads of a service's groups, with a summary that is cached briefly."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
     from waywell.version.roster import Group
 
 SUMMARY_SECONDS = 0.5
-"""Seconds for which a summary over all groups of a service holds."""
+"""Seconds for which the load summary of a service is reused."""
 
 
 @attrs.frozen
 class LoadSummary:
-    """What one pass over the groups of a service gave."""
+    """Aggregates over all groups of a service at one moment."""
 
     at: float
-    """When it was made, in seconds."""
+    """Time at which it was computed, in seconds."""
 
     typical: float
     """Typical time to the first byte, in seconds."""
 
-    mean_cost: float
-    """Mean cost of a further request."""
+    median_cost: float
+    """Median cost of one more request to a group."""
 
 
 class ServiceLoads(LoadSource):
-    """The loads of the groups of one service at one moment.
+    """Loads of the groups of one service at one moment.
 
     Parameters
     ----------
     health
-        What this node saw itself.
+        This node's own observations of groups.
     reported
-        What others reported.
+        Requests in flight that other nodes reported, by group.
     summary
-        Summary over all groups.
+        Summary over all groups of the service.
     now
-        Present time, in seconds.
+        Current time, in seconds.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         summary: LoadSummary,
         now: float,
     ) -> None:
-        """Keep what loads are made of."""
+        """Store the data that loads are computed from."""
         self._health = health
         self._reported = reported
         self._summary = summary
@@ -71,24 +71,24 @@
             self._now,
         )
 
-    def get_mean_cost(self) -> float:
-        """Return the mean cost over the groups of the service."""
-        return self._summary.mean_cost
+    def get_average_cost(self) -> float:
+        """Return the median cost over the groups of the service."""
+        return self._summary.median_cost
 
 
 class ServiceLoadCache:
-    """Makes the loads of a service, with a summary that is reused.
+    """Builds the loads of a service and caches its load summary.
 
     Parameters
     ----------
     health
-        What this node saw itself.
+        This node's own observations of groups.
     loads
-        What others reported.
+        Loads that other nodes reported.
     """
 
     def __init__(self, health: HealthTable, loads: LoadTable) -> None:
-        """Start without summaries."""
+        """Create a cache without summaries."""
         self._health = health
         self._loads = loads
         self._summaries: dict[str, LoadSummary] = {}
@@ -99,15 +99,15 @@
         groups: Sequence[Group],
         now: float,
     ) -> LoadSource:
-        """Return the loads of a service's groups at ``now``."""
+        """Return the loads of a service's groups as of ``now``."""
         reported = self._loads.get_reported()
         summary = self._summaries.get(service)
         if summary is None or now - summary.at >= SUMMARY_SECONDS:
-            summary = self._sum_up(groups, reported, now)
+            summary = self._summarize(groups, reported, now)
             self._summaries[service] = summary
         return ServiceLoads(self._health, reported, summary, now)
 
-    def _sum_up(
+    def _summarize(
         self,
         groups: Sequence[Group],
         reported: Mapping[GroupId, float],
@@ -124,6 +124,7 @@
             ).cost
             for name in names
         ]
-        # The median: one slow or resting group must not lift the bound.
-        mean = sorted(costs)[len(costs) // 2] if costs else 0
-        return LoadSummary(now, typical, mean)
+        # With a mean, one slow group or one in backoff would raise the load
+        # bound at which sessions move.
+        median = sorted(costs)[len(costs) // 2] if costs else 0
+        return LoadSummary(now, typical, median)
