--- a/waywell/experiment/call.py
+++ b/waywell/experiment/call.py
@@ -246,7 +246,7 @@
         seconds_left = self._ends_at - self.parts.timeline.now
         draw = self.node.random.random()
         return advise_return(
-            unroutable.reason, seconds_left, draw, unroutable.rest
+            unroutable.reason, seconds_left, draw, unroutable.wait
         )
 
     def _expire(self) -> None:
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -386,11 +386,11 @@
             rejections=0,
         )
         seconds = NO_GROUP_RETRY_SECONDS
-        if unroutable.rest:
+        if unroutable.wait:
             draw = self._parts.random.random()
             left = work.deadline_at - now
             seconds = advise_return(
-                unroutable.reason, left, draw, unroutable.rest
+                unroutable.reason, left, draw, unroutable.wait
             )
         return Refusal(unroutable.code, _get_ran(work), retry_after=seconds)
 
--- a/waywell/request/permit_source.py
+++ b/waywell/request/permit_source.py
@@ -1,4 +1,4 @@
-"""What the way of a request asks before it goes to a replica with a limit."""
+"""Interface to the permits for replicas with a rate limit."""
 
 from __future__ import annotations
 
@@ -17,20 +17,23 @@
 
 
 MAX_PERMIT_DENIALS = 3
-"""Replicas with a limit at which a request asks for a turn; after that it only
-goes to those without, or is refused at once."""
+"""Maximum number of replicas that may deny a request a permit.  After that it
+goes only to replicas without a rate limit, or is refused at once."""
 
 
 @attrs.frozen
 class Permit:
-    """The right to send one request to one replica."""
+    """Permission to send one request to one replica."""
 
     until: float = 0.0
-    """When it lapses, in seconds; it has no meaning without a limit."""
+    """Time at which it expires, in seconds; ignored without a rate limit."""
 
 
 class PermitSource(abc.ABC):
-    """Knows the limits of replicas, and has the turns that all nodes share."""
+    """Tracks rate limits of replicas and issues permits within them.
+
+    All nodes share the permits of a replica.
+    """
 
     @abc.abstractmethod
     def record_limit(
@@ -40,36 +43,36 @@
         limit: float,
         sent_at: float,
     ) -> None:
-        """Take in what an answer said of its replica's limit.
+        """Record the rate limit that an answer named.
 
         Parameters
         ----------
         life
-            The box that answered.
+            Box that answered, with its incarnation.
         hall
-            Its data hall.
+            Data hall of the box.
         limit
-            Requests a second that it takes from all nodes.
+            Requests per second that the box accepts from all nodes.
         sent_at
-            When the request left, in seconds.
+            Time at which the request was sent, in seconds.
         """
 
     @abc.abstractmethod
     def get_limit(self, life: BoxLife) -> float:
-        """Return the requests a second that a box takes from all nodes."""
+        """Return the requests per second that a box accepts from all nodes."""
 
     @abc.abstractmethod
     def may_ask(self, life: BoxLife, denied: int, now: float) -> bool:
-        """Answer whether a box has no limit, or may have a turn left.
+        """Return whether a box has no rate limit or may have a permit left.
 
         Parameters
         ----------
         life
-            The box.
-        missed
-            Turns that the request did not get elsewhere.
+            Box that the request may be sent to.
+        denied
+            Number of permits that the request was denied elsewhere.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
 
     @abc.abstractmethod
@@ -79,26 +82,26 @@
         hall: HallName,
         rank: int,
     ) -> Permit | None:
-        """Return a turn, or ``None`` where there is none now.
+        """Return a permit, or ``None`` if none is available now.
 
         Parameters
         ----------
         life
-            The box that is to get a request.
+            Box that the request is to be sent to.
         hall
-            Its data hall.
+            Data hall of the box.
         rank
-            Urgency of the request, 0 first.
+            Urgency of the request; lower values are served first.
         """
 
     @abc.abstractmethod
     def find_wait(self, lives: Iterable[BoxLife], now: float) -> float | None:
-        """Return in how many seconds the first of some boxes has a turn.
+        """Return the seconds until the first of some boxes has a permit.
 
         Returns
         -------
         float or None
-            ``None`` where one of them has no limit, or there are none.
+            ``None`` if one of them has no rate limit or no box is given.
         """
 
     @abc.abstractmethod
@@ -108,10 +111,14 @@
         denied: int,
         now: float,
     ) -> Sequence[Replica]:
-        """Return the replicas that may be asked."""
+        """Return the replicas that have no rate limit or may have a permit."""
 
     def may_send(self, life: BoxLife, turn: Permit | None, now: float) -> bool:
-        """Answer, in the turn of the write, whether a request may go out."""
+        """Return whether a request may be sent, right before the write.
+
+        The replica may have named a rate limit, or the permit may have
+        expired, while the request connected.
+        """
         if self.get_limit(life) == NO_LIMIT:
             return True
         return turn is not None and now < turn.until
--- a/waywell/request/placement.py
+++ b/waywell/request/placement.py
@@ -1,8 +1,9 @@
-"""The choice of a replica for one request.
+"""Choice of the replica for one request.
 
-Answers the load of many nodes that choose by knowledge which is older than the
-time in which they fill a replica: if all of them take the least loaded one,
-they meet there.
+Many nodes choose by load reports that are older than the time in which the
+nodes together fill a replica.  If every node chose the least loaded replica,
+they would overload it together, so replicas are drawn at random by their free
+capacity.
 """
 
 from __future__ import annotations
@@ -25,43 +26,46 @@
     from waywell.request.replica_book import ReplicaBook
     from waywell.version.fleet import ReplicaKey
 
-OTHER_HALL_LOAD = 0.4
-"""Requests in flight that the way to another data hall is worth: some 3 ms a
-message and the price of the bytes, against a step that one more request slows
-by a few per cent."""
+OTHER_HALL_COST = 0.4
+"""Cost of a replica in another data hall, in requests in flight.  A message
+between halls takes some 3 ms more and its bytes are charged for, while one
+more request slows an engine step by only a few percent."""
 
-OTHER_HALL_PART = 0.01
-"""Part of its free places that counts of a replica in another hall, as bytes
-between halls are paid for: with four other halls that have as much room as the
-own one 4 of 100 requests go there."""
+OTHER_HALL_WEIGHT = 0.01
+"""Smallest weight of a free place in another hall relative to the own one, as
+traffic between halls is charged for.  With four other halls that have as much
+free capacity as the own one, 4 of 100 requests leave the hall."""
 
-ENOUGH_ROOM = 0.75
-"""Part of the room of all halls, by places, that the own hall has at least
-while nearly all requests stay in it.  Where it had lost two of three groups,
-12 to 15 of 100 requests met a full replica while others had room (simulated,
-69 nodes, three seeds), 3 to 5 with this."""
+ENOUGH_CAPACITY = 0.75
+"""Ratio of the free share of places in the own hall to that of all halls above
+which nearly all requests stay in the hall.  In a simulation (69 nodes, three
+seeds) in which a hall had lost two of three groups, this reduced the requests
+that met a full replica while others had free places from 12 to 15 of 100 to 3
+to 5."""
 
-FULL_ROOM = 0.25
-"""Free places that a replica counts for whose places are just taken; one with
-requests waiting counts for less, so that the shortest queue gets most."""
+FULL_CAPACITY = 0.25
+"""Free places assumed for a replica that has just become full.  A replica with
+queued requests counts for less, so the shortest queue gets the most."""
 
-LEAST_ROOM = 0.05
-"""Free places that a replica counts for whose limit is lowest; one with a
-limit counts for no more than it takes in a second, whatever is free."""
+MIN_CAPACITY = 0.05
+"""Free places assumed at least for a replica with a rate limit.  Such a
+replica counts for no more places than the requests it takes in a second,
+however many are free."""
 
-COMPARED_MOST = 3
-"""Replicas that are drawn and compared where few nodes choose."""
+MAX_CANDIDATES = 3
+"""Maximum number of replicas that one node draws and compares."""
 
-DECIDERS = 24
-"""Nodes among which, all together, replicas are compared.  What other nodes
-tell is a third of a second old, half the length of a stream: the more nodes
-choose, the more of them meet where it was empty.  At 195 nodes and 0.6 of the
-places taken 16 to 20 of 100 requests met a replica without a free place when
-each compared four replicas, 8 to 11 when none is compared (simulated, three
-seeds, 7 places, streams of 1.2 s, knowledge 0.7 s old)."""
+TOTAL_CANDIDATES = 24
+"""Number of candidates that all nodes draw in total; each draws its share.
+Load reports of other nodes are a third of a second old, half the length of a
+stream, so the more nodes choose, the more of them choose the same idle
+replica.  In a simulation with 195 nodes and 0.6 of the places taken (three
+seeds, 7 places per replica, streams of 1.2 s, reports 0.7 s old), 16 to 20 of
+100 requests met a replica without a free place when each node compared four
+replicas, and 8 to 11 when none compared."""
 
-OTHERS_WEIGHT = 0.8
-"""Weight of other nodes' requests beside own ones: some have ended since."""
+REMOTE_LOAD_WEIGHT = 0.8
+"""Weight of requests that other nodes reported, as some have ended since."""
 
 
 def _count_one() -> int:
@@ -72,37 +76,37 @@
     return math.inf
 
 
-class _Room(msgspec.Struct, frozen=True):
-    """How many more requests a replica has room for, about."""
+class _Capacity(msgspec.Struct, frozen=True):
+    """Estimated number of further requests that a replica can run."""
 
     replica: Replica
     free: float
 
 
-def _get_part(rooms: list[_Room]) -> float:
-    """Return the part of the places of some replicas that is free."""
-    places = sum(room.replica.head.places for room in rooms)
-    return sum(room.free for room in rooms) / places
+def _compute_free_share(capacities: list[_Capacity]) -> float:
+    """Return the share of the replicas' places that is free."""
+    places = sum(capacity.replica.head.places for capacity in capacities)
+    return sum(capacity.free for capacity in capacities) / places
 
 
 @attrs.frozen
 class ReplicaChooser:
-    """Chooses for one node."""
+    """Chooses replicas for the requests of one node."""
 
     hall: HallName
-    """Its data hall."""
+    """Data hall of the node."""
 
     loads: SharedLoads
-    """What other nodes tell."""
+    """Requests in flight that other nodes reported."""
 
     random: Random
-    """Draws the replicas that are compared."""
+    """Source of the random draws of candidates."""
 
     count_nodes: Callable[[], int] = _count_one
-    """Returns the nodes that choose among the same replicas."""
+    """Returns the number of nodes that choose among the same replicas."""
 
     get_limit: Callable[[BoxLife], float] = _get_no_limit
-    """Returns the requests a second that a box takes from all nodes."""
+    """Returns the requests per second that a box accepts from all nodes."""
 
     def choose(
         self,
@@ -111,80 +115,98 @@
         book: ReplicaBook,
         now: float,
     ) -> Replica | None:
-        """Return a replica that should answer soon.
+        """Return a replica that should answer soon, if one is left.
 
-        Some are drawn by the room that they have, and the least loaded of
-        them is taken.  One that rests is taken only when no other is left.
+        Candidates are drawn at random by their free capacity, and the least
+        loaded candidate is chosen.  A replica in backoff is chosen only if no
+        other is left.
 
         Parameters
         ----------
         replicas
             Replicas that may get the request.
         tried
-            Replicas that it was sent to before.
+            Replicas that the request was already sent to.
         book
-            What this node has seen of them.
+            This node's records of the replicas.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
-        left = [one for one in replicas if one.key not in tried]
-        awake = [one for one in left if book.get(one.key).backoff_until <= now]
-        drawn = self._draw(awake or left, book)
+        untried = [replica for replica in replicas if replica.key not in tried]
+        available = [
+            replica
+            for replica in untried
+            if book.get(replica.key).backoff_until <= now
+        ]
+        candidates = self._draw_candidates(available or untried, book)
         return min(
-            drawn,
-            key=lambda one: self._weigh(one, book),
+            candidates,
+            key=lambda replica: self._compute_cost(replica, book),
             default=None,
         )
 
-    def _draw(
+    def _draw_candidates(
         self,
         replicas: list[Replica],
         book: ReplicaBook,
     ) -> list[Replica]:
         if not replicas:
             return []
-        rooms = [_Room(one, self._measure_room(one, book)) for one in replicas]
-        part = self._choose_part(rooms)
+        capacities = [
+            _Capacity(replica, self._estimate_capacity(replica, book))
+            for replica in replicas
+        ]
+        factor = self._get_other_hall_weight(capacities)
         weights = [
-            room.free if self._is_near(room.replica) else part * room.free
-            for room in rooms
+            capacity.free
+            if self._is_in_own_hall(capacity.replica)
+            else factor * capacity.free
+            for capacity in capacities
         ]
-        compared = round(DECIDERS / max(1, self.count_nodes()))
-        count = max(1, min(COMPARED_MOST, compared))
+        candidates = round(TOTAL_CANDIDATES / max(1, self.count_nodes()))
+        count = max(1, min(MAX_CANDIDATES, candidates))
         return self.random.choices(replicas, weights, k=count)
 
-    def _choose_part(self, rooms: list[_Room]) -> float:
-        """Return the part of its room that counts of a replica elsewhere.
+    def _get_other_hall_weight(self, capacities: list[_Capacity]) -> float:
+        """Return the weight of a free place in another data hall.
 
-        It is small while the own hall has about as much room as all have, and
-        rises to the whole as the own hall has none.
+        It is small while the own hall's share of free places is about that of
+        all halls, and rises to 1 as the own hall fills up.
         """
-        near = [room for room in rooms if self._is_near(room.replica)]
-        if not near:
+        local = [
+            capacity
+            for capacity in capacities
+            if self._is_in_own_hall(capacity.replica)
+        ]
+        if not local:
             return 1.0
-        compared = _get_part(near) / _get_part(rooms)
-        return max(OTHER_HALL_PART, 1.0 - compared / ENOUGH_ROOM)
+        ratio = _compute_free_share(local) / _compute_free_share(capacities)
+        return max(OTHER_HALL_WEIGHT, 1.0 - ratio / ENOUGH_CAPACITY)
 
-    def _is_near(self, replica: Replica) -> bool:
+    def _is_in_own_hall(self, replica: Replica) -> bool:
         return replica.head.hall == self.hall
 
-    def _measure_room(self, replica: Replica, book: ReplicaBook) -> float:
-        """Return how many more requests a replica has room for, about."""
+    def _estimate_capacity(self, replica: Replica, book: ReplicaBook) -> float:
+        """Return about how many more requests a replica can run."""
         record = book.get(replica.key)
-        taken = self._count_taken(replica, book)
-        free = replica.head.places - taken
-        room = free if free > FULL_ROOM else FULL_ROOM / (1.0 - free)
-        limit = max(LEAST_ROOM, self.get_limit(replica.key.life))
-        return min(room, limit) / max(1.0, record.slowness)
+        load = self._estimate_load(replica, book)
+        free = replica.head.places - load
+        capacity = (
+            free if free > FULL_CAPACITY else FULL_CAPACITY / (1.0 - free)
+        )
+        limit = max(MIN_CAPACITY, self.get_limit(replica.key.life))
+        return min(capacity, limit) / max(1.0, record.slowness)
 
-    def _count_taken(self, replica: Replica, book: ReplicaBook) -> float:
+    def _estimate_load(self, replica: Replica, book: ReplicaBook) -> float:
+        """Return about how many requests of all nodes a replica runs."""
         others = self.loads.get(replica.key.life)
-        return book.get(replica.key).in_flight + OTHERS_WEIGHT * others
+        return book.get(replica.key).in_flight + REMOTE_LOAD_WEIGHT * others
 
-    def _weigh(self, replica: Replica, book: ReplicaBook) -> float:
+    def _compute_cost(self, replica: Replica, book: ReplicaBook) -> float:
+        """Return the cost of sending a request, in requests in flight."""
         record = book.get(replica.key)
-        load = self._count_taken(replica, book) * max(1.0, record.slowness)
-        load += max(0.0, record.slowness - 1.0)
+        cost = self._estimate_load(replica, book) * max(1.0, record.slowness)
+        cost += max(0.0, record.slowness - 1.0)
         if replica.head.hall != self.hall:
-            load += OTHER_HALL_LOAD
-        return load
+            cost += OTHER_HALL_COST
+        return cost
--- a/waywell/request/prompt_parts.py
+++ b/waywell/request/prompt_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a prompt that a request names and that others may share."""
+"""Parts of prompts that requests name and may share with each other."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """Return the shared parts of a prompt, each once, in order.
 
     The last part belongs to the request or its session and is left out.
-    Malformed entries are skipped, as they say nothing of the prompt.
+    Malformed entries are skipped, as they do not identify a part.
 
     Parameters
     ----------
@@ -34,24 +34,25 @@
     ids = dict.fromkeys(
         entry.partition(':')[0].strip().lower() for entry in entries[:-1]
     )
-    named = [one for one in ids if _PART_ID.fullmatch(one)]
+    valid = [part_id for part_id in ids if _PART_ID.fullmatch(part_id)]
     return tuple(
-        PromptPart(Trait(f'{_PREFIX}{one}')) for one in named[:MAX_PARTS]
+        PromptPart(Trait(f'{_PREFIX}{part_id}'))
+        for part_id in valid[:MAX_PARTS]
     )
 
 
 def describe_trait(trait: Trait) -> dict[str, str]:
-    """Return what log lines tell of a trait."""
+    """Return the log fields that identify a trait."""
     if is_prompt_part(trait):
         return {'prompt_part': trait.removeprefix(_PREFIX)}
     return {'fingerprint': trait}
 
 
 def count_requests(traits: Collection[Trait]) -> int:
-    """Return how many of some traits are requests and no parts of prompts."""
+    """Return the number of traits that are requests, not prompt parts."""
     return len(traits) - sum(map(is_prompt_part, traits))
 
 
 def is_prompt_part(trait: Trait) -> bool:
-    """Answer whether a trait is a part of a prompt."""
+    """Return whether a trait is a part of a prompt."""
     return trait.startswith(_PREFIX)
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -385,7 +385,7 @@
             unroutable.reason,
             seconds_left,
             self._parts.draw(),
-            unroutable.rest,
+            unroutable.wait,
         )
 
 
--- a/waywell/request/resend_budget.py
+++ b/waywell/request/resend_budget.py
@@ -1,4 +1,4 @@
-"""Second sends: a share of the requests, over all entry boxes together."""
+"""Budget of resends, limited over all entry boxes together."""
 
 from __future__ import annotations
 
@@ -10,91 +10,94 @@
 if TYPE_CHECKING:
     from waywell.ids import ServiceName
 
-TRUSTED_SHARE = 0.8
-"""Part of the budget that is spent; the rest covers requests in flight."""
+SPENDABLE_SHARE = 0.8
+"""Fraction of the budget that is spent; the rest covers requests in flight."""
 
 STARTUP_SLACK_SHARE = 0.2
-"""Part of its slack that a process takes in its first window: after all nodes
-were killed at once, it was spent before."""
+"""Fraction of its slack that a process may spend in its first window.  After a
+simultaneous restart of all nodes, the previous processes may have spent the
+slack of that window already."""
 
 
 @attrs.frozen
 class ResendLimits:
-    """What all entry boxes together may send again."""
+    """Limits on the resends of all entry boxes together."""
 
     ratio: float = 0.1
-    """Second sends for each request."""
+    """Resends allowed per request."""
 
     slack: float = 10.0
-    """Second sends beyond the ratio, over the window."""
+    """Resends allowed in addition to the ratio, per window."""
 
     window: float = 10.0
-    """Seconds over which both are counted."""
+    """Length of the sliding window over which both are counted, in seconds."""
 
 
 @attrs.define
-class _Counts:
+class _Timestamps:
     requests: deque[float] = attrs.Factory(deque)
     resends: deque[float] = attrs.Factory(deque)
 
-    def forget(self, before: float) -> None:
-        for moments in (self.requests, self.resends):
-            while moments and moments[0] < before:
-                moments.popleft()
+    def remove_before(self, start: float) -> None:
+        for timestamps in (self.requests, self.resends):
+            while timestamps and timestamps[0] < start:
+                timestamps.popleft()
 
 
 class ResendBudget:
-    """One node's part of the budget, by service.
+    """One node's share of the resend budget, by service.
 
-    The ratio is kept over this node's own requests; the slack is split
-    evenly among the nodes.  A node that hears no others must be given the
-    number of nodes that it last knew.
+    The ratio applies to this node's own requests; the slack is split evenly
+    among the nodes.  A node that hears of no others must be given the number
+    of nodes that it last knew.
 
     Parameters
     ----------
     limits
-        The budget of all nodes.
+        Limits over all nodes.
     started_at
-        When this process started, in seconds.  What an earlier process of
-        this node has spent of the slack is not known for one window.
+        Time at which this process started, in seconds.  For one window after
+        it, the slack that an earlier process of this node has spent is not
+        known.
     """
 
     def __init__(self, limits: ResendLimits, started_at: float) -> None:
-        """Start without requests."""
+        """Create a budget without requests."""
         self._limits = limits
         self._started_at = started_at
-        self._counts: dict[ServiceName, _Counts] = defaultdict(_Counts)
+        self._sent: dict[ServiceName, _Timestamps] = defaultdict(_Timestamps)
 
     def record_request(self, service: ServiceName, now: float) -> None:
-        """Count a request of a caller."""
-        self._counts[service].requests.append(now)
+        """Record a request of a caller, which adds to the budget."""
+        self._sent[service].requests.append(now)
 
     def spend(self, service: ServiceName, nodes: int, now: float) -> bool:
-        """Take one second send from the budget, if it is there.
+        """Spend one resend if the budget allows it, and return whether it
+        does.
 
         Parameters
         ----------
         service
-            Service that gets it.
+            Service that gets the request again.
         nodes
-            Entry boxes that share the budget, this one counted; 0 while
-            that is not known, and then nothing of the slack is taken.
+            Number of entry boxes that share the budget, including this one;
+            0 while it is unknown, in which case no slack is available.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
-        counts = self._counts[service]
-        counts.forget(now - self._limits.window)
-        earned = self._limits.ratio * len(counts.requests)
-        part = earned + self._get_slack(nodes, now)
-        if len(counts.resends) + 1 > part * TRUSTED_SHARE:
+        sent = self._sent[service]
+        sent.remove_before(now - self._limits.window)
+        earned = self._limits.ratio * len(sent.requests)
+        allowed = earned + self._get_slack(nodes, now)
+        if len(sent.resends) + 1 > allowed * SPENDABLE_SHARE:
             return False
-        counts.resends.append(now)
+        sent.resends.append(now)
         return True
 
     def _get_slack(self, nodes: int, now: float) -> float:
-        """Return this node's part of the slack."""
+        """Return this node's share of the slack, in resends."""
         if not nodes:
             return 0.0
-        is_fresh = now - self._started_at < self._limits.window
-        share = STARTUP_SLACK_SHARE if is_fresh else 1.0
+        has_just_started = now - self._started_at < self._limits.window
+        share = STARTUP_SLACK_SHARE if has_just_started else 1.0
         return self._limits.slack * share / nodes
--- a/waywell/request/retry.py
+++ b/waywell/request/retry.py
@@ -1,37 +1,39 @@
-"""Retries: only where safe, and within a budget for each account."""
+"""Retry budget of each client account."""
 
 from __future__ import annotations
 
-DEPOSIT = 0.08
-"""Part of a retry that each request earns for its account."""
+RETRIES_PER_REQUEST = 0.08
+"""Retries that each request adds to the balance of its account."""
 
-MOST_SAVED = 5.0
-"""Retries that an account can have saved up."""
+MAX_BALANCE = 5.0
+"""Maximum number of retries that an account can accumulate."""
 
 MAX_ATTEMPTS = 3
-"""Attempts at one request, the first counted."""
+"""Maximum number of attempts at one request, including the first."""
 
 
 class RetryBudget:
-    """Keeps the extra load of retries to a few per cent.
+    """Limits the additional load of retries to a few percent.
 
-    An account may retry a share of its requests and a few more after a
-    quiet time, whoever fails.
+    An account may retry a share of its requests, plus a few that it has
+    accumulated, regardless of which target fails.
     """
 
     def __init__(self) -> None:
-        """Start without savings."""
-        self._saved: dict[str, float] = {}
+        """Create a budget in which all balances are 0."""
+        self._balances: dict[str, float] = {}
 
     def earn(self, account: str) -> None:
-        """Count a new request of an account."""
-        saved = self._saved.get(account, 0)
-        self._saved[account] = min(MOST_SAVED, saved + DEPOSIT)
+        """Add the share of a retry that a new request earns."""
+        balance = self._balances.get(account, 0)
+        self._balances[account] = min(
+            MAX_BALANCE, balance + RETRIES_PER_REQUEST
+        )
 
     def spend(self, account: str) -> bool:
-        """Take one retry from the budget, if it is there."""
-        saved = self._saved.get(account, 0)
-        if saved < 1:
+        """Spend one retry if the balance allows it; return whether it does."""
+        balance = self._balances.get(account, 0)
+        if balance < 1:
             return False
-        self._saved[account] = saved - 1
+        self._balances[account] = balance - 1
         return True
--- a/waywell/request/return_advice.py
+++ b/waywell/request/return_advice.py
@@ -1,8 +1,8 @@
-"""When a caller should come back whose request was refused unrun.
+"""Retry-after values for requests that were refused without having run.
 
-Answers the load of a model that has lost many groups: callers that all come
-back after a quarter of a second meet the same full replicas and are refused a
-second time, for good.
+When a model has lost many groups, callers that all retry after a quarter of a
+second meet the same full replicas, are refused again and give up.  The values
+are therefore randomized over the time in which capacity returns.
 """
 
 from __future__ import annotations
@@ -11,47 +11,48 @@
 from types import MappingProxyType
 
 FULL_SECONDS = (0.4, 1.2)
-"""From when to when a replica that was full has room again: streams take some
-0.5 to 2 s, and each that ends gives a place."""
+"""Range in seconds in which a full replica has a free place again: streams
+take some 0.5 to 2 s, and each that ends frees a place."""
 
 NO_GROUP_SECONDS = (0.8, 2.0)
-"""From when to when a group is back that lost a box: silence is known after
-half a second, its boxes are joined anew in 0.5 to 2 s."""
+"""Range in seconds in which a group that lost a box is formed again: the loss
+is detected after half a second, and joining the boxes takes 0.5 to 2 s."""
 
-RESTED_SECONDS = (0.0, 0.8)
-"""From when to when after the first rest has ended: a replica that is just
-rested meets callers one after the other, not all that were refused."""
+RESTING_SECONDS = (0.0, 0.8)
+"""Range in seconds after the first rest period ends, so that the replica gets
+the refused callers one after the other instead of all at once."""
 
-TURN_SECONDS = (0.0, 1.2)
-"""From when to when after the next turn of a replica with a limit: one turn
-is for one caller, so those that were refused come one after the other."""
+LIMITED_SECONDS = (0.0, 1.2)
+"""Range in seconds after the next permit of a replica with a rate limit.  A
+permit admits one caller, so the refused callers are spread."""
 
 MAX_SHARE_OF_TIME_LEFT = 0.3
-"""Part of the time that the caller has left: the rest is for the answer."""
+"""Maximum delay as a fraction of the time that the caller has left, so that
+enough time remains for the answer."""
 
 
 class ReturnReason(enum.Enum):
-    """Why a request was refused."""
+    """Why a request was refused, which decides when to retry it."""
 
     FULL = 'full'
-    """The replicas that it could go to rejected it."""
+    """All replicas that could serve it rejected it."""
 
     NO_GROUP = 'no_group'
     """No replica can serve it."""
 
     RESTING = 'resting'
-    """All replicas have asked for rest."""
+    """All replicas have asked for a rest period."""
 
     LIMITED = 'limited'
-    """All replicas have a limit, and other requests have their turns."""
+    """All replicas have a rate limit, and no permit is available."""
 
 
 _SECONDS_BY_REASON = MappingProxyType(
     {
         ReturnReason.FULL: FULL_SECONDS,
         ReturnReason.NO_GROUP: NO_GROUP_SECONDS,
-        ReturnReason.RESTING: RESTED_SECONDS,
-        ReturnReason.LIMITED: TURN_SECONDS,
+        ReturnReason.RESTING: RESTING_SECONDS,
+        ReturnReason.LIMITED: LIMITED_SECONDS,
     },
 )
 
@@ -60,25 +61,25 @@
     reason: ReturnReason,
     seconds_left: float,
     draw: float,
-    rest: float = 0.0,
+    wait: float = 0.0,
 ) -> float:
-    """Return after how many seconds a caller should come back.
+    """Return the seconds after which a caller should retry.
 
-    Callers that were refused at one moment come back spread out.
+    The results of callers that are refused at the same time are spread out.
 
     Parameters
     ----------
     reason
         Why the request was refused.
     seconds_left
-        Time that the caller has left.
+        Seconds until the caller's deadline.
     draw
-        A number from 0 up to 1, drawn anew for each caller.
-    rest
-        Seconds until the first replica wants requests again, or has a turn.
+        Random number in [0, 1), drawn for each caller.
+    wait
+        Seconds until the first replica ends its rest period or has a permit.
     """
-    soonest, latest = _SECONDS_BY_REASON[reason]
-    seconds = rest + soonest + draw * (latest - soonest)
+    earliest, latest = _SECONDS_BY_REASON[reason]
+    seconds = wait + earliest + draw * (latest - earliest)
     return round(
         max(0.0, min(seconds, MAX_SHARE_OF_TIME_LEFT * seconds_left)), 3
     )
--- a/waywell/request/routing.py
+++ b/waywell/request/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the replica group for a request."""
+"""Choice of the replica group that serves a request."""
 
 from __future__ import annotations
 
@@ -20,70 +20,70 @@
     from waywell.ids import GroupId, SessionId
 
 LOAD_BOUND = 1.5
-"""A session leaves its group when it has this much above the mean load."""
+"""Multiple of the average cost above which a session leaves its group."""
 
-GROUPS_DRAWN = 4
-"""Groups drawn at random to find two that can serve."""
+DRAWN_GROUPS = 4
+"""Number of groups drawn at random to find two that can serve."""
 
-GROUPS_HASHED = 4096
-"""Hashes of groups that are kept."""
+HASH_CACHE_SIZE = 4096
+"""Maximum number of group hashes that are cached."""
 
 MIX_FACTOR = 0x9E3779B97F4A7C15
-"""Odd factor that spreads the bits of a hash."""
+"""Odd multiplier that spreads the bits of a hash."""
 
 MIX_MASK = 0xFFFFFFFFFFFFFFFF
-"""Keeps 64 bits."""
+"""Mask that truncates a product to 64 bits."""
 
 MIX_SHIFT = 32
-"""Brings high bits down between two factors."""
+"""Bits by which the product is shifted between the two multiplications, so
+that its high bits affect the low ones."""
 
-LEAST_WEIGHT = 0.01
-"""Weight below which a group's cost rises no more."""
+MIN_WEIGHT = 0.01
+"""Lower bound of the weight in a group's cost, which bounds the cost."""
 
 LOAD_SLACK = 4.0
-"""Requests in flight above the bound that never move a session."""
+"""Cost that is added to the bound, so that sessions do not move at low
+load."""
 
 
 class ChoiceReason(enum.Enum):
     """Why a group was chosen."""
 
     SESSION = 'session'
-    """It is the session's own group."""
+    """The group has the session's highest score."""
 
     MOVED_DOWN = 'moved_down'
-    """The session's own group can't serve."""
+    """The group with the next higher score can't serve."""
 
     MOVED_LOAD = 'moved_load'
-    """The session's own group has too much load."""
+    """The group with the next higher score exceeds the load bound."""
 
     LESS_LOADED = 'less_loaded'
-    """It is the less loaded of two."""
+    """The group is the less loaded of two random ones."""
 
 
 class GroupLoad(msgspec.Struct, frozen=True):
-    """What a node knows of the load of one group."""
+    """Load of one group as one node knows it."""
 
     in_flight: float = 0.0
-    """Requests in flight, own ones and the others' last reported."""
+    """Requests in flight from this node and, as last reported, from others."""
 
     slowness: float = 1.0
-    """Its time to the first byte against the typical one, at least 1."""
+    """Time to the first byte relative to the typical one, at least 1."""
 
     weight: float = 1.0
-    """Share of full load that it may get, from 0 to 1."""
+    """Fraction of full load that the group may get; 0 while in backoff."""
 
     @property
     def cost(self) -> float:
-        """Return what a further request would cost there."""
+        """Return the cost of one more request, in weighted requests."""
         return (
-            (self.in_flight + 1)
-            * self.slowness
-            / max(self.weight, LEAST_WEIGHT)
+            (self.in_flight + 1) * self.slowness / max(self.weight, MIN_WEIGHT)
         )
 
 
 class LoadSource(abc.ABC):
-    """Tells the loads of groups."""
+    """Provides the loads of the groups of one service."""
 
     @abc.abstractmethod
     def get_load(self, group: GroupId) -> GroupLoad:
@@ -91,28 +91,28 @@
 
     @abc.abstractmethod
     def get_average_cost(self) -> float:
-        """Return the mean cost over the groups to choose from."""
+        """Return the average cost over the groups to choose from."""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """A chosen group and why."""
+    """A chosen group with the reason for the choice."""
 
     group: Group
-    """Where the request goes."""
+    """Group that gets the request."""
 
     reason: ChoiceReason
-    """Why."""
+    """Reason that the request history records."""
 
 
 def hash_session(session: str) -> int:
-    """Return the hash of a session, of 64 bits."""
+    """Return the 64-bit hash of a session."""
     digest = hashlib.blake2b(session.encode(), digest_size=8)
     return int.from_bytes(digest.digest())
 
 
-@lru_cache(maxsize=GROUPS_HASHED)
+@lru_cache(maxsize=HASH_CACHE_SIZE)
 def hash_group(group: GroupId) -> int:
-    """Return the hash of a group, of 64 bits."""
+    """Return the 64-bit hash of a group."""
     return hash_session(group)
 
 
@@ -128,27 +128,27 @@
     is_usable: Callable[[Group], bool],
     loads: LoadSource,
 ) -> Choice | None:
-    """Return the group of a session.
+    """Return the group of a session by rendezvous hashing.
 
-    Every entry box finds the same group, as the score depends on nothing
-    else than the two names; a returning group takes back only the
-    sessions that are its own.
+    The score depends only on the names of session and group, so every entry
+    box chooses the same group, and a group that returns gets back only its
+    own sessions.
 
     Parameters
     ----------
     session
-        Session, with its account.
+        Session id, prefixed with the account.
     groups
-        Groups that the rules admit.
+        Groups that the routing rules allow.
     is_usable
-        Answers whether a group can serve now.
+        Returns whether a group can serve now.
     loads
-        What is known of their loads.
+        Loads of the groups.
     """
     session_hash = hash_session(session)
     ranked = [
-        (-score_group(session_hash, group.group), place)
-        for place, group in enumerate(groups)
+        (-score_group(session_hash, group.group), index)
+        for index, group in enumerate(groups)
     ]
     heapq.heapify(ranked)
     bound = LOAD_BOUND * loads.get_average_cost() + LOAD_SLACK
@@ -172,19 +172,22 @@
     loads: LoadSource,
     random: Random,
 ) -> Choice | None:
-    """Return the less loaded of two usable groups drawn at random."""
-    count = min(GROUPS_DRAWN, len(groups))
+    """Return the less loaded of two usable groups drawn at random.
+
+    Groups in backoff are chosen only if all usable groups are in backoff.
+    """
+    count = min(DRAWN_GROUPS, len(groups))
     drawn = [
         group for group in random.sample(groups, count) if is_usable(group)
     ]
-    if not any(_is_awake(group, loads) for group in drawn):
-        # Without this a request goes to a group that has just failed, or is
-        # refused, while others are sound.
+    if not any(_has_weight(group, loads) for group in drawn):
+        # Without a second look at all groups, the request would go to a group
+        # that has just failed, or be refused, while other groups are healthy.
         usable = [group for group in groups if is_usable(group)]
-        awake = [group for group in usable if _is_awake(group, loads)]
-        drawn = awake or usable
+        weighted = [group for group in usable if _has_weight(group, loads)]
+        drawn = weighted or usable
         random.shuffle(drawn)
-    drawn.sort(key=lambda group: not _is_awake(group, loads))
+    drawn.sort(key=lambda group: not _has_weight(group, loads))
     best = min(
         drawn[:2],
         key=lambda group: loads.get_load(group.group).cost,
@@ -193,6 +196,6 @@
     return None if best is None else Choice(best, ChoiceReason.LESS_LOADED)
 
 
-def _is_awake(group: Group, loads: LoadSource) -> bool:
-    """Answer whether a group does not rest for a failure."""
+def _has_weight(group: Group, loads: LoadSource) -> bool:
+    """Return whether a group is not in backoff after a failure."""
     return loads.get_load(group.group).weight > 0
--- a/waywell/request/shared_loads.py
+++ b/waywell/request/shared_loads.py
@@ -1,4 +1,4 @@
-"""Requests in flight at replicas, as other entry boxes tell them."""
+"""Requests in flight at replicas, as reported by other entry boxes."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     from waywell.ids import NodeId
 
 REPORT_TTL_SECONDS = 1.2
-"""For which a node's word about its requests counts: about one stream."""
+"""Seconds for which a node's report is used, about the length of a stream."""
 
 
 @attrs.frozen
-class _Told:
+class _Report:
     loads: Mapping[BoxLife, int]
     at: float
 
 
 class SharedLoads:
-    """Adds up what other nodes tell of their requests in flight."""
+    """Sums the requests in flight that other nodes report, by box."""
 
     def __init__(self) -> None:
-        """Know of no other node."""
-        self._told: dict[NodeId, _Told] = {}
+        """Create a table without reports."""
+        self._reports: dict[NodeId, _Report] = {}
         self._total: Counter[BoxLife] = Counter()
 
     def update(
@@ -39,37 +39,37 @@
         loads: Mapping[BoxLife, int],
         now: float,
     ) -> None:
-        """Take in what a node tells; it replaces what it told before."""
-        self._forget(node)
-        for name, told in tuple(self._told.items()):
-            if now - told.at > REPORT_TTL_SECONDS:
-                self._forget(name)
-        self._told[node] = _Told(loads, now)
+        """Replace a node's report and remove the reports that have expired."""
+        self._remove_report(node)
+        for other, report in tuple(self._reports.items()):
+            if now - report.at > REPORT_TTL_SECONDS:
+                self._remove_report(other)
+        self._reports[node] = _Report(loads, now)
         self._total.update(loads)
 
-    def sum_loads(self, skipped: Iterable[NodeId] = ()) -> Counter[BoxLife]:
-        """Return the requests in flight of all other nodes but some."""
+    def sum_loads(self, excluded: Iterable[NodeId] = ()) -> Counter[BoxLife]:
+        """Return other nodes' requests by box, without the excluded nodes."""
         total = self._total.copy()
-        for node in skipped:
-            told = self._told.get(node)
-            if told is not None:
-                total.subtract(told.loads)
+        for node in excluded:
+            report = self._reports.get(node)
+            if report is not None:
+                total.subtract(report.loads)
         return total
 
     def list_nodes(self) -> set[NodeId]:
-        """Return the nodes that told something not long ago."""
-        return set(self._told)
+        """Return the nodes whose reports are kept."""
+        return set(self._reports)
 
     def get(self, life: BoxLife) -> int:
-        """Return the requests of other nodes at a box."""
+        """Return the number of other nodes' requests in flight at a box."""
         return self._total[life]
 
-    def _forget(self, node: NodeId) -> None:
-        """Take back what a node told."""
-        told = self._told.pop(node, None)
-        if told is None:
+    def _remove_report(self, node: NodeId) -> None:
+        """Remove a node's report and subtract it from the total."""
+        report = self._reports.pop(node, None)
+        if report is None:
             return
-        for life, requests in told.loads.items():
+        for life, requests in report.loads.items():
             self._total[life] -= requests
             if not self._total[life]:
                 self._total.pop(life)
--- a/waywell/request/traits.py
+++ b/waywell/request/traits.py
@@ -1,4 +1,4 @@
-"""What a request may be blamed by when the replicas that run it crash."""
+"""Traits by which crashes of replicas are attributed to requests."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 
 @attrs.frozen
 class RequestTraits:
-    """The request itself and the parts that its prompt shares with others."""
+    """Fingerprint of a request and the shared parts of its prompt."""
 
     fingerprint: Fingerprint
-    """Identifies the request over its repeats."""
+    """Identifies the request each time it is sent."""
 
     prompt_parts: tuple[PromptPart, ...] = ()
-    """Shared parts of its prompt, in order."""
+    """Parts that its prompt shares with other requests, in order."""
 
     def select_cleared(self, status: int) -> RequestTraits:
         """Return the traits that a complete answer clears of crashes.
 
-        A replica that turns a request down has not processed its prompt.
+        A replica that rejects a request has not processed its prompt, so an
+        error status clears the fingerprint only.
 
         Parameters
         ----------
@@ -45,5 +46,5 @@
         yield from self.prompt_parts
 
     def __contains__(self, trait: Trait) -> bool:
-        """Answer whether the request has a trait."""
+        """Return whether the request has a trait."""
         return trait == self.fingerprint or trait in self.prompt_parts
--- a/waywell/request/unroutable.py
+++ b/waywell/request/unroutable.py
@@ -1,4 +1,4 @@
-"""Reasons a request can't be routed to any replica."""
+"""Reasons why a request can't be routed to any replica."""
 
 from __future__ import annotations
 
@@ -13,36 +13,38 @@
     """Why no replica can take a request."""
 
     code: Code
-    """What the caller is told."""
+    """Refusal code that the caller gets."""
 
     reason: ReturnReason
-    """What decides when the caller should come back."""
+    """Reason that decides when the caller should retry."""
 
-    rest: float = 0.0
-    """Seconds until the first replica wants requests again, or has a turn."""
+    wait: float = 0.0
+    """Seconds until the first replica ends its rest period or has a permit."""
 
 
 def explain_unroutable(
-    release: float | None,
-    turn: float | None,
+    rest: float | None,
+    permit_wait: float | None,
     rejections: int,
 ) -> Unroutable:
     """Return why no replica can take a request.
 
     Parameters
     ----------
-    release
-        Seconds until the first replica wants requests again; ``None`` unless
-        all have asked for rest.
-    turn
-        Seconds until the first replica has a turn; ``None`` unless all that
-        want requests have a limit.
+    rest
+        Seconds until the first rest period ends; ``None`` unless all replicas
+        have asked for one.
+    permit_wait
+        Seconds until the first replica has a permit; ``None`` unless all
+        replicas that accept requests have a rate limit.
     rejections
-        Replicas that have rejected the request.
+        Number of replicas that have rejected the request.
     """
-    if release is not None:
-        return Unroutable(Code.REPLICAS_REST, ReturnReason.RESTING, release)
-    if turn is not None:
-        return Unroutable(Code.REPLICAS_LIMITED, ReturnReason.LIMITED, turn)
+    if rest is not None:
+        return Unroutable(Code.REPLICAS_REST, ReturnReason.RESTING, rest)
+    if permit_wait is not None:
+        return Unroutable(
+            Code.REPLICAS_LIMITED, ReturnReason.LIMITED, permit_wait
+        )
     reason = ReturnReason.FULL if rejections else ReturnReason.NO_GROUP
     return Unroutable(Code.NO_WHOLE_GROUP, reason)
