--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -1,4 +1,4 @@
-"""The way of one request: checks, claim, choice, attempts, answer."""
+"""Dispatch of requests: checks, admission, claim, choice and attempts."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     from waywell.request.facts import RequestFacts
 
 Inner = TypeVar('Inner')
-"""What a step of the way finds."""
+"""Value of a successful result."""
 
 _CODE_BY_FAULT = MappingProxyType(
     {
@@ -72,87 +72,94 @@
     },
 )
 
-MOST_NAMED_PEERS = 8
-"""Entry boxes that a refusal names to the caller."""
+MAX_NAMED_PEERS = 8
+"""Maximum number of entry boxes that a refusal names to the caller."""
 
-_WANTS_LESS = frozenset((DispatchFault.RESTING, DispatchFault.NO_TURN))
-"""Faults by which a group does not want the request for now."""
+_BACKPRESSURE_FAULTS = frozenset(
+    (DispatchFault.RESTING, DispatchFault.NO_TURN)
+)
+"""Faults of groups that do not accept the request for now."""
 
-_NO_FAILURES = _WANTS_LESS | {DispatchFault.TOO_LATE}
-"""Faults that say nothing against the health of a group."""
+_HARMLESS_FAULTS = _BACKPRESSURE_FAULTS | {DispatchFault.TOO_LATE}
+"""Faults that do not count against the health of a group."""
 
-_NOT_RUN_FAULTS = _NO_FAILURES | {DispatchFault.NOT_SENT, DispatchFault.FENCED}
+_NOT_RUN_FAULTS = _HARMLESS_FAULTS | {
+    DispatchFault.NOT_SENT,
+    DispatchFault.FENCED,
+}
+"""Faults after which the request has certainly not run."""
 
-_LAST_FAULTS = frozenset((DispatchFault.TOO_LATE, DispatchFault.TIMED_OUT))
+_FINAL_FAULTS = frozenset((DispatchFault.TOO_LATE, DispatchFault.TIMED_OUT))
+"""Faults after which no time is left for another attempt."""
 
 
 @attrs.frozen
 class NodeFacts:
-    """What the dispatcher has to know of its node."""
+    """Present state of the node that the dispatcher depends on."""
 
     live_nodes: int
-    """Live entry boxes, this one counted."""
+    """Number of live entry boxes, including this one."""
 
     may_route_unfenced: bool
-    """Whether it may still send to targets that check no fence."""
+    """Whether the node may still send to targets that check no fence."""
 
 
 @attrs.frozen
 class DispatcherParts:
-    """What a dispatcher works with."""
+    """Components that a dispatcher uses."""
 
     in_force: InForce
-    """Versions in force."""
+    """Versions of the documents in force, with their index."""
 
     health: HealthTable
-    """What speaks against groups."""
+    """Failures and answer times of groups."""
 
     service_loads: ServiceLoadCache
-    """Loads of the groups."""
+    """Loads of the groups of each service."""
 
     admission: Admission
-    """Limits."""
+    """Limits of client accounts and of the node."""
 
     budget: RetryBudget
-    """Budget of retries."""
+    """Retries that each client account has left."""
 
     claims: RequestClaims
-    """Claims of ids that run at most once."""
+    """Claims of request ids that run at most once."""
 
     target: Target
-    """Calls to targets."""
+    """Sends requests to targets."""
 
     clock: Clock
-    """Where the time is read."""
+    """Source of the current time."""
 
     history: History
-    """Where the events of requests are noted."""
+    """Records the events of requests."""
 
     random: Random
-    """Draws the groups that are compared."""
+    """Source of the random draws of groups, peers and retry delays."""
 
     guard: RequestGuard
-    """Knows which requests crash targets."""
+    """Holds back requests that crash targets."""
 
     permits: PermitSource
-    """Knows the limits of targets."""
+    """Rate limits of targets, and permits within them."""
 
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
-    """Knows whether this node's links to targets work."""
+    """Tracks whether this node's links to targets work."""
 
     backpressure: Backpressure = attrs.Factory(Backpressure)
-    """What targets have asked of this node."""
+    """Backpressure signals that targets have sent."""
 
 
 class Dispatcher:
-    """Serves requests by what is in force.
+    """Serves requests by the documents in force.
 
     Parameters
     ----------
     parts
-        What it works with.
+        Components that the dispatcher uses.
     describe_node
-        Returns the present facts of this node.
+        Returns the present state of this node.
     """
 
     def __init__(
@@ -160,17 +167,17 @@
         parts: DispatcherParts,
         describe_node: Callable[[], NodeFacts],
     ) -> None:
-        """Keep the parts."""
+        """Create a dispatcher without requests."""
         self._parts = parts
         self._describe_node = describe_node
 
     async def serve(self, submission: Submission, caller: CallerPort) -> None:
-        """Serve a request to its end.
+        """Serve a request until its answer has been relayed.
 
         Raises
         ------
         Refusal
-            When no answer was begun; nothing was said to the caller then.
+            If no answer was begun; nothing has been sent to the caller then.
         """
         facts = _unwrap(
             read_facts(
@@ -184,7 +191,7 @@
             work = self._identify(submission, caller, facts)
             self._admit(work)
         except Refusal as refusal:
-            raise self._doubt(refusal, facts) from refusal
+            raise self._mark_possibly_run(refusal, facts) from refusal
         try:
             key = await self._parts.claims.claim(work)
             await self._run(work, key)
@@ -201,7 +208,7 @@
         Raises
         ------
         Refusal
-            Always, with the entry list as its detail.
+            Always, with the addresses of the entry list as its detail.
         """
         facts = _unwrap(
             read_facts(
@@ -214,7 +221,7 @@
             f'{entry["host"]}:{entry["port"]}' for entry in entries['entries']
         )
         refusal = Refusal(Code.NODE_LEAVING, detail=names, retry_after=0)
-        raise self._doubt(refusal, facts)
+        raise self._mark_possibly_run(refusal, facts)
 
     def _identify(
         self,
@@ -222,7 +229,7 @@
         caller: CallerPort,
         facts: RequestFacts,
     ) -> Work:
-        """Find account, service and groups."""
+        """Return the request with its account, service and routing shape."""
         in_force = self._parts.in_force
         if not in_force.numbers.configuration:
             raise Refusal(Code.NODE_STARTING, retry_after=1)
@@ -262,18 +269,20 @@
         )
 
     def _admit(self, work: Work) -> None:
-        """Count the request in, or refuse it."""
+        """Admit the request, or raise a refusal."""
         nodes = self._describe_node().live_nodes
         now = self._parts.clock.read()
         self._parts.guard.check(work.traits, now)
         _unwrap(self._parts.admission.admit(work.account, nodes, now))
         self._parts.budget.earn(work.account.name)
 
-    def _doubt(self, refusal: Refusal, facts: RequestFacts) -> Refusal:
-        """Say less of an id whose claim was not looked at.
+    def _mark_possibly_run(
+        self, refusal: Refusal, facts: RequestFacts
+    ) -> Refusal:
+        """Return a refusal that leaves open whether the request id has run.
 
-        Another submission of the same id may be under way, so "not run"
-        would say too much.
+        The claim of the id was not checked.  Another submission of the same id
+        may be running, so the refusal must not state that it has not run.
         """
         if facts.repeatable or facts.request_id is None:
             return refusal
@@ -285,11 +294,11 @@
         )
 
     async def _run(self, work: Work, key: ClaimKey | None) -> None:
-        """Make attempts, and settle the claim by how they ended."""
+        """Run the attempts and settle the claim by their outcome."""
         state = ClaimState.UNKNOWN
         try:
-            whole = await self._attempt_all(work)
-            state = ClaimState.DONE if whole else ClaimState.UNKNOWN
+            is_complete = await self._attempt_all(work)
+            state = ClaimState.DONE if is_complete else ClaimState.UNKNOWN
         except Refusal as refusal:
             if refusal.ran is Ran.NOT_RUN:
                 state = ClaimState.REFUSED
@@ -299,11 +308,11 @@
                 self._parts.claims.settle(key, state)
 
     async def _attempt_all(self, work: Work) -> bool:
-        """Make attempts until one is answered."""
+        """Make attempts until one is answered; return whether completely."""
         for attempt in range(MAX_ATTEMPTS):
             self._check_links(work)
-            choice, turn = await self._choose_with_turn(work)
-            answer = await self._attempt(work, choice, turn)
+            choice, permit = await self._choose_with_permit(work)
+            answer = await self._attempt(work, choice, permit)
             if not isinstance(answer, DispatchFault):
                 return await self._relay(work, choice, answer)
             if answer is DispatchFault.NOT_SENT:
@@ -314,43 +323,44 @@
         raise self._refuse(work, DispatchFault.NOT_SENT)
 
     def _check_links(self, work: Work) -> None:
-        """Refuse a request for targets that peers alone reach.
+        """Refuse a request whose targets only peers can reach.
 
         Raises
         ------
         Refusal
-            With peers that reach them as its detail.
+            If this node has lost its links to the service, with the addresses
+            of peers that reach it as its detail.
         """
         paths = self._parts.paths
         service = _get_service(work)
         if not paths.is_partitioned(service):
             return
         peers = paths.list_peers(service)
-        count = min(MOST_NAMED_PEERS, len(peers))
+        count = min(MAX_NAMED_PEERS, len(peers))
         named = self._parts.random.sample(peers, count)
         raise Refusal(
             Code.NODE_PARTITIONED,
             _get_ran(work),
-            ' '.join(f'{one.host}:{one.caller_port}' for one in named),
+            ' '.join(f'{peer.host}:{peer.caller_port}' for peer in named),
             retry_after=0 if named else NO_GROUP_RETRY_SECONDS,
         )
 
-    async def _choose_with_turn(self, work: Work) -> tuple[Choice, Permit]:
-        """Choose a group that has a turn for the request."""
+    async def _choose_with_permit(self, work: Work) -> tuple[Choice, Permit]:
+        """Choose a group and acquire its permit for the request."""
         while True:
             choice = self._choose(work)
             group = choice.group
-            turn = await self._parts.permits.acquire_permit(
+            permit = await self._parts.permits.acquire_permit(
                 make_life(group), group.hall, -work.account.priority
             )
-            if turn is not None:
-                return choice, turn
+            if permit is not None:
+                return choice, permit
             work.tried.add(group.group)
             work.turns_missed += 1
 
     def _choose(self, work: Work) -> Choice:
-        """Choose a group, or refuse where none can serve."""
-        # The index may be a newer one than at the attempt before.
+        """Choose a group, or raise a refusal if none can serve."""
+        # The index may have changed since the previous attempt.
         groups = self._parts.in_force.index.list_groups(work.shape)
         now = self._parts.clock.read()
         loads = self._parts.service_loads.build_loads(
@@ -376,7 +386,7 @@
         groups: Sequence[Group],
         now: float,
     ) -> Refusal:
-        """Return why no group can serve, and when one may."""
+        """Return a refusal with the reason and the time to retry."""
         lives = [make_life(group) for group in groups]
         backpressure = self._parts.backpressure
         wanting = [life for life in lives if backpressure.may_send(life, now)]
@@ -388,9 +398,9 @@
         seconds = NO_GROUP_RETRY_SECONDS
         if unroutable.wait:
             draw = self._parts.random.random()
-            left = work.deadline_at - now
+            seconds_left = work.deadline_at - now
             seconds = advise_return(
-                unroutable.reason, left, draw, unroutable.wait
+                unroutable.reason, seconds_left, draw, unroutable.wait
             )
         return Refusal(unroutable.code, _get_ran(work), retry_after=seconds)
 
@@ -413,12 +423,14 @@
         self,
         work: Work,
         choice: Choice,
-        turn: Permit,
+        permit: Permit,
     ) -> TargetAnswer | DispatchFault:
-        """Send the request to a group; take in how that went."""
+        """Send the request to a group and record the outcome."""
         clock = self._parts.clock
         group = choice.group
-        self._note('dispatched', work, group, reason=choice.reason.value)
+        self._record_event(
+            'dispatched', work, group, reason=choice.reason.value
+        )
         started_at = clock.read()
         health = self._parts.health
         health.note_start(group.group)
@@ -426,23 +438,23 @@
             answer = await self._parts.target.dispatch(
                 make_dispatch(work, group),
                 work.deadline_at - started_at,
-                lambda: self._may_send(work, group, turn),
+                lambda: self._may_send(work, group, permit),
             )
         except BaseException:
-            # The caller has gone, and the attempt was cancelled.
+            # The attempt is cancelled when the caller disconnects.
             health.note_end(group.group)
             raise
         now = clock.read()
         self._record_connection(group, answer, now)
         if not isinstance(answer, Failure):
-            return self._take_answer(group, answer.unwrap(), started_at)
+            return self._record_answer(group, answer.unwrap(), started_at)
         health.note_end(group.group)
-        fault = self._name_fault(group, answer.failure(), turn, now)
+        fault = self._classify_fault(group, answer.failure(), permit, now)
         if fault is DispatchFault.TIMED_OUT:
             health.note_timeout(group.group, now - started_at, now)
-        elif fault not in _NO_FAILURES:
+        elif fault not in _HARMLESS_FAULTS:
             health.note_failure(group.group, now)
-        return self._take_fault(work, group, fault)
+        return self._record_fault(work, group, fault)
 
     def _record_connection(
         self,
@@ -450,19 +462,19 @@
         answer: Result[TargetAnswer, DispatchFault],
         now: float,
     ) -> None:
-        """Record whether the links to a group's box work."""
+        """Record whether a connection to the group's box was established."""
         is_unsent = answer == Failure(DispatchFault.NOT_SENT)
         if is_unsent or not isinstance(answer, Failure):
             box = make_fleet_box(group, group.head)
             self._parts.paths.record(box, now, is_connected=not is_unsent)
 
-    def _take_answer(
+    def _record_answer(
         self,
         group: Group,
         answer: TargetAnswer,
         started_at: float,
     ) -> TargetAnswer:
-        """Note what the head of an answer says of its group."""
+        """Record what the head of an answer states about its group."""
         now = self._parts.clock.read()
         if answer.rest_seconds:
             mark = AnswerMark(rest_seconds=answer.rest_seconds)
@@ -474,47 +486,51 @@
         self._parts.health.note_answer(group.group, now - started_at, now)
         return answer
 
-    def _name_fault(
+    def _classify_fault(
         self,
         group: Group,
         fault: DispatchFault,
-        turn: Permit,
+        permit: Permit,
         now: float,
     ) -> DispatchFault:
-        """Tell a wish that came while it connected from a late request."""
+        """Return the precise fault of a request that was not written.
+
+        Backpressure that arrives while the request connects is reported as a
+        passed deadline and is told apart here.
+        """
         if fault is not DispatchFault.TOO_LATE:
             return fault
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return DispatchFault.RESTING
-        if not self._parts.permits.may_send(life, turn, now):
+        if not self._parts.permits.may_send(life, permit, now):
             return DispatchFault.NO_TURN
         return fault
 
-    def _take_fault(
+    def _record_fault(
         self,
         work: Work,
         group: Group,
         fault: DispatchFault,
     ) -> DispatchFault:
-        """Note what a failed attempt leaves open."""
+        """Record a failed attempt and whether the request may have run."""
         work.tried.add(group.group)
         if fault is DispatchFault.BROKEN:
             self._record_broken_attempt(work, group, has_begun=False)
         if fault not in _NOT_RUN_FAULTS:
             work.may_have_run = True
-        self._note('attempt_failed', work, group, fault=fault.value)
+        self._record_event('attempt_failed', work, group, fault=fault.value)
         return fault
 
-    def _may_send(self, work: Work, group: Group, turn: Permit) -> bool:
-        """Answer, right before the write, whether it is still wanted."""
+    def _may_send(self, work: Work, group: Group, permit: Permit) -> bool:
+        """Return whether to send the request, right before the write."""
         if work.caller.is_gone():
             return False
         now = self._parts.clock.read()
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return False
-        if not self._parts.permits.may_send(life, turn, now):
+        if not self._parts.permits.may_send(life, permit, now):
             return False
         return now < work.deadline_at
 
@@ -524,18 +540,18 @@
         choice: Choice,
         answer: TargetAnswer,
     ) -> bool:
-        """Pass the answer on to the caller."""
+        """Relay the answer to the caller; return whether it was complete."""
         try:
-            whole = await work.caller.relay(answer, work.service)
+            is_complete = await work.caller.relay(answer, work.service)
         finally:
             self._parts.health.note_end(choice.group.group)
-        self._note('answered', work, choice.group, whole=whole)
-        if whole and answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+        self._record_event('answered', work, choice.group, whole=is_complete)
+        if is_complete and answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             cleared = work.traits.select_cleared(answer.status)
             self._parts.guard.record_served(cleared)
-        if not whole:
+        if not is_complete:
             self._record_broken_attempt(work, choice.group, has_begun=True)
-        return whole
+        return is_complete
 
     def _record_broken_attempt(
         self,
@@ -544,7 +560,7 @@
         *,
         has_begun: bool,
     ) -> None:
-        """Note what ran at a target that may have ended under it."""
+        """Record an attempt at a target that may have crashed."""
         self._parts.guard.record_broken_attempt(
             make_replica(work, group),
             work.traits,
@@ -558,7 +574,7 @@
         fault: DispatchFault,
         attempt: int,
     ) -> bool:
-        if attempt + 1 >= MAX_ATTEMPTS or fault in _LAST_FAULTS:
+        if attempt + 1 >= MAX_ATTEMPTS or fault in _FINAL_FAULTS:
             return False
         if work.may_have_run and not work.facts.repeatable:
             return False
@@ -569,16 +585,16 @@
 
     def _refuse(self, work: Work, fault: DispatchFault) -> Refusal:
         code = _CODE_BY_FAULT[fault]
-        if fault in _LAST_FAULTS:
+        if fault in _FINAL_FAULTS:
             return Refusal(code, _get_ran(work))
         seconds: float | None = NO_GROUP_RETRY_SECONDS
-        if fault in _WANTS_LESS:
+        if fault in _BACKPRESSURE_FAULTS:
             groups = self._parts.in_force.index.list_groups(work.shape)
             now = self._parts.clock.read()
             seconds = self._explain_unroutable(work, groups, now).retry_after
         return Refusal(code, _get_ran(work), retry_after=seconds)
 
-    def _note(
+    def _record_event(
         self,
         event: str,
         work: Work,
@@ -596,7 +612,7 @@
 
 
 def _unwrap(outcome: Result[Inner, Refusal]) -> Inner:
-    """Return what a step found, or raise its refusal."""
+    """Return the value of a result, or raise its refusal."""
     if isinstance(outcome, Failure):
         raise outcome.failure()
     return outcome.unwrap()
