--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -33,7 +33,7 @@
 from waywell.request.paths import DirectPaths
 from waywell.request.peer_chooser import make_peer_key
 from waywell.request.placement import ReplicaChooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 from waywell.request.request_context import CallerAnswer, ForwarderParts
 from waywell.request.resend_budget import ResendBudget, ResendLimits
 from waywell.request.shared_loads import SharedLoads
@@ -112,7 +112,7 @@
     def __init__(self, kind: RouteKind = RouteKind.STREAM) -> None:
         self.clock = HeldClock()
         self.connects_at_once = True
-        self.book = ReplicaBook()
+        self.book = ReplicaTable()
         self.attempts: list[Attempt] = []
         self.answer = StageAnswer()
         self.refusal: Refusal | None = None
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -19,7 +19,7 @@
 )
 from waywell.ids import Epoch, GroupId, NodeId
 from waywell.membership.links import PeerLinks
-from waywell.request.replica_book import MAX_BACKOFF_SECONDS, ReplicaBook
+from waywell.request.replica_table import MAX_BACKOFF_SECONDS, ReplicaTable
 from waywell.version.fleet import Replica, ReplicaKey
 
 BOX = make_box('a')
@@ -49,7 +49,7 @@
     def __init__(self, are_links_sound: bool = True) -> None:
         self.clock = HeldClock()
         self.links = _Links()
-        self.book = ReplicaBook()
+        self.book = ReplicaTable()
         self.told: list[GroupId] = []
         self.heard: list[GroupId] = []
         self.due: list[tuple[float, Callable[[], None]]] = []
@@ -103,7 +103,7 @@
 
 
 def test_any_number_of_failures_is_counted() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     for _failure in range(5000):
         book.record_failure(REPLICA.key, 1.0)
     assert book.get(REPLICA.key).backoff_until == 1.0 + MAX_BACKOFF_SECONDS
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -16,7 +16,7 @@
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import MembershipTable, NodeRecord
 from waywell.process.front_settings import PromiseSettings
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 from waywell.request.shared_loads import SharedLoads
 from waywell.version.routes import RouteTable
 
@@ -78,7 +78,7 @@
             _Gossip(make_record('a'), reader),
             self.outlook,
             self.clock,
-            ReplicaBook(),
+            ReplicaTable(),
             SharedLoads(),
             make_paces(PromiseSettings()),
             reads_from,
--- a/tests/test_peer_chooser.py
+++ b/tests/test_peer_chooser.py
@@ -15,7 +15,7 @@
     select_linked,
 )
 from waywell.request.peer_chooser import PeerChooser, make_peer_key
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 
 LLM = ServiceName('llm')
 APP = ServiceName('app')
@@ -35,7 +35,7 @@
         self.members = MembershipTable(make_node('own', LLM), 2.0)
         for record in others:
             self.members.merge(record, 0.0)
-        self.book = ReplicaBook()
+        self.book = ReplicaTable()
         self.chooser = PeerChooser(self.members, self.book, Random(1))
 
     def choose(self, *tried: NodeRecord, service: ServiceName = LLM) -> str:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 from tests.boxes import make_box, make_life
 from waywell.ids import Epoch, HallName, NodeId
 from waywell.request.placement import ReplicaChooser
-from waywell.request.replica_book import MAX_BACKOFF_SECONDS, ReplicaBook
+from waywell.request.replica_table import MAX_BACKOFF_SECONDS, ReplicaTable
 from waywell.request.shared_loads import REPORT_TTL_SECONDS, SharedLoads
 from waywell.version.fleet import Replica, ReplicaKey
 
@@ -25,7 +25,7 @@
 
 
 def test_the_less_loaded_is_chosen() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     for loaded, free in ((A, B), (B, A)):
         for _request in range(3):
             book.record_start(loaded.key)
@@ -35,13 +35,13 @@
 
 
 def test_one_that_was_tried_is_not_chosen_again() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     assert CHOOSER.choose([A, B], frozenset((A.key,)), book, 1.0) is B
     assert CHOOSER.choose([A], frozenset((A.key,)), book, 1.0) is None
 
 
 def test_one_that_fell_silent_rests_and_comes_back_when_heard() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     book.record_failure(A.key, 1.0)
     book.record_start(B.key)
     assert CHOOSER.choose([A, B], NONE, book, 1.1) is B
@@ -50,20 +50,20 @@
 
 
 def test_rest_grows_with_failures_up_to_a_bound() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     for _failure in range(20):
         book.record_failure(A.key, 1.0)
     assert book.get(A.key).backoff_until == 1.0 + MAX_BACKOFF_SECONDS
 
 
 def test_one_that_rests_is_better_than_none() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     book.record_failure(A.key, 1.0)
     assert CHOOSER.choose([A], NONE, book, 1.1) is A
 
 
 def test_a_slow_one_gets_less() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     for _answer in range(30):
         book.record_first_event(A.key, 8.0)
     assert CHOOSER.choose([A, B], NONE, book, 1.0) is B
@@ -73,9 +73,9 @@
     loads = SharedLoads()
     chooser = ReplicaChooser(HallName('port'), loads, Random(1))
     loads.update(NodeId('n2'), {A.key.life: 3}, 1.0)
-    assert chooser.choose([A, B], NONE, ReplicaBook(), 1.0) is B
+    assert chooser.choose([A, B], NONE, ReplicaTable(), 1.0) is B
     loads.update(NodeId('n2'), {B.key.life: 3}, 1.1)
-    assert chooser.choose([A, B], NONE, ReplicaBook(), 1.1) is A
+    assert chooser.choose([A, B], NONE, ReplicaTable(), 1.1) is A
 
 
 def test_what_a_silent_node_told_is_forgotten() -> None:
@@ -95,7 +95,7 @@
 
 
 def test_records_of_replicas_that_are_gone_are_dropped() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     book.record_failure(A.key, 1.0)
     book.record_start(B.key)
     book.forget_others([])
--- a/tests/test_stale_loads.py
+++ b/tests/test_stale_loads.py
@@ -21,7 +21,7 @@
 from tests.boxes import make_box
 from waywell.ids import Epoch, HallName
 from waywell.request.placement import ReplicaChooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 from waywell.version.fleet import BoxLife, Replica, ReplicaKey
 
 STREAM_SECONDS = 1.2
@@ -46,7 +46,7 @@
 
     def __init__(self, hall: str, nodes: int, seed: int) -> None:
         self.hall = HallName(hall)
-        self.book = ReplicaBook()
+        self.book = ReplicaTable()
         self.loads = OldLoads()
         self.own: Counter[BoxLife] = Counter()
         self.chooser = ReplicaChooser(
--- a/waywell/experiment/call.py
+++ b/waywell/experiment/call.py
@@ -22,7 +22,7 @@
     HedgeTimeouts,
     compute_hedge_timeouts,
 )
-from waywell.request.return_advice import advise_return
+from waywell.request.retry_after import compute_retry_after
 from waywell.request.unroutable import explain_unroutable
 from waywell.version.routes import Engine, Route
 
@@ -245,7 +245,7 @@
         unroutable = explain_unroutable(None, None, self._rejections)
         seconds_left = self._ends_at - self.parts.timeline.now
         draw = self.node.random.random()
-        return advise_return(
+        return compute_retry_after(
             unroutable.reason, seconds_left, draw, unroutable.wait
         )
 
--- a/waywell/experiment/node.py
+++ b/waywell/experiment/node.py
@@ -9,7 +9,7 @@
 
 from waywell.ids import NodeId
 from waywell.request.placement import ReplicaChooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 from waywell.request.resend_budget import ResendBudget
 from waywell.request.shared_loads import SharedLoads
 
@@ -36,7 +36,7 @@
     random: Random
     """Draws when callers should come back."""
 
-    book: ReplicaBook = attrs.Factory(ReplicaBook)
+    book: ReplicaTable = attrs.Factory(ReplicaTable)
     """What it has seen of replicas."""
 
 
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from waywell.membership.links import PeerLinks
     from waywell.process.clock import Clock
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
     from waywell.version.fleet import Replica
 
 REPEAT_SECONDS = 0.8
@@ -83,7 +83,7 @@
     def __init__(
         self,
         links: PeerLinks,
-        book: ReplicaBook,
+        book: ReplicaTable,
         clock: Clock,
         listeners: DoubtListeners,
         call_later: Scheduler = _call_later,
--- a/waywell/health/node_paths.py
+++ b/waywell/health/node_paths.py
@@ -12,7 +12,7 @@
 from waywell.ids import ModelName
 from waywell.request.attempt import CONNECT_SECONDS
 from waywell.request.peer_chooser import PeerChooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,7 +33,7 @@
     watch: PartitionWatch
     """Finds out whether links are lost."""
 
-    peer_book: ReplicaBook
+    peer_book: ReplicaTable
     """What this node has seen of peers that forward its requests."""
 
 
@@ -97,7 +97,7 @@
     on_restored
         Called when lost links are back.
     """
-    peer_book = ReplicaBook()
+    peer_book = ReplicaTable()
     parts = PartitionParts(
         gossip,
         links,
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -30,7 +30,7 @@
     from waywell.knowledge.paces import Paces
     from waywell.membership.gossip import Gossip
     from waywell.process.clock import Clock
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
     from waywell.request.shared_loads import SharedLoads
 
 MOST_OPEN = 32
@@ -105,7 +105,7 @@
         gossip: Gossip,
         outlook: Outlook,
         clock: Clock,
-        book: ReplicaBook,
+        book: ReplicaTable,
         loads: SharedLoads,
         paces: Paces,
         reads_from: float = 0.0,
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -43,7 +43,7 @@
 )
 from waywell.request.forwarder import Forwarder
 from waywell.request.placement import ReplicaChooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 from waywell.request.request_context import CallerAnswer, ForwarderParts
 from waywell.request.resend_budget import ResendBudget
 from waywell.request.shared_loads import SharedLoads
@@ -107,7 +107,7 @@
         self.clock = SystemClock()
         self.metrics = Metrics()
         self.outlook = make_started_outlook(settings.promises, adapter.eras)
-        self.book = ReplicaBook()
+        self.book = ReplicaTable()
         self.backpressure = Backpressure()
         self.outlook.listen_for_ends(self.backpressure.forget_ended)
         adapter.eras.listen(
--- a/waywell/request/attempts.py
+++ b/waywell/request/attempts.py
@@ -9,7 +9,7 @@
 from waywell.request.destination import Destination, ReplicaDestination
 from waywell.request.hedge_timeouts import compute_hedge_timeouts
 from waywell.request.peer_destination import PeerDestination
-from waywell.request.return_advice import ReturnReason
+from waywell.request.retry_after import RefusalReason
 from waywell.request.unroutable import Unroutable, explain_unroutable
 from waywell.telemetry.events import log_event
 
@@ -212,7 +212,7 @@
     def explain_unroutable(self, now: float) -> Unroutable:
         """Return why no replica is left for the request."""
         if self._is_partitioned() and self._context.ask.forwarded is not None:
-            return Unroutable(Code.NODE_PARTITIONED, ReturnReason.NO_GROUP)
+            return Unroutable(Code.NODE_PARTITIONED, RefusalReason.NO_GROUP)
         backpressure = self._parts.backpressure
         replicas = self._list_replicas()
         wanting = backpressure.filter_available(replicas, now)
--- a/waywell/request/demand.py
+++ b/waywell/request/demand.py
@@ -12,7 +12,7 @@
     from collections.abc import Mapping
 
     from waywell.ids import ModelName
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
     from waywell.request.shared_loads import SharedLoads
     from waywell.version.fleet import BoxLife, Fleet
 
@@ -76,7 +76,7 @@
 
 
 def count_in_flight_at(
-    book: ReplicaBook, loads: SharedLoads, life: BoxLife
+    records: ReplicaTable, loads: SharedLoads, life: BoxLife
 ) -> int:
     """Return the requests in flight at a box, from this and other nodes."""
-    return book.list_loads().get(life, 0) + loads.get(life)
+    return records.list_loads().get(life, 0) + loads.get(life)
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -12,7 +12,7 @@
     from waywell.connection.wire import RawHeaders
     from waywell.request.ask import AnswerMark
     from waywell.request.permit_source import Permit
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
     from waywell.request.request_context import ForwarderParts, RequestContext
     from waywell.version.fleet import Replica, ReplicaKey
 
@@ -23,7 +23,7 @@
     key: ReplicaKey
     """What tells it from other destinations."""
 
-    book: ReplicaBook
+    book: ReplicaTable
     """What this node has seen of destinations of its kind."""
 
     replica: Replica | None = None
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -37,7 +37,7 @@
     RequestClaims,
 )
 from waywell.request.retry import MAX_ATTEMPTS, RetryBudget
-from waywell.request.return_advice import advise_return
+from waywell.request.retry_after import compute_retry_after
 from waywell.request.routing import (
     Choice,
     choose_for_session,
@@ -399,7 +399,7 @@
         if unroutable.wait:
             draw = self._parts.random.random()
             seconds_left = work.deadline_at - now
-            seconds = advise_return(
+            seconds = compute_retry_after(
                 unroutable.reason, seconds_left, draw, unroutable.wait
             )
         return Refusal(unroutable.code, _get_ran(work), retry_after=seconds)
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -13,7 +13,7 @@
     RequestContext,
 )
 from waywell.request.request_execution import RequestExecution
-from waywell.request.return_advice import ReturnReason, advise_return
+from waywell.request.retry_after import RefusalReason, compute_retry_after
 from waywell.request.traits import RequestTraits
 
 if TYPE_CHECKING:
@@ -88,8 +88,8 @@
         if service is None:
             raise Refusal(
                 Code.NO_WHOLE_GROUP,
-                retry_after=advise_return(
-                    ReturnReason.NO_GROUP, route.timeout, self._parts.draw()
+                retry_after=compute_retry_after(
+                    RefusalReason.NO_GROUP, route.timeout, self._parts.draw()
                 ),
             )
         seconds = route.timeout
--- a/waywell/request/peer_chooser.py
+++ b/waywell/request/peer_chooser.py
@@ -18,7 +18,7 @@
 
     from waywell.ids import ServiceName
     from waywell.membership.membership import MembershipTable, NodeRecord
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
 
 CANDIDATES = 2
 """Number of random peers that are compared by their requests in flight."""
@@ -39,7 +39,7 @@
     ----------
     members
         Entry boxes that this node knows.
-    book
+    records
         This node's load and failure records of its peers.
     random
         Source of the random draws of candidates.
@@ -48,12 +48,12 @@
     def __init__(
         self,
         members: MembershipTable,
-        book: ReplicaBook,
+        records: ReplicaTable,
         random: Random,
     ) -> None:
         """Create a chooser for the node that owns the membership table."""
         self._members = members
-        self._book = book
+        self._records = records
         self._random = random
 
     def choose(
@@ -93,7 +93,7 @@
         ]
 
     def _get_backoff_end(self, record: NodeRecord) -> float:
-        return self._book.get(make_peer_key(record)).backoff_until
+        return self._records.get(make_peer_key(record)).backoff_until
 
     def _draw_least_loaded(self, peers: list[NodeRecord]) -> NodeRecord:
         """Return the least loaded of a few peers drawn by their cores."""
@@ -103,7 +103,7 @@
 
     def _compute_load(self, record: NodeRecord) -> float:
         """Return this node's requests in flight at a peer, per core."""
-        in_flight = self._book.get(make_peer_key(record)).in_flight
+        in_flight = self._records.get(make_peer_key(record)).in_flight
         return in_flight / max(MIN_CORES, record.cores)
 
 
--- a/waywell/request/permit_source.py
+++ b/waywell/request/permit_source.py
@@ -113,7 +113,9 @@
     ) -> Sequence[Replica]:
         """Return the replicas that have no rate limit or may have a permit."""
 
-    def may_send(self, life: BoxLife, turn: Permit | None, now: float) -> bool:
+    def may_send(
+        self, life: BoxLife, permit: Permit | None, now: float
+    ) -> bool:
         """Return whether a request may be sent, right before the write.
 
         The replica may have named a rate limit, or the permit may have
@@ -121,4 +123,4 @@
         """
         if self.get_limit(life) == NO_LIMIT:
             return True
-        return turn is not None and now < turn.until
+        return permit is not None and now < permit.until
--- a/waywell/request/placement.py
+++ b/waywell/request/placement.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
     from waywell.version.fleet import ReplicaKey
 
 OTHER_HALL_COST = 0.4
@@ -112,7 +112,7 @@
         self,
         replicas: Sequence[Replica],
         tried: frozenset[ReplicaKey],
-        book: ReplicaBook,
+        records: ReplicaTable,
         now: float,
     ) -> Replica | None:
         """Return a replica that should answer soon, if one is left.
@@ -127,7 +127,7 @@
             Replicas that may get the request.
         tried
             Replicas that the request was already sent to.
-        book
+        records
             This node's records of the replicas.
         now
             Current time, in seconds.
@@ -136,24 +136,24 @@
         available = [
             replica
             for replica in untried
-            if book.get(replica.key).backoff_until <= now
+            if records.get(replica.key).backoff_until <= now
         ]
-        candidates = self._draw_candidates(available or untried, book)
+        candidates = self._draw_candidates(available or untried, records)
         return min(
             candidates,
-            key=lambda replica: self._compute_cost(replica, book),
+            key=lambda replica: self._compute_cost(replica, records),
             default=None,
         )
 
     def _draw_candidates(
         self,
         replicas: list[Replica],
-        book: ReplicaBook,
+        records: ReplicaTable,
     ) -> list[Replica]:
         if not replicas:
             return []
         capacities = [
-            _Capacity(replica, self._estimate_capacity(replica, book))
+            _Capacity(replica, self._estimate_capacity(replica, records))
             for replica in replicas
         ]
         factor = self._get_other_hall_weight(capacities)
@@ -186,10 +186,12 @@
     def _is_in_own_hall(self, replica: Replica) -> bool:
         return replica.head.hall == self.hall
 
-    def _estimate_capacity(self, replica: Replica, book: ReplicaBook) -> float:
+    def _estimate_capacity(
+        self, replica: Replica, records: ReplicaTable
+    ) -> float:
         """Return about how many more requests a replica can run."""
-        record = book.get(replica.key)
-        load = self._estimate_load(replica, book)
+        record = records.get(replica.key)
+        load = self._estimate_load(replica, records)
         free = replica.head.places - load
         capacity = (
             free if free > FULL_CAPACITY else FULL_CAPACITY / (1.0 - free)
@@ -197,15 +199,17 @@
         limit = max(MIN_CAPACITY, self.get_limit(replica.key.life))
         return min(capacity, limit) / max(1.0, record.slowness)
 
-    def _estimate_load(self, replica: Replica, book: ReplicaBook) -> float:
+    def _estimate_load(self, replica: Replica, records: ReplicaTable) -> float:
         """Return about how many requests of all nodes a replica runs."""
         others = self.loads.get(replica.key.life)
-        return book.get(replica.key).in_flight + REMOTE_LOAD_WEIGHT * others
+        return records.get(replica.key).in_flight + REMOTE_LOAD_WEIGHT * others
 
-    def _compute_cost(self, replica: Replica, book: ReplicaBook) -> float:
+    def _compute_cost(self, replica: Replica, records: ReplicaTable) -> float:
         """Return the cost of sending a request, in requests in flight."""
-        record = book.get(replica.key)
-        cost = self._estimate_load(replica, book) * max(1.0, record.slowness)
+        record = records.get(replica.key)
+        cost = self._estimate_load(replica, records) * max(
+            1.0, record.slowness
+        )
         cost += max(0.0, record.slowness - 1.0)
         if replica.head.hall != self.hall:
             cost += OTHER_HALL_COST
--- a/waywell/request/replica_book.py
+++ b/waywell/request/replica_table.py
@@ -52,7 +52,7 @@
     """Moving average of actual over expected time to the first event."""
 
 
-class ReplicaBook:
+class ReplicaTable:
     """Keeps one record for each replica."""
 
     def __init__(self) -> None:
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -20,7 +20,7 @@
 from waywell.request.pauses import PauseEstimator
 from waywell.request.permit_source import PermitSource
 from waywell.request.placement import ReplicaChooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.replica_table import ReplicaTable
 from waywell.request.resend_budget import ResendBudget
 from waywell.request.running import RunningAttempts
 from waywell.request.traits import RequestTraits
@@ -70,7 +70,7 @@
     chooser: ReplicaChooser
     """Chooses replicas."""
 
-    book: ReplicaBook
+    book: ReplicaTable
     """What this node has seen of replicas."""
 
     budget: ResendBudget
@@ -100,7 +100,7 @@
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
     """This node's links to replicas, and peers that forward requests."""
 
-    peer_book: ReplicaBook = attrs.Factory(ReplicaBook)
+    peer_book: ReplicaTable = attrs.Factory(ReplicaTable)
     """What this node has seen of those peers."""
 
     node: str = ''
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -10,7 +10,7 @@
 from waywell.process.actor import get_handler_name
 from waywell.request.attempt import Attempt, Inbox
 from waywell.request.attempts import Attempts
-from waywell.request.return_advice import advise_return
+from waywell.request.retry_after import compute_retry_after
 from waywell.telemetry.events import log_event
 from waywell.version.routes import RouteKind
 
@@ -381,7 +381,7 @@
         """Return when the caller should come back, in seconds."""
         unroutable = self._attempts.explain_unroutable(now)
         seconds_left = self._context.ends_at - now
-        return advise_return(
+        return compute_retry_after(
             unroutable.reason,
             seconds_left,
             self._parts.draw(),
--- a/waywell/request/resend_budget.py
+++ b/waywell/request/resend_budget.py
@@ -72,8 +72,7 @@
         self._sent[service].requests.append(now)
 
     def spend(self, service: ServiceName, nodes: int, now: float) -> bool:
-        """Spend one resend if the budget allows it, and return whether it
-        does.
+        """Spend one resend if the budget allows it.
 
         Parameters
         ----------
@@ -84,6 +83,11 @@
             0 while it is unknown, in which case no slack is available.
         now
             Current time, in seconds.
+
+        Returns
+        -------
+        bool
+            Whether the request may be sent again.
         """
         sent = self._sent[service]
         sent.remove_before(now - self._limits.window)
--- a/waywell/request/return_advice.py
+++ b/waywell/request/retry_after.py
@@ -31,7 +31,7 @@
 enough time remains for the answer."""
 
 
-class ReturnReason(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why a request was refused, which decides when to retry it."""
 
     FULL = 'full'
@@ -49,16 +49,16 @@
 
 _SECONDS_BY_REASON = MappingProxyType(
     {
-        ReturnReason.FULL: FULL_SECONDS,
-        ReturnReason.NO_GROUP: NO_GROUP_SECONDS,
-        ReturnReason.RESTING: RESTING_SECONDS,
-        ReturnReason.LIMITED: LIMITED_SECONDS,
+        RefusalReason.FULL: FULL_SECONDS,
+        RefusalReason.NO_GROUP: NO_GROUP_SECONDS,
+        RefusalReason.RESTING: RESTING_SECONDS,
+        RefusalReason.LIMITED: LIMITED_SECONDS,
     },
 )
 
 
-def advise_return(
-    reason: ReturnReason,
+def compute_retry_after(
+    reason: RefusalReason,
     seconds_left: float,
     draw: float,
     wait: float = 0.0,
--- a/waywell/request/unroutable.py
+++ b/waywell/request/unroutable.py
@@ -5,7 +5,7 @@
 import attrs
 
 from waywell.codes import Code
-from waywell.request.return_advice import ReturnReason
+from waywell.request.retry_after import RefusalReason
 
 
 @attrs.frozen
@@ -15,7 +15,7 @@
     code: Code
     """Refusal code that the caller gets."""
 
-    reason: ReturnReason
+    reason: RefusalReason
     """Reason that decides when the caller should retry."""
 
     wait: float = 0.0
@@ -41,10 +41,10 @@
         Number of replicas that have rejected the request.
     """
     if rest is not None:
-        return Unroutable(Code.REPLICAS_REST, ReturnReason.RESTING, rest)
+        return Unroutable(Code.REPLICAS_REST, RefusalReason.RESTING, rest)
     if permit_wait is not None:
         return Unroutable(
-            Code.REPLICAS_LIMITED, ReturnReason.LIMITED, permit_wait
+            Code.REPLICAS_LIMITED, RefusalReason.LIMITED, permit_wait
         )
-    reason = ReturnReason.FULL if rejections else ReturnReason.NO_GROUP
+    reason = RefusalReason.FULL if rejections else RefusalReason.NO_GROUP
     return Unroutable(Code.NO_WHOLE_GROUP, reason)
