--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits and retries of one entry box."""
+"""Admission limits and retry budgets of one entry box."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     st.lists(st.floats(0, 0.2), max_size=200),
     st.sampled_from([1.0, 5.0, 50.0]),
 )
-def test_bucket_holds_its_rate(gaps: list, rate: float) -> None:
+def test_token_bucket_never_exceeds_its_rate(gaps: list, rate: float) -> None:
     bucket = TokenBucket(0)
     now, taken = 0.0, 0
     for gap in gaps:
@@ -40,7 +40,7 @@
     assert taken <= rate * now + max(1, rate) + 1e-6
 
 
-def test_wait_is_long_enough() -> None:
+def test_token_is_available_after_the_returned_wait() -> None:
     bucket = TokenBucket(0)
     while not (wait := bucket.take(2, 0)):
         continue
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize('nodes', [1, 3, 9])
-def test_all_nodes_together_hold_the_limits(nodes: int) -> None:
+def test_nodes_together_enforce_the_account_limit(nodes: int) -> None:
     account = Account('a', in_flight=18, requests_per_second=900)
     admissions = [Admission(1000) for _ in range(nodes)]
     admitted = sum(
@@ -59,7 +59,7 @@
     assert admitted == 18
 
 
-def test_rate_says_when_to_come_back() -> None:
+def test_requests_above_the_rate_are_refused_until_a_token_returns() -> None:
     account = Account('a', requests_per_second=2)
     admission = Admission(1000)
     codes = [admit(admission, account) for _ in range(3)]
@@ -67,7 +67,7 @@
     assert admit(admission, account, now=0.6) is Code.OK
 
 
-def test_flood_leaves_room_for_the_others() -> None:
+def test_flooding_account_leaves_capacity_for_others() -> None:
     admission = Admission(100)
     flood, small = Account('flood'), Account('small')
     while admit(admission, flood) is Code.OK:
@@ -76,7 +76,7 @@
     assert admit(admission, small) is Code.OK
 
 
-def test_released_room_is_used_again() -> None:
+def test_released_slot_is_reused() -> None:
     admission = Admission(10)
     account = Account('a', in_flight=1)
     assert admit(admission, account) is Code.OK
@@ -86,7 +86,7 @@
     assert admit(admission, account) is Code.OK
 
 
-def test_retries_stay_below_a_tenth_when_everything_fails() -> None:
+def test_retries_stay_below_a_tenth_of_requests_when_all_fail() -> None:
     budget = RetryBudget()
     retries = 0
     for _ in range(10_000):
@@ -96,7 +96,7 @@
     assert retries <= 1000
 
 
-def test_budgets_of_accounts_are_their_own() -> None:
+def test_accounts_have_separate_retry_budgets() -> None:
     budget = RetryBudget()
     for _ in range(100):
         budget.earn('a')
--- a/tests/test_answer_times.py
+++ b/tests/test_answer_times.py
@@ -1,4 +1,4 @@
-"""How long answers take, and what a node that leaves still takes."""
+"""Estimates of answer times, and the requests a leaving node accepts."""
 
 from __future__ import annotations
 
@@ -31,17 +31,18 @@
     )
 
 
-def test_a_route_without_an_answer_may_take_all_its_time() -> None:
+def test_route_without_answers_may_use_its_whole_deadline() -> None:
     times = AnswerTimes()
     times.record(make_context(10.0, route='other'), 12.0)
     assert times.estimate_end(make_context(20.0), 20.0) == 28.0
 
 
-def test_a_longer_answer_takes_longer() -> None:
-    """A stream came 3.1 s after the order to stop, and was cut 4.3 s later.
+def test_estimate_grows_with_the_answer_size() -> None:
+    """A leaving node must not accept a stream that outlasts its shutdown.
 
-    The longest answer of its route that was seen before had let expect less;
-    that the stream had more tokens is inferred, its head was not looked at.
+    With an estimate by route alone, a stream that arrived 3.1 s after the order
+    to stop was cut 4.3 s later.  All earlier answers of its route had been
+    shorter; that it had more tokens is inferred, as its head was not recorded.
     """
     times = AnswerTimes()
     times.record(make_context(10.0, tokens=300), 13.0)
@@ -54,14 +55,14 @@
     assert times.estimate_end(unseen, 20.0) == 28.0
 
 
-def test_the_longest_answer_counts_with_a_margin() -> None:
+def test_estimate_is_the_slowest_answer_with_a_margin() -> None:
     times = AnswerTimes()
     for seconds in (1.0, 3.0, 2.0):
         times.record(make_context(10.0), 10.0 + seconds)
     assert times.estimate_end(make_context(20.0), 20.0) == 20.0 + 3.0 * MARGIN
 
 
-def test_no_request_lasts_longer_than_its_own_time() -> None:
+def test_estimate_never_exceeds_the_deadline() -> None:
     times = AnswerTimes()
     times.record(make_context(10.0), 13.0)
     assert times.estimate_end(make_context(20.0, seconds=1.0), 20.0) == 21.0
@@ -70,7 +71,7 @@
 @pytest.mark.parametrize(
     ('windows', 'seconds'), [(0.9, 3.0), (1.5, 3.0), (2.5, 8.0 / MARGIN)]
 )
-def test_answers_of_long_ago_are_forgotten(
+def test_old_answers_expire(
     windows: float,
     seconds: float,
 ) -> None:
@@ -81,8 +82,8 @@
     assert times.estimate_end(context, now) == now + seconds * MARGIN
 
 
-def test_routes_that_are_not_asked_any_more_are_forgotten() -> None:
-    """Routes come and go with each version, for as long as a node runs."""
+def test_unused_routes_are_evicted() -> None:
+    """Each version may add and remove routes while a node runs."""
     times = AnswerTimes()
     now = 0.0
     for number in range(20 * MAX_SIZE_CLASSES):
@@ -93,7 +94,7 @@
     assert times.estimate_end(context, now) == now + MARGIN
 
 
-def test_a_leaving_node_takes_what_it_can_finish_only(
+def test_leaving_node_accepts_only_requests_it_can_finish(
     stage: Stage,  # noqa: F811
 ) -> None:
     async def play() -> None:
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -1,4 +1,4 @@
-"""What replicas have asked of a node."""
+"""Backpressure signals that replicas send to a node."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class BackpressureMachine(RuleBasedStateMachine):
-    """Replicas ask for rest, start again and are heard of, in any order."""
+    """Replicas ask for rest, answer, leave and restart in any order."""
 
     lives = st.builds(make_life, st.sampled_from('abc'), st.integers(1, 2))
 
@@ -72,31 +72,31 @@
         self.now += seconds
 
     @rule()
-    def tend(self) -> None:
+    def forget_expired_signals(self) -> None:
         self.pressure.forget_expired(self.now)
 
     @invariant()
-    def each_rest_lasts_until_it_ends(self) -> None:
+    def box_accepts_requests_unless_resting_or_leaving(self) -> None:
         for life, ends_at in self.ends.items():
             is_open = self.now >= ends_at and life not in self.leaving
             assert self.pressure.may_send(life, self.now) == is_open
 
     @invariant()
-    def what_leaves_gets_nothing_more(self) -> None:
+    def leaving_box_gets_no_requests(self) -> None:
         for life in self.leaving:
             assert not self.pressure.may_send(life, self.now)
 
     @invariant()
-    def no_other_life_rests(self) -> None:
-        awake = {make_life(name) for name in 'abc'}
-        awake -= self.ends.keys() | self.leaving
-        assert all(self.pressure.may_send(life, self.now) for life in awake)
+    def other_incarnations_get_requests(self) -> None:
+        others = {make_life(name) for name in 'abc'}
+        others -= self.ends.keys() | self.leaving
+        assert all(self.pressure.may_send(life, self.now) for life in others)
 
 
 TestBackpressure = BackpressureMachine.TestCase
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_number_of_kept_rests_is_bounded() -> None:
     pressure = Backpressure()
     for number in range(MAX_BOXES + 10):
         pressure.record(make_life(f'b{number}'), REST, float(number))
@@ -105,7 +105,7 @@
     assert not pressure.count(0.0)['resting']
 
 
-def test_a_word_of_leaving_is_bounded_as_well() -> None:
+def test_number_of_kept_leaving_boxes_is_bounded() -> None:
     pressure = Backpressure()
     leaves = AnswerMark(is_leaving=True)
     for number in range(MAX_BOXES + 10):
@@ -115,13 +115,13 @@
     assert not pressure.count(0.0)['leaving']
 
 
-def test_a_wish_is_heard_also_where_nobody_waits_for_the_answer(
+def test_rest_is_recorded_after_the_caller_disconnected(
     stage: Stage,
 ) -> None:
     async def play() -> None:
         task = await stage.begin()
         (first,) = stage.attempts
-        # The caller leaves while the head of the answer is on its way.
+        # The caller disconnects before the head of the answer arrives.
         task.cancel()
         await stage.head(first, status=503, mark=REST)
         for _request in range(6):
@@ -131,7 +131,7 @@
     asyncio.run(play())
 
 
-def test_a_rest_outlasts_the_group_of_its_box(stage: Stage) -> None:
+def test_rest_of_a_box_outlasts_its_group(stage: Stage) -> None:
     async def play() -> None:
         await stage.begin()
         (first,) = stage.attempts
@@ -151,7 +151,7 @@
     assert stage.refusal.code is Code.REPLICAS_REST
 
 
-def test_a_new_life_of_a_box_has_asked_for_nothing(stage: Stage) -> None:
+def test_restarted_box_has_no_rest(stage: Stage) -> None:
     async def play() -> None:
         await stage.begin()
         (first,) = stage.attempts
@@ -168,7 +168,7 @@
     asyncio.run(play())
 
 
-def test_a_request_that_connects_when_the_wish_comes_is_not_written(
+def test_request_is_not_written_if_the_rest_arrives_while_it_connects(
     stage: Stage,
 ) -> None:
     async def play() -> None:
@@ -177,7 +177,7 @@
         stage.connects_at_once = False
         await stage.head(first, status=503, mark=REST)
         (_first, second) = stage.attempts
-        # Another request got the wish of the second one meanwhile.
+        # Meanwhile the second replica asks for rest in another answer.
         second.destination.on_mark(REST, second.sent_at, stage.clock.now)
         assert not stage.may_send()
         second.tell(Attempt.Fault(second, SendFault.TOO_LATE))
@@ -189,7 +189,7 @@
     assert stage.refusal.ran is Ran.NOT_RUN
 
 
-def test_callers_are_told_when_the_first_replica_is_rested(
+def test_retry_after_is_the_end_of_the_first_rest(
     stage: Stage,
 ) -> None:
     longer = AnswerMark('a1', is_rejected=True, rest_seconds=5.0)
@@ -208,18 +208,18 @@
     assert stage.refusal.retry_after == 1.5
 
 
-def test_nothing_is_paid_for_an_attempt_that_no_replica_is_left_for(
+def test_no_resend_is_spent_if_no_replica_is_left(
     stage: Stage,
 ) -> None:
-    paid = []
+    spent = []
     budget = stage.forwarder._parts.budget
     spend = budget.spend
 
-    def note_spent(*words: object) -> bool:
-        paid.append(words)
-        return spend(*words)
+    def record_spent(*args: object) -> bool:
+        spent.append(args)
+        return spend(*args)
 
-    budget.spend = note_spent  # type: ignore[method-assign]
+    budget.spend = record_spent  # type: ignore[method-assign]
 
     async def play() -> None:
         await stage.begin()
@@ -228,10 +228,10 @@
         await stage.begin()
 
     asyncio.run(play())
-    assert len(paid) == 1
+    assert len(spent) == 1
 
 
-def test_a_stream_is_not_taken_up_at_a_replica_that_rests(
+def test_stream_is_not_resumed_on_a_resting_replica(
     stage: Stage,
 ) -> None:
     async def play() -> None:
@@ -240,14 +240,14 @@
         await stage.head(stream)
         await stage.events(stream, 1)
         other = next(
-            one
-            for one in stage.outlook.list_replicas('llm', 'notes')
-            if one != stream.replica
+            replica
+            for replica in stage.outlook.list_replicas('llm', 'notes')
+            if replica != stream.replica
         )
         stage.forwarder._parts.backpressure.record(
             other.key.life, REST, stage.clock.now
         )
-        # Neither beside a silent attempt, nor in place of a broken one.
+        # Neither as a hedge of a silent attempt nor after a broken one.
         await stage.pass_time(0.25)
         assert len(stage.attempts) == 1
         await stage.end(stream, is_whole=False)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""How much work callers ask of each model."""
+"""Demand for each model, estimated from requests in flight."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     assert counts == {BIG: 3, SMALL: 6}
 
 
-def test_the_first_look_counts_whole() -> None:
-    # A node that takes up the duty must not think that nobody calls.
+def test_first_observation_is_the_average() -> None:
+    # A node that takes over the forming duty must not start from no demand.
     assert DemandEstimator().observe({BIG: 12}, 5.0) == {BIG: 12.0}
 
 
-def test_what_is_over_fades() -> None:
-    gauge = DemandEstimator()
-    gauge.observe({BIG: 12, SMALL: 1}, 0.0)
-    soon = gauge.observe({SMALL: 1}, 0.3)
+def test_past_demand_decays() -> None:
+    estimator = DemandEstimator()
+    estimator.observe({BIG: 12, SMALL: 1}, 0.0)
+    soon = estimator.observe({SMALL: 1}, 0.3)
     assert soon[BIG] == pytest.approx(10.86, abs=0.01)
     assert soon[SMALL] == pytest.approx(1.0)
-    assert gauge.observe({SMALL: 1}, 60.0)[BIG] < 0.1
+    assert estimator.observe({SMALL: 1}, 60.0)[BIG] < 0.1
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What tells a request again."""
+"""Fingerprints of requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     )
 
 
-def test_each_repeat_has_the_same() -> None:
+def test_repeated_requests_have_the_same_fingerprint() -> None:
     repeat = msgspec.structs.replace(
         ASK,
         attempt='a2',
@@ -44,12 +44,14 @@
         {'body': b''},
     ],
 )
-def test_another_request_has_another(change: dict[str, object]) -> None:
+def test_different_requests_have_different_fingerprints(
+    change: dict[str, object],
+) -> None:
     other = msgspec.structs.replace(ASK, **change)
     assert make_fingerprint(other, SHOP) != make_fingerprint(ASK, SHOP)
 
 
-def test_another_account_has_another() -> None:
+def test_different_accounts_have_different_fingerprints() -> None:
     others = {
         make_fingerprint(ASK, account)
         for account in (None, SHOP, AccountName('store'))
@@ -58,13 +60,13 @@
 
 
 @given(st.text(max_size=8), st.text(max_size=8), st.binary(max_size=8))
-def test_no_part_runs_into_the_next(
+def test_boundaries_between_parts_are_unambiguous(
     target: str,
     account: str,
     body: bytes,
 ) -> None:
-    one = Ask('a', 'GET', target, 'h', (), body)
-    longer = Ask('a', 'GET', f'{target}x', 'h', (), body)
-    assert make_fingerprint(longer, AccountName(account)) != make_fingerprint(
-        one, AccountName(f'x{account}')
+    first = Ask('a', 'GET', target, 'h', (), body)
+    second = Ask('a', 'GET', f'{target}x', 'h', (), body)
+    assert make_fingerprint(second, AccountName(account)) != make_fingerprint(
+        first, AccountName(f'x{account}')
     )
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""What counts as silence follows the pauses of sound replicas."""
+"""Estimates of pauses between events, and the gap timeout they set."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 
 
 @pytest.mark.parametrize('scale', [0.03, 0.06])
-def test_the_estimate_settles_above_nearly_all_pauses(scale: float) -> None:
-    gauge = PauseEstimator()
+def test_estimate_settles_above_nearly_all_pauses(scale: float) -> None:
+    estimator = PauseEstimator()
     random = Random(7)
-    for _warm in range(20_000):
-        gauge.record(MODEL, random.expovariate(1 / scale))
+    for _warmup in range(20_000):
+        estimator.record(MODEL, random.expovariate(1 / scale))
     later = [random.expovariate(1 / scale) for _pause in range(20_000)]
-    longer = sum(pause > gauge.get(MODEL) for pause in later)
+    longer = sum(pause > estimator.get(MODEL) for pause in later)
     assert longer / len(later) < 4 * (1 - USUAL_QUANTILE)
-    assert gauge.get(MODEL) < 12 * scale
+    assert estimator.get(MODEL) < 12 * scale
 
 
-def test_models_are_told_apart() -> None:
-    gauge = PauseEstimator()
+def test_models_have_separate_estimates() -> None:
+    estimator = PauseEstimator()
     for _long in range(40):
-        gauge.record(MODEL, 1.0)
-    assert gauge.get(MODEL) > 2 * INITIAL_ESTIMATE
-    assert gauge.get(ModelName('other')) == INITIAL_ESTIMATE
+        estimator.record(MODEL, 1.0)
+    assert estimator.get(MODEL) > 2 * INITIAL_ESTIMATE
+    assert estimator.get(ModelName('other')) == INITIAL_ESTIMATE
 
 
-def test_patience_follows_usual_pauses_within_the_goal() -> None:
+def test_gap_timeout_follows_usual_pauses_within_its_bounds() -> None:
     gaps = [
         compute_hedge_timeouts(ROUTE, None, ASK, pause).gap
         for pause in (0.0, 0.2, 5.0)
--- a/tests/test_prompt_parts.py
+++ b/tests/test_prompt_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a prompt as the header of a request names them."""
+"""Decoding of the prompt parts header."""
 
 from __future__ import annotations
 
@@ -27,16 +27,18 @@
         ('f' * 33 + ':1,5c:2,e4:5', ['5c']),
     ],
 )
-def test_parts_are_all_but_the_last(text: str, parts: list[str]) -> None:
-    assert decode_prompt_parts(text) == tuple(f'part-{one}' for one in parts)
+def test_all_valid_parts_but_the_last_are_decoded(
+    text: str, parts: list[str]
+) -> None:
+    assert decode_prompt_parts(text) == tuple(f'part-{part}' for part in parts)
 
 
-def test_a_long_list_is_bounded() -> None:
+def test_number_of_parts_is_bounded() -> None:
     text = ','.join(f'{number:x}:1' for number in range(10_000))
     parts = decode_prompt_parts(text)
     assert len(parts) == MAX_PARTS
     assert all(is_prompt_part(part) for part in parts)
 
 
-def test_parts_are_not_counted_as_requests() -> None:
+def test_prompt_parts_are_not_counted_as_requests() -> None:
     assert count_requests(['a1', 'part-5c', 'b2', 'part-91']) == 2
