--- a/tests/test_answer_times.py
+++ b/tests/test_answer_times.py
@@ -40,9 +40,10 @@
 def test_estimate_grows_with_the_answer_size() -> None:
     """A leaving node must not accept a stream that outlasts its shutdown.
 
-    With an estimate by route alone, a stream that arrived 3.1 s after the order
-    to stop was cut 4.3 s later.  All earlier answers of its route had been
-    shorter; that it had more tokens is inferred, as its head was not recorded.
+    With an estimate by route alone, a stream that arrived 3.1 s after the
+    order to stop was cut 4.3 s later.  All earlier answers of its route had
+    been shorter; that it had more tokens is inferred, as its head was not
+    recorded.
     """
     times = AnswerTimes()
     times.record(make_context(10.0, tokens=300), 13.0)
--- a/tests/test_peer_chooser.py
+++ b/tests/test_peer_chooser.py
@@ -1,4 +1,4 @@
-"""The choice of peers that forward requests."""
+"""Choice of the peers that forward requests."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def make_node(name: str, *lost: ServiceName, **facts: object) -> NodeRecord:
-    """Return a node that is ready and tells the services it lost."""
+    """Return a ready node that reports the services it has lost."""
     record = make_record(name)
-    usual = {'configuration': 1, 'lost_services': lost}
-    return msgspec.structs.replace(record, **{**usual, **facts})
+    defaults = {'configuration': 1, 'lost_services': lost}
+    return msgspec.structs.replace(record, **{**defaults, **facts})
 
 
 class Bench:
-    """A node, ``own``, that knows some others."""
+    """Chooser of the node ``own`` that knows some other nodes."""
 
     def __init__(self, *others: NodeRecord) -> None:
         self.members = MembershipTable(make_node('own', LLM), 2.0)
@@ -51,7 +51,7 @@
     assert min(counts.values()) > 50
 
 
-def test_a_peer_with_more_requests_in_flight_gets_fewer() -> None:
+def test_peer_with_more_requests_in_flight_gets_fewer() -> None:
     busy, idle = make_node('a'), make_node('b')
     bench = Bench(busy, idle)
     for _request in range(3):
@@ -60,20 +60,20 @@
     assert counts['b'] > 2 * counts['a']
 
 
-def test_a_peer_that_lost_another_service_only_still_forwards() -> None:
+def test_peer_that_lost_only_another_service_still_forwards() -> None:
     bench = Bench(make_node('a', APP), make_node('b', LLM))
     assert bench.choose() == 'a'
     assert bench.choose(service=APP) == 'b'
 
 
-def test_peers_that_do_not_tell_or_are_not_ready_get_nothing() -> None:
+def test_peers_that_are_not_ready_or_report_no_links_get_no_requests() -> None:
     bench = Bench(
         make_node('a', lost_services=None), make_node('b', configuration=0)
     )
     assert not bench.choose()
 
 
-def test_a_peer_that_was_tried_or_failed_a_moment_ago_gets_nothing() -> None:
+def test_tried_or_recently_failed_peer_gets_no_requests() -> None:
     first, second = make_node('a'), make_node('b')
     bench = Bench(first, second)
     assert bench.choose(first) == 'b'
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The choice of a replica."""
+"""Choice of the replica for one request."""
 
 from __future__ import annotations
 
@@ -21,64 +21,64 @@
 
 
 A, B = make_replica('a'), make_replica('b')
-NONE = frozenset()
+NOTHING_TRIED = frozenset()
 
 
-def test_the_less_loaded_is_chosen() -> None:
-    book = ReplicaTable()
+def test_less_loaded_replica_is_chosen() -> None:
+    table = ReplicaTable()
     for loaded, free in ((A, B), (B, A)):
         for _request in range(3):
-            book.record_start(loaded.key)
-        assert CHOOSER.choose([A, B], NONE, book, 1.0) is free
+            table.record_start(loaded.key)
+        assert CHOOSER.choose([A, B], NOTHING_TRIED, table, 1.0) is free
         for _request in range(3):
-            book.record_end(loaded.key)
+            table.record_end(loaded.key)
 
 
-def test_one_that_was_tried_is_not_chosen_again() -> None:
-    book = ReplicaTable()
-    assert CHOOSER.choose([A, B], frozenset((A.key,)), book, 1.0) is B
-    assert CHOOSER.choose([A], frozenset((A.key,)), book, 1.0) is None
+def test_tried_replica_is_not_chosen_again() -> None:
+    table = ReplicaTable()
+    assert CHOOSER.choose([A, B], frozenset((A.key,)), table, 1.0) is B
+    assert CHOOSER.choose([A], frozenset((A.key,)), table, 1.0) is None
 
 
-def test_one_that_fell_silent_rests_and_comes_back_when_heard() -> None:
-    book = ReplicaTable()
-    book.record_failure(A.key, 1.0)
-    book.record_start(B.key)
-    assert CHOOSER.choose([A, B], NONE, book, 1.1) is B
-    book.record_message(A.key, 1.2)
-    assert CHOOSER.choose([A, B], NONE, book, 1.2) is A
+def test_message_ends_the_backoff_of_a_failed_replica() -> None:
+    table = ReplicaTable()
+    table.record_failure(A.key, 1.0)
+    table.record_start(B.key)
+    assert CHOOSER.choose([A, B], NOTHING_TRIED, table, 1.1) is B
+    table.record_message(A.key, 1.2)
+    assert CHOOSER.choose([A, B], NOTHING_TRIED, table, 1.2) is A
 
 
-def test_rest_grows_with_failures_up_to_a_bound() -> None:
-    book = ReplicaTable()
+def test_backoff_grows_with_failures_up_to_a_maximum() -> None:
+    table = ReplicaTable()
     for _failure in range(20):
-        book.record_failure(A.key, 1.0)
-    assert book.get(A.key).backoff_until == 1.0 + MAX_BACKOFF_SECONDS
+        table.record_failure(A.key, 1.0)
+    assert table.get(A.key).backoff_until == 1.0 + MAX_BACKOFF_SECONDS
 
 
-def test_one_that_rests_is_better_than_none() -> None:
-    book = ReplicaTable()
-    book.record_failure(A.key, 1.0)
-    assert CHOOSER.choose([A], NONE, book, 1.1) is A
+def test_replica_in_backoff_is_chosen_if_no_other_is_left() -> None:
+    table = ReplicaTable()
+    table.record_failure(A.key, 1.0)
+    assert CHOOSER.choose([A], NOTHING_TRIED, table, 1.1) is A
 
 
-def test_a_slow_one_gets_less() -> None:
-    book = ReplicaTable()
+def test_slow_replica_is_avoided() -> None:
+    table = ReplicaTable()
     for _answer in range(30):
-        book.record_first_event(A.key, 8.0)
-    assert CHOOSER.choose([A, B], NONE, book, 1.0) is B
+        table.record_first_event(A.key, 8.0)
+    assert CHOOSER.choose([A, B], NOTHING_TRIED, table, 1.0) is B
 
 
-def test_requests_of_other_nodes_count() -> None:
+def test_requests_of_other_nodes_count_as_load() -> None:
     loads = SharedLoads()
     chooser = ReplicaChooser(HallName('port'), loads, Random(1))
     loads.update(NodeId('n2'), {A.key.life: 3}, 1.0)
-    assert chooser.choose([A, B], NONE, ReplicaTable(), 1.0) is B
+    assert chooser.choose([A, B], NOTHING_TRIED, ReplicaTable(), 1.0) is B
     loads.update(NodeId('n2'), {B.key.life: 3}, 1.1)
-    assert chooser.choose([A, B], NONE, ReplicaTable(), 1.1) is A
+    assert chooser.choose([A, B], NOTHING_TRIED, ReplicaTable(), 1.1) is A
 
 
-def test_what_a_silent_node_told_is_forgotten() -> None:
+def test_reports_of_silent_nodes_expire() -> None:
     loads = SharedLoads()
     loads.update(NodeId('n2'), {make_life('a'): 3}, 1.0)
     loads.update(
@@ -87,17 +87,17 @@
     assert loads.get(make_life('a')) == 1
 
 
-def test_a_node_is_not_told_what_it_told() -> None:
+def test_sum_excludes_the_reports_of_given_nodes() -> None:
     loads = SharedLoads()
     loads.update(NodeId('n2'), {make_life('a'): 3}, 1.0)
     loads.update(NodeId('n3'), {make_life('a'): 1}, 1.0)
     assert loads.sum_loads((NodeId('n2'),)) == {make_life('a'): 1}
 
 
-def test_records_of_replicas_that_are_gone_are_dropped() -> None:
-    book = ReplicaTable()
-    book.record_failure(A.key, 1.0)
-    book.record_start(B.key)
-    book.forget_others([])
-    assert book.get(A.key).backoff_until == 0
-    assert book.get(B.key).in_flight == 1
+def test_idle_records_of_removed_replicas_are_dropped() -> None:
+    table = ReplicaTable()
+    table.record_failure(A.key, 1.0)
+    table.record_start(B.key)
+    table.forget_others([])
+    assert table.get(A.key).backoff_until == 0
+    assert table.get(B.key).in_flight == 1
--- a/tests/test_resend_budget.py
+++ b/tests/test_resend_budget.py
@@ -1,4 +1,4 @@
-"""The budget of second sends that all entry boxes share."""
+"""Budget of resends that all entry boxes share."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return count
 
 
-def test_nodes_together_stay_below_the_budget() -> None:
+def test_nodes_together_stay_within_the_budget() -> None:
     nodes = 9
     total = 0
     for _node in range(nodes):
@@ -32,7 +32,7 @@
     assert total > 0.5 * (0.2 * 900 + 90)
 
 
-def test_all_nodes_restarted_do_not_spend_the_slack_twice() -> None:
+def test_simultaneous_restart_does_not_spend_the_slack_twice() -> None:
     nodes = 9
     before = [ResendBudget(LIMITS, 0.0) for _node in range(nodes)]
     after = [ResendBudget(LIMITS, 51.0) for _node in range(nodes)]
@@ -41,25 +41,25 @@
     assert total <= 90
 
 
-def test_a_node_that_knows_no_other_takes_no_slack() -> None:
+def test_no_slack_is_available_while_the_node_count_is_unknown() -> None:
     budget = ResendBudget(LIMITS, 0.0)
     assert not budget.spend(LLM, 0, 50.0)
 
 
-def test_what_was_spent_comes_back_after_the_window() -> None:
+def test_budget_recovers_after_the_window() -> None:
     budget = ResendBudget(LIMITS, 0.0)
     first = spend_all(budget, 9, 50.0)
     assert spend_all(budget, 9, 59.9) == 0
     assert spend_all(budget, 9, 60.1) == first
 
 
-def test_services_have_budgets_of_their_own() -> None:
+def test_services_have_separate_budgets() -> None:
     budget = ResendBudget(LIMITS, 0.0)
     spend_all(budget, 9, 50.0)
     assert budget.spend(ServiceName('app'), 9, 50.0)
 
 
-def test_a_fresh_process_takes_a_small_part() -> None:
+def test_new_process_may_spend_only_a_part_of_the_slack() -> None:
     fresh = spend_all(ResendBudget(LIMITS, 50.0), 1, 50.0)
     old = spend_all(ResendBudget(LIMITS, 0.0), 1, 50.0)
     assert fresh <= old * STARTUP_SLACK_SHARE + 1
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -1,7 +1,7 @@
-"""When refused callers come back.
+"""Retry-after values of refused requests.
 
-Load: a model has lost most of its groups at one moment; the callers that were
-refused within a second all come back.
+They guard against retries that all arrive at once: when a model loses most of
+its groups, the callers that were refused within one second all come back.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
     compute_retry_after,
 )
 
-PATIENT_SECONDS = 8.0
+LONG_TIMEOUT = 8.0
 
 
 @pytest.mark.parametrize('reason', list(RefusalReason))
-def test_callers_refused_at_one_moment_come_back_spread_out(
+def test_retries_of_simultaneous_refusals_are_spread_out(
     reason: RefusalReason,
 ) -> None:
     random = Random(1)
-    returns = sorted(
-        compute_retry_after(reason, PATIENT_SECONDS, random.random())
+    delays = sorted(
+        compute_retry_after(reason, LONG_TIMEOUT, random.random())
         for _ in range(100)
     )
-    most_in_a_tenth = max(
-        sum(at <= other < at + 0.1 for other in returns) for at in returns
+    max_in_a_tenth = max(
+        sum(at <= other < at + 0.1 for other in delays) for at in delays
     )
-    assert most_in_a_tenth <= 25
+    assert max_in_a_tenth <= 25
 
 
-def test_a_model_without_a_group_needs_longer_than_a_full_replica() -> None:
+def test_retry_is_later_without_a_group_than_for_a_full_replica() -> None:
     for draw in (0.0, 0.5, 0.99):
-        full = compute_retry_after(RefusalReason.FULL, PATIENT_SECONDS, draw)
-        lacking = compute_retry_after(
-            RefusalReason.NO_GROUP, PATIENT_SECONDS, draw
+        full = compute_retry_after(RefusalReason.FULL, LONG_TIMEOUT, draw)
+        no_group = compute_retry_after(
+            RefusalReason.NO_GROUP, LONG_TIMEOUT, draw
         )
-        assert lacking > full
+        assert no_group > full
     assert min(FULL_SECONDS) < min(NO_GROUP_SECONDS)
 
 
@@ -53,9 +53,9 @@
     st.floats(-5, 600),
     st.floats(0, 1, exclude_max=True),
 )
-def test_who_comes_back_has_time_left_for_the_answer(
+def test_retry_leaves_time_for_the_answer(
     reason: RefusalReason, left: float, draw: float
 ) -> None:
-    advised = compute_retry_after(reason, left, draw)
-    assert advised >= 0
-    assert advised <= max(0.0, MAX_SHARE_OF_TIME_LEFT * left) + 0.001
+    delay = compute_retry_after(reason, left, draw)
+    assert delay >= 0
+    assert delay <= max(0.0, MAX_SHARE_OF_TIME_LEFT * left) + 0.001
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of the group: sessions stay, load is spread, reasons are told."""
+"""Choice of the group: session affinity, load balancing and reasons."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class FixedLoads(LoadSource):
-    """Loads that a test sets."""
+    """Load source with loads that a test sets."""
 
     def __init__(self, **loads: GroupLoad) -> None:
         self.loads = loads
@@ -68,15 +68,15 @@
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_order_of_groups_does_not_matter(seed: int) -> None:
+def test_choice_does_not_depend_on_the_order_of_groups(seed: int) -> None:
     shuffled = Random(seed).sample(GROUPS, len(GROUPS))
     session = SessionId(f'a/{seed}')
-    one = choose_for_session(session, GROUPS, is_usable, FixedLoads())
-    two = choose_for_session(session, shuffled, is_usable, FixedLoads())
-    assert one == two
+    first = choose_for_session(session, GROUPS, is_usable, FixedLoads())
+    second = choose_for_session(session, shuffled, is_usable, FixedLoads())
+    assert first == second
 
 
-def test_only_sessions_of_a_lost_group_move_and_they_return() -> None:
+def test_only_sessions_of_a_lost_group_move_until_it_returns() -> None:
     before = {session: choose(session) for session in range(500)}
     for session, (group, _) in before.items():
         moved, reason = choose(session, frozenset(('g3',)))
@@ -88,7 +88,7 @@
         assert choose(session) == before[session]
 
 
-def test_session_leaves_a_group_far_over_the_mean() -> None:
+def test_session_leaves_a_group_far_above_the_average_cost() -> None:
     own, _ = choose(1)
     loads = FixedLoads(**{own: GroupLoad(in_flight=50)})
     choice = choose_for_session(SessionId('a/1'), GROUPS, is_usable, loads)
@@ -97,7 +97,7 @@
     assert choice.reason is ChoiceReason.MOVED_LOAD
 
 
-def test_session_stays_when_all_are_over_the_bound() -> None:
+def test_session_stays_if_all_groups_exceed_the_bound() -> None:
     loads = {group.group: GroupLoad(in_flight=90) for group in GROUPS}
     choice = choose_for_session(
         SessionId('a/1'),
@@ -109,7 +109,7 @@
     assert choice.group.group == choose(1)[0]
 
 
-def test_less_loaded_of_two() -> None:
+def test_less_loaded_of_two_groups_is_chosen() -> None:
     loads = {f'g{n}': GroupLoad(in_flight=n) for n in range(20)}
     counts = Counter()
     random = Random(4)
@@ -126,12 +126,12 @@
     assert counts['g0'] > counts['g10']
 
 
-def test_the_one_usable_group_is_found() -> None:
+def test_only_usable_group_is_found() -> None:
     random = Random(1)
     for group in GROUPS:
         choice = choose_less_loaded(
             GROUPS,
-            lambda one, group=group: one == group,
+            lambda other, group=group: other == group,
             FixedLoads(),
             random,
         )
@@ -139,27 +139,27 @@
         assert choice.group == group
 
 
-def test_no_usable_group() -> None:
+def test_no_group_is_chosen_if_none_is_usable() -> None:
     args = (GROUPS, lambda _group: False, FixedLoads())
     assert choose_less_loaded(*args, Random(1)) is None
     assert choose_for_session(SessionId('s'), *args) is None
 
 
 def test_group_that_returns_costs_more_at_first() -> None:
-    fresh = GroupLoad(in_flight=2, weight=0.2)
+    returned = GroupLoad(in_flight=2, weight=0.2)
     settled = GroupLoad(in_flight=2)
-    assert fresh.cost > settled.cost
+    assert returned.cost > settled.cost
 
 
-def test_a_group_that_rests_is_taken_only_where_all_rest() -> None:
-    """Half of the groups have just failed; the other half is sound.
+def test_group_in_backoff_is_chosen_only_if_all_are() -> None:
+    """A request must not go to failed groups while others are healthy.
 
-    Four groups are drawn and two of them compared.  Where both rested, a
-    request went to one that had ended, and after its retries were spent it was
-    refused though half of the groups were sound.
+    Half of the groups have just failed.  Four groups are drawn and two of them
+    compared.  If both were in backoff, the request went to a group that had
+    ended, and it was refused once its retries were spent.
     """
-    resting = GroupLoad(weight=0.0)
-    loads = FixedLoads(**{f'g{number}': resting for number in range(10)})
+    in_backoff = GroupLoad(weight=0.0)
+    loads = FixedLoads(**{f'g{number}': in_backoff for number in range(10)})
     for seed in range(200):
         choice = choose_less_loaded(GROUPS, is_usable, loads, Random(seed))
         assert choice is not None
