--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving target gets no new work; a planned stop cuts nothing."""
+"""Leaving targets get no new requests, and planned stops cut no answers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     out.append(caller.call(CHAT, 'POST', b'{}', headers))
 
 
-def test_stopping_entry_finishes_what_is_in_flight(pair: Bench) -> None:
+def test_stopping_entry_finishes_requests_in_flight(pair: Bench) -> None:
     answers: list[Answer] = []
     thread = threading.Thread(
         target=stream,
@@ -51,17 +51,18 @@
         return len(other.entries) == 1
 
     wait_until(is_off_the_list, 'the leaving box to be off the list')
-    # A caller that still holds the old list is served, then sent on.
+    # A caller that still has the old entry list is served at first and is
+    # refused with the address of the other entry box later.
     old = pair.get_caller('entry-1')
     refusals = []
 
-    def is_sent_on() -> bool:
+    def is_refused() -> bool:
         answer = old.call('/services/app/price')
         if answer.status != 200:
             refusals.append(answer)
         return answer.status != 200
 
-    wait_until(is_sent_on, 'new work to be refused')
+    wait_until(is_refused, 'new requests to be refused')
     assert refusals[0].headers['waywell-code'] == '2004'
     assert refusals[0].headers['waywell-ran'] == 'not_run'
     port = pair.entries['entry-2'].ports['caller_port']
@@ -72,8 +73,10 @@
     assert process.wait() == 0
 
 
-def test_last_answer_reaches_a_caller_that_reads_slowly(pair: Bench) -> None:
-    """A stop waits for bytes that are written but not yet read."""
+def test_stopping_entry_delivers_the_answer_to_a_slow_reader(
+    pair: Bench,
+) -> None:
+    """A stopping entry waits until written bytes have been read."""
     size = 20_000_000
     port = pair.entries['entry-1'].ports['caller_port']
     with socket.create_connection(('127.0.0.1', port)) as caller:
@@ -82,13 +85,13 @@
             f'authorization: Bearer caller-key\r\nstandin-pad: {size}\r\n\r\n'
         )
         caller.sendall(request.encode())
-        got = caller.recv(1000)
+        received = caller.recv(1000)
         process = pair.entries['entry-1']
         process.send_signal(signal.SIGTERM)
         time.sleep(QUICK['entry_list'] * 3)
         while piece := caller.recv(65536):
-            got += piece
-    head, _, body = got.partition(b'\r\n\r\n')
+            received += piece
+    head, _, body = received.partition(b'\r\n\r\n')
     length = next(
         int(line.partition(b':')[2])
         for line in head.lower().split(b'\r\n')
@@ -98,7 +101,7 @@
     assert process.wait() == 0
 
 
-def test_leaving_box_gets_no_new_work_and_loses_none(bench: Bench) -> None:
+def test_leaving_box_gets_no_new_requests_and_loses_none(bench: Bench) -> None:
     for number in range(4):
         bench.start_box(BoxSpec(f'box-{number}', labels={'pool': 'llm'}))
     bench.start_entry('entry-1', timing=QUICK)
@@ -139,7 +142,8 @@
         lambda: (
             leaving['group']
             not in {
-                one['group'] for one in bench.read_status('entry-1')['groups']
+                group['group']
+                for group in bench.read_status('entry-1')['groups']
             }
         ),
         'the drained group to be gone',
@@ -150,12 +154,15 @@
     ('switch', 'status'),
     [('', 503), ('serve_leaving', 200)],
 )
-def test_leaving_group_refuses_new_work(
+def test_leaving_group_refuses_new_requests(
     bench: Bench,
     switch: str,
     status: int,
 ) -> None:
-    """While it drains; the second case shows that the first can fail."""
+    """A draining group refuses requests.
+
+    The second case disables the rule and shows that the check can fail.
+    """
     bench.start_entry('entry-1', timing=QUICK, switch=switch)
     bench.start_box(BoxSpec('box-1', labels={'pool': 'llm'}))
     bench.apply('entry-1', make_configuration(boxes_per_group=1))
@@ -180,8 +187,8 @@
     assert answers[0].body.count(b'"token"') == 500
 
 
-def test_stream_past_the_drain_bound_is_cut_visibly(bench: Bench) -> None:
-    """What outlasts the bound is cut so that the caller sees the cut."""
+def test_stream_past_the_drain_limit_is_cut_visibly(bench: Bench) -> None:
+    """A stream that outlasts the drain is cut so that the caller notices."""
     bench.start_box(BoxSpec('box-1', labels={'pool': 'llm'}))
     bench.start_entry('entry-1', timing={**QUICK, 'drain': 0.5})
     bench.apply('entry-1', make_configuration(boxes_per_group=1))
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -1,8 +1,8 @@
-"""Replicas that say in their answers that they leave.
+"""Replicas that announce in their answers that they are leaving.
 
-A replica that is about to end says so in all its answers, often before the
-list of boxes shows it.  A node that goes on sending to it until its own list
-has changed has requests reach a replica that ends under them.
+A replica that is shutting down announces it in all its answers, often before
+the box list shows it.  If a node sends requests to it until its own box list
+has changed, the replica ends while they run.
 """
 
 from __future__ import annotations
@@ -15,10 +15,12 @@
 from waywell.standins.harness import wait_until
 
 REQUESTS = 12
-"""Of which some would go to a replica that is one of two."""
+"""Enough requests that some would go to either of two replicas."""
 
 
-def test_a_plain_replica_that_says_so_gets_nothing_more(front: Front) -> None:
+def test_plain_replica_that_announces_leaving_gets_no_requests(
+    front: Front,
+) -> None:
     node = front.start()
     front.wait_serving(node)
     leaving = front.servers['a1']
@@ -28,15 +30,17 @@
         assert front.ask(node, '/stock/1')[0] == 200
         return bool(leaving.arrivals)
 
-    wait_until(ask, 'its word')
+    wait_until(ask, 'the replica to announce that it leaves')
     for _request in range(REQUESTS):
         assert front.ask(node, '/stock/1')[0] == 200
-    # The list shows it as before.
+    # The box list does not show yet that it leaves.
     assert leaving.entry['state'] == 'ready'
     assert leaving.arrivals == 1
 
 
-def test_a_group_whose_head_says_so_gets_nothing_more(front: Front) -> None:
+def test_group_whose_head_announces_leaving_gets_no_requests(
+    front: Front,
+) -> None:
     node = front.start()
     front.wait_serving(node)
     leaving = front.list_heads()[0]
@@ -46,13 +50,15 @@
         assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
         return bool(leaving.arrivals)
 
-    wait_until(ask, 'its word')
+    wait_until(ask, 'the replica to announce that it leaves')
     for _request in range(REQUESTS):
         assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
     assert leaving.arrivals == 1
 
 
-def test_where_all_leave_callers_are_refused_at_once(front: Front) -> None:
+def test_requests_are_refused_at_once_if_all_replicas_leave(
+    front: Front,
+) -> None:
     node = front.start()
     front.wait_serving(node)
     servers = [front.servers[name] for name in ('a1', 'a2')]
@@ -63,7 +69,7 @@
         front.ask(node, '/stock/1')
         return all(server.arrivals for server in servers)
 
-    wait_until(ask, 'the word of both')
+    wait_until(ask, 'both servers to announce that they leave')
     before = sum(server.arrivals for server in servers)
     status, _body, answer = front.ask(node, '/match/1')
     assert status == 503
@@ -71,15 +77,15 @@
     assert sum(server.arrivals for server in servers) == before
 
 
-def test_a_stream_that_runs_at_a_replica_that_leaves_goes_on(
+def test_running_stream_on_a_leaving_replica_continues(
     stage: Stage,
 ) -> None:
-    says_so = AnswerMark('a1', is_leaving=True)
+    leaving_mark = AnswerMark('a1', is_leaving=True)
 
     async def play() -> None:
         task = await stage.begin()
         (stream,) = stage.attempts
-        await stage.head(stream, mark=says_so)
+        await stage.head(stream, mark=leaving_mark)
         await stage.events(stream, 1, 2)
         await stage.end(stream)
         await task
--- a/tests/test_resting_replicas.py
+++ b/tests/test_resting_replicas.py
@@ -1,17 +1,10 @@
-"""Replicas that turn a request away and ask the node for rest.
-
-Nine replicas turned all requests away for 5 s, and at least two of them asked
-a node for 3 s of rest.  It did not read the wish: a replica that rejects
-rested for 1 s of its own, each piece of a stream that still ran there took
-that rest back, and where all replicas rested one of them was taken all the
-same.  So the node sent four requests to each of the two within those 3 s, and
-64 requests of all nodes were given up after two replicas that turned them
-away.  A first choice 0.24 s after the word of the same replica, while others
-were awake and two streams ran there, settled it:
-
-    6.5046 event=rejected attempt=2 box=i-5d4fc7f206 age=0.012 status=503
-    6.7415 event=attempt attempt=1 box=i-5d4fc7f206 age=0.0 load=2
-    9.1286 event=attempt attempt=1 box=i-5d4fc7f206 age=0.0 load=1
+"""Replicas that reject a request and ask the node for a rest period.
+
+The tests guard against nodes that ignore the rest period.  Two of nine
+replicas that rejected all requests asked a node for 3 s of rest, and it sent
+four requests to each of them within the 3 s.  The node used only its own
+backoff of 1 s after a rejection; events of running streams ended that backoff,
+and if all replicas were in backoff, one of them was chosen all the same.
 """
 
 from __future__ import annotations
@@ -28,11 +21,11 @@
 LONG_REST = '600'
 """Seconds of rest that outlast every test."""
 
-OWN_REST_SECONDS = 1.2
-"""After which a node's own rest for one rejection is over."""
+BACKOFF_SECONDS = 1.2
+"""Seconds after which a node's own backoff for one rejection has ended."""
 
 REQUESTS = 12
-"""Of which some would go to a replica that is one of two."""
+"""Enough requests that some would go to either of two replicas."""
 
 
 def start(front: Front) -> Process:
@@ -41,8 +34,8 @@
     return node
 
 
-def wait_rested(front: Front, node: Process, server: Server) -> None:
-    """Ask until a replica has turned a request away for its rest."""
+def request_rest(front: Front, node: Process, server: Server) -> None:
+    """Make a replica ask for rest; send requests until it has rejected one."""
     server.rest_text = LONG_REST
     server.script.append('rest')
 
@@ -50,25 +43,25 @@
         front.ask(node, '/stock/1')
         return not server.script
 
-    wait_until(ask, f'the wish of {server.name}')
+    wait_until(ask, f'{server.name} to ask for rest')
 
 
-def ask_all(front: Front, node: Process) -> None:
+def send_requests(front: Front, node: Process) -> None:
     for _request in range(REQUESTS):
         assert front.ask(node, '/stock/1')[0] == 200
 
 
-def test_the_rest_lasts_for_as_long_as_the_replica_asks(front: Front) -> None:
+def test_rest_lasts_as_long_as_the_replica_asks(front: Front) -> None:
     node = start(front)
     resting = front.servers['a1']
-    wait_rested(front, node, resting)
+    request_rest(front, node, resting)
     before = resting.arrivals
-    time.sleep(OWN_REST_SECONDS)
-    ask_all(front, node)
+    time.sleep(BACKOFF_SECONDS)
+    send_requests(front, node)
     assert resting.arrivals == before
 
 
-def test_a_stream_that_goes_on_takes_no_rest_back(stage: Stage) -> None:
+def test_running_stream_does_not_end_the_rest(stage: Stage) -> None:
     asks_rest = AnswerMark('a1', is_rejected=True, rest_seconds=3.0)
 
     async def play() -> None:
@@ -89,7 +82,7 @@
     asyncio.run(play())
 
 
-def test_where_all_ask_for_rest_callers_are_refused_at_once(
+def test_requests_are_refused_at_once_if_all_replicas_rest(
     front: Front,
 ) -> None:
     node = start(front)
@@ -100,7 +93,7 @@
     front.ask(node, '/stock/1')
     wait_until(
         lambda: not any(server.script for server in servers),
-        'the wish of both',
+        'both servers to ask for rest',
     )
     before = sum(server.arrivals for server in servers)
     for path in ('/stock/1', '/match/1'):
@@ -110,7 +103,7 @@
     assert sum(server.arrivals for server in servers) == before
 
 
-def test_a_replica_is_asked_again_when_its_rest_is_over(front: Front) -> None:
+def test_replica_gets_requests_again_after_its_rest(front: Front) -> None:
     node = start(front)
     servers = [front.servers[name] for name in ('a1', 'a2')]
     for server in servers:
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -1,8 +1,8 @@
-"""Targets that ask for rest, before the product's own entry daemon.
+"""Targets that ask the entry daemon for a rest period.
 
-Like the front daemon it did not read the wish: the answer counted as one of a
-sound target, so a target that turns all requests away and is quick at it got
-more of them than the others.
+The tests guard against an entry daemon that ignores the rest period.  The
+rejection then counted as the answer of a healthy target, so a target that
+quickly rejected all requests got more of them than the others.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 """Seconds of rest that outlast every test."""
 
 REQUESTS = 12
-"""Of which some would go to a target that is one of two."""
+"""Enough requests that some would go to either of two targets."""
 
 PATH = '/services/app/price'
 
 
-def let_rest(bench: Bench, name: str) -> None:
-    """Ask until a target has turned a request away for its rest."""
+def request_rest(bench: Bench, name: str) -> None:
+    """Make a target ask for rest; send requests until it has rejected one."""
     bench.set_target_faults(name, rest=LONG_REST)
     caller = bench.get_caller('entry-1')
 
@@ -34,24 +34,24 @@
         caller.call(PATH)
         return bench.read_target(name)['turned_away'] > 0
 
-    wait_until(ask, f'the wish of {name}')
+    wait_until(ask, f'{name} to ask for rest')
 
 
-def test_a_target_that_asked_for_rest_gets_nothing_more(bench: Bench) -> None:
+def test_resting_target_gets_no_requests(bench: Bench) -> None:
     start_plain(bench, ('entry-1',), ('app-1', 'app-2'))
-    let_rest(bench, 'app-1')
+    request_rest(bench, 'app-1')
     caller = bench.get_caller('entry-1')
     for _request in range(REQUESTS):
         assert caller.call(PATH).status == 200
     assert bench.read_target('app-1')['turned_away'] == 1
 
 
-def test_where_all_ask_for_rest_callers_are_refused_at_once(
+def test_requests_are_refused_at_once_if_all_targets_rest(
     bench: Bench,
 ) -> None:
     start_plain(bench, ('entry-1',), ('app-1', 'app-2'))
     for name in ('app-1', 'app-2'):
-        let_rest(bench, name)
+        request_rest(bench, name)
     refused = bench.get_caller('entry-1').call(PATH)
     assert refused.status == 503
     assert refused.read_json()['code'] == Code.REPLICAS_REST
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions stay on their group while it is whole."""
+"""Session affinity: sessions stay on their group while it serves."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 SESSIONS = [f's{number}' for number in range(12)]
 
 
-def ask_all(bench: Bench, turn: str) -> dict[str, str]:
-    """Make a request in each session; return the group that ran it."""
+def ask_all(bench: Bench, round_name: str) -> dict[str, str]:
+    """Send a request in each session; return the group that ran each."""
     for number, session in enumerate(SESSIONS):
         caller = bench.get_caller(f'entry-{1 + number % 2}')
-        name = f'{turn}-{session}'
+        name = f'{round_name}-{session}'
         headers = {'waywell-session': session, 'waywell-request-id': name}
         answer = caller.call('/services/llm/x', headers=headers)
         assert answer.status == 200, answer.body
     return {
         run['request'].partition('-')[2]: run['group']
         for run in list_runs(bench)
-        if run['request'].startswith(f'{turn}-')
+        if run['request'].startswith(f'{round_name}-')
     }
 
 
-def test_sessions_move_only_when_their_group_is_out(bench: Bench) -> None:
+def test_sessions_move_only_while_their_group_is_lost(bench: Bench) -> None:
     for number in (1, 2):
         bench.start_entry(f'entry-{number}', timing=QUICK)
     specs = [BoxSpec(f'box-{n}', labels={'pool': 'llm'}) for n in range(3)]
@@ -72,8 +72,8 @@
         and line['request'].startswith('three-')
     }
     for session, group in first.items():
-        wanted = 'moved_down' if group == lost['group'] else 'session'
-        assert reasons[session] == wanted
+        expected = 'moved_down' if group == lost['group'] else 'session'
+        assert reasons[session] == expected
     bench.list_box(box, 'lost')
     bench.start_box(BoxSpec(box, labels={'pool': 'llm'}))
     for number in (1, 2):
@@ -83,8 +83,8 @@
         wait_until(lambda: ask_all(bench, 'four') == first, 'the return')
 
 
-def test_without_the_choice_sessions_wander(bench: Bench) -> None:
-    """The proof above can fail."""
+def test_sessions_move_if_the_choice_ignores_them(bench: Bench) -> None:
+    """Shows that the check of session affinity can fail."""
     for number in (1, 2):
         bench.start_entry(
             f'entry-{number}',
@@ -99,7 +99,7 @@
     assert ask_all(bench, 'one') != ask_all(bench, 'two')
 
 
-def test_another_accounts_session_is_another_session() -> None:
+def test_accounts_do_not_share_session_ids() -> None:
     account = Account('a')
     work = Work(
         submission=Submission('GET', '/', {}, (), b''),
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -1,4 +1,4 @@
-"""What other entry boxes tell of their requests in flight."""
+"""Sums of the requests in flight that other entry boxes report."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
 
 @given(STEPS, NODES)
-def test_the_total_is_the_sum_of_what_is_fresh(
+def test_total_is_the_sum_of_unexpired_reports(
     steps: list[tuple[NodeId, dict[BoxId, int], float]],
-    skipped: NodeId,
+    excluded: NodeId,
 ) -> None:
     shared = SharedLoads()
-    told: dict[NodeId, tuple[dict[BoxId, int], float]] = {}
+    reports: dict[NodeId, tuple[dict[BoxId, int], float]] = {}
     now = 0.0
     for node, loads, pause in steps:
         now += pause
         shared.update(node, loads, now)
-        told[node] = (loads, now)
+        reports[node] = (loads, now)
         fresh = {
-            name: kept
-            for name, (kept, at) in told.items()
+            name: reported
+            for name, (reported, at) in reports.items()
             if now - at <= REPORT_TTL_SECONDS
         }
         total: Counter[BoxId] = Counter()
         others: Counter[BoxId] = Counter()
-        for name, kept in fresh.items():
-            total.update(kept)
-            others.update(kept if name != skipped else {})
+        for name, reported in fresh.items():
+            total.update(reported)
+            others.update(reported if name != excluded else {})
         assert shared.list_nodes() == set(fresh)
         assert {box: shared.get(box) for box in total} == dict(total)
-        assert +shared.sum_loads((skipped,)) == others
+        assert +shared.sum_loads((excluded,)) == others
--- a/tests/test_stale_loads.py
+++ b/tests/test_stale_loads.py
@@ -1,11 +1,11 @@
-"""Many nodes choose by loads that are older than it takes to fill a replica.
-
-Load: 195 nodes in five halls send to the groups of one model, each by what it
-knows of itself and by what others told 0.7 s ago; streams of 1.2 s, seven
-places a group.  Symptom: of 21 groups that had just been opened or not, some
-got 42 requests in a second and some 5; full ones rejected 665 requests in 9 s.
-Cause: each node compared four groups and took the least loaded, so that most
-nodes of a hall met at the same one.
+"""Replica choice by load reports older than the time to fill a replica.
+
+The tests guard against many nodes choosing the same replica.  195 nodes in
+five halls sent streams of 1.2 s to 21 groups of one model with seven places
+each, some of them just opened, and knew other nodes' requests as of 0.7 s
+before.  Each node compared four groups and chose the least loaded, so most
+nodes of a hall chose the same one: some groups got 42 requests in a second and
+some 5, and full groups rejected 665 requests in 9 s.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 STREAM_SECONDS = 1.2
 LAG_SECONDS = 0.7
 SNAPSHOT_SECONDS = 0.1
-WARM_SECONDS = 3.0
+WARMUP_SECONDS = 3.0
 END_SECONDS = 12.0
 
 
-class OldLoads:
-    """What other nodes told some time ago."""
+class DelayedLoads:
+    """Requests of other nodes as of some time ago."""
 
     def __init__(self) -> None:
         self.loads: dict[BoxLife, int] = {}
@@ -42,13 +42,13 @@
 
 
 class Node:
-    """One node that chooses."""
+    """Node that chooses replicas for its requests."""
 
     def __init__(self, hall: str, nodes: int, seed: int) -> None:
         self.hall = HallName(hall)
-        self.book = ReplicaTable()
-        self.loads = OldLoads()
-        self.own: Counter[BoxLife] = Counter()
+        self.table = ReplicaTable()
+        self.loads = DelayedLoads()
+        self.own_requests: Counter[BoxLife] = Counter()
         self.chooser = ReplicaChooser(
             self.hall,
             self.loads,  # type: ignore[arg-type]
@@ -59,20 +59,20 @@
 
 @attrs.frozen
 class Site:
-    """Halls of nodes and of replicas."""
+    """Data halls with nodes and replicas."""
 
     halls: int
     nodes: int
     replicas: int
     places: int
-    lacking: int = 0
-    """Replicas that the first hall has less than the others."""
+    missing: int = 0
+    """Number of replicas that the first hall has less than the others."""
 
     def make_replicas(self) -> list[Replica]:
         return [
             Replica(ReplicaKey(box.box, Epoch(1)), box)
             for hall in range(self.halls)
-            for number in range(self.replicas - (0 if hall else self.lacking))
+            for number in range(self.replicas - (0 if hall else self.missing))
             for box in [
                 msgspec.structs.replace(
                     make_box(f'r{hall}-{number}'),
@@ -93,83 +93,90 @@
 
 @attrs.define
 class Outcome:
-    """What became of the requests."""
+    """Counts of requests after the warm-up."""
 
     sent: int = 0
-    waited: int = 0
+    queued: int = 0
     left_hall: int = 0
 
-    def get_waited(self) -> float:
-        return self.waited / self.sent
+    def get_queued_share(self) -> float:
+        return self.queued / self.sent
 
-    def get_left(self) -> float:
+    def get_left_hall_share(self) -> float:
         return self.left_hall / self.sent
 
 
-class Model:
-    """Requests that come at random and stay for a while."""
+class Simulation:
+    """Requests that arrive at random and occupy places for a while."""
 
     def __init__(self, site: Site, seed: int) -> None:
         self.replicas = site.make_replicas()
         self.nodes = site.make_nodes()
         self.random = Random(seed)
-        self.true: Counter[BoxLife] = Counter()
+        self.in_flight: Counter[BoxLife] = Counter()
         self.ends: list[tuple[float, int, ReplicaKey]] = []
-        self.told: deque[
+        self.snapshots: deque[
             tuple[float, Counter[BoxLife], list[Counter[BoxLife]]]
         ]
-        self.told = deque()
+        self.snapshots = deque()
         self.outcome = Outcome()
 
-    def play(self, part_taken: float) -> Outcome:
-        """Play some seconds with a part of the places taken."""
-        places = sum(one.head.places for one in self.replicas)
-        rate = part_taken * places / STREAM_SECONDS
+    def run(self, load: float) -> Outcome:
+        """Simulate some seconds at a load given as a share of the places."""
+        places = sum(replica.head.places for replica in self.replicas)
+        rate = load * places / STREAM_SECONDS
         now = 0.0
         while now < END_SECONDS:
             now += self.random.expovariate(rate)
-            self.end_until(now)
-            self.tell(now)
+            self.end_requests(now)
+            self.publish_loads(now)
             self.send(now)
         return self.outcome
 
-    def end_until(self, now: float) -> None:
+    def end_requests(self, now: float) -> None:
         while self.ends and self.ends[0][0] <= now:
             _at, index, key = heapq.heappop(self.ends)
-            self.true[key.life] -= 1
-            self.nodes[index].own[key.life] -= 1
-            self.nodes[index].book.record_end(key)
-
-    def tell(self, now: float) -> None:
-        if not self.told or now - self.told[-1][0] >= SNAPSHOT_SECONDS:
-            own = [Counter(node.own) for node in self.nodes]
-            self.told.append((now, Counter(self.true), own))
-        while len(self.told) > 1 and self.told[1][0] <= now - LAG_SECONDS:
-            self.told.popleft()
+            self.in_flight[key.life] -= 1
+            self.nodes[index].own_requests[key.life] -= 1
+            self.nodes[index].table.record_end(key)
+
+    def publish_loads(self, now: float) -> None:
+        if (
+            not self.snapshots
+            or now - self.snapshots[-1][0] >= SNAPSHOT_SECONDS
+        ):
+            own_requests = [Counter(node.own_requests) for node in self.nodes]
+            self.snapshots.append((now, Counter(self.in_flight), own_requests))
+        while (
+            len(self.snapshots) > 1
+            and self.snapshots[1][0] <= now - LAG_SECONDS
+        ):
+            self.snapshots.popleft()
 
     def send(self, now: float) -> None:
         index = self.random.randrange(len(self.nodes))
         node = self.nodes[index]
-        _at, true, own = self.told[0]
+        _at, in_flight, own_requests = self.snapshots[0]
         node.loads.loads = {
-            box: max(0, count - own[index][box]) for box, count in true.items()
+            box: max(0, count - own_requests[index][box])
+            for box, count in in_flight.items()
         }
         chosen = node.chooser.choose(
-            self.replicas, frozenset(), node.book, now
+            self.replicas, frozenset(), node.table, now
         )
         assert chosen is not None
         box = chosen.key.life
-        waiting = max(0, self.true[box] + 1 - chosen.head.places)
-        if now > WARM_SECONDS:
+        queue = max(0, self.in_flight[box] + 1 - chosen.head.places)
+        if now > WARMUP_SECONDS:
             self.outcome.sent += 1
-            self.outcome.waited += waiting > 0
+            self.outcome.queued += queue > 0
             self.outcome.left_hall += chosen.head.hall != node.hall
-        longer = 1.0 + waiting / chosen.head.places
-        stays = self.random.expovariate(1 / STREAM_SECONDS) * longer
-        self.true[box] += 1
-        node.own[box] += 1
-        node.book.record_start(chosen.key)
-        heapq.heappush(self.ends, (now + stays, index, chosen.key))
+        slowdown = 1.0 + queue / chosen.head.places
+        duration = self.random.expovariate(1 / STREAM_SECONDS) * slowdown
+        self.in_flight[box] += 1
+        node.own_requests[box] += 1
+        node.table.record_start(chosen.key)
+        heapq.heappush(self.ends, (now + duration, index, chosen.key))
 
 
 LARGE = Site(halls=5, nodes=39, replicas=5, places=7)
@@ -179,51 +186,52 @@
 
 
 @pytest.mark.parametrize(
-    ('site', 'most'),
+    ('site', 'limit'),
     [(LARGE, 0.12), (LARGE_SMALL_MODEL, 0.12), (GROWN, 0.03), (USUAL, 0.03)],
 )
-def test_few_requests_meet_a_full_replica_while_there_is_room(
-    site: Site, most: float
+def test_few_requests_meet_a_full_replica_while_others_have_free_places(
+    site: Site, limit: float
 ) -> None:
-    outcome = Model(site, 1).play(0.6)
-    assert outcome.get_waited() < most
+    outcome = Simulation(site, 1).run(0.6)
+    assert outcome.get_queued_share() < limit
 
 
 @pytest.mark.parametrize(
-    ('site', 'most'),
+    ('site', 'limit'),
     [
-        (Site(halls=3, nodes=23, replicas=3, places=17, lacking=2), 0.08),
-        (Site(halls=5, nodes=39, replicas=5, places=7, lacking=3), 0.13),
-        (Site(halls=3, nodes=3, replicas=3, places=9, lacking=2), 0.08),
+        (Site(halls=3, nodes=23, replicas=3, places=17, missing=2), 0.08),
+        (Site(halls=5, nodes=39, replicas=5, places=7, missing=3), 0.13),
+        (Site(halls=3, nodes=3, replicas=3, places=9, missing=2), 0.08),
     ],
 )
-def test_callers_of_a_hall_with_few_replicas_are_served_elsewhere(
+def test_requests_of_a_hall_with_few_replicas_are_served_in_other_halls(
     site: Site,
-    most: float,
+    limit: float,
 ) -> None:
-    """Load: most groups of one hall are lost; its callers are as many."""
-    assert Model(site, 1).play(0.6).get_waited() < most
+    """Most groups of one hall are lost while its requests stay as many."""
+    assert Simulation(site, 1).run(0.6).get_queued_share() < limit
 
 
 @pytest.mark.parametrize('site', [LARGE, USUAL])
 def test_most_requests_stay_in_their_hall(site: Site) -> None:
-    assert Model(site, 2).play(0.6).get_left() < 0.08
+    assert Simulation(site, 2).run(0.6).get_left_hall_share() < 0.08
 
 
-def test_requests_leave_a_hall_that_is_full() -> None:
+def test_requests_leave_a_full_hall() -> None:
     site = Site(halls=2, nodes=3, replicas=3, places=9)
-    model = Model(site, 3)
-    node = model.nodes[0]
+    simulation = Simulation(site, 3)
+    node = simulation.nodes[0]
     node.loads.loads = {
-        one.key.life: 14
-        for one in model.replicas
-        if one.head.hall == node.hall
+        replica.key.life: 14
+        for replica in simulation.replicas
+        if replica.head.hall == node.hall
     }
     chosen = [
-        node.chooser.choose(model.replicas, frozenset(), node.book, 1.0)
+        node.chooser.choose(simulation.replicas, frozenset(), node.table, 1.0)
         for _ in range(200)
     ]
     left = sum(
-        one is not None and one.head.hall != node.hall for one in chosen
+        replica is not None and replica.head.hall != node.hall
+        for replica in chosen
     )
     assert left > 100
