--- a/waywell/request/admission.py
+++ b/waywell/request/admission.py
@@ -96,9 +96,9 @@
         used = self._in_flight.get(account.name, 0)
         sharing = max(1, nodes)
         if used >= math.ceil(account.in_flight / sharing):
-            return Failure(_refuse_busy(Code.ACCOUNT_IN_FLIGHT))
+            return Failure(_make_busy_refusal(Code.ACCOUNT_IN_FLIGHT))
         if self._exceeds_fair_share(used):
-            return Failure(_refuse_busy(Code.NODE_BUSY))
+            return Failure(_make_busy_refusal(Code.NODE_BUSY))
         rate = account.requests_per_second / sharing
         wait = self._get_bucket(account.name, now).take(rate, now)
         if wait:
@@ -137,5 +137,5 @@
         return bucket
 
 
-def _refuse_busy(code: Code) -> Refusal:
+def _make_busy_refusal(code: Code) -> Refusal:
     return Refusal(code, retry_after=BUSY_RETRY_SECONDS)
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -188,7 +188,7 @@
         )
         key = None
         try:
-            work = self._identify(submission, caller, facts)
+            work = self._resolve_request(submission, caller, facts)
             self._admit(work)
         except Refusal as refusal:
             raise self._mark_possibly_run(refusal, facts) from refusal
@@ -223,7 +223,7 @@
         refusal = Refusal(Code.NODE_LEAVING, detail=names, retry_after=0)
         raise self._mark_possibly_run(refusal, facts)
 
-    def _identify(
+    def _resolve_request(
         self,
         submission: Submission,
         caller: CallerPort,
@@ -319,8 +319,8 @@
                 await self._parts.paths.await_diagnosis(_get_service(work))
                 self._check_links(work)
             if not self._may_retry(work, answer, attempt):
-                raise self._refuse(work, answer)
-        raise self._refuse(work, DispatchFault.NOT_SENT)
+                raise self._make_refusal(work, answer)
+        raise self._make_refusal(work, DispatchFault.NOT_SENT)
 
     def _check_links(self, work: Work) -> None:
         """Refuse a request whose targets only peers can reach.
@@ -583,7 +583,7 @@
             return False
         return self._parts.budget.spend(work.account.name)
 
-    def _refuse(self, work: Work, fault: DispatchFault) -> Refusal:
+    def _make_refusal(self, work: Work, fault: DispatchFault) -> Refusal:
         code = _CODE_BY_FAULT[fault]
         if fault in _FINAL_FAULTS:
             return Refusal(code, _get_ran(work))
