--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -183,9 +183,9 @@
 ) -> None:
     async def play() -> None:
         await stage.begin(ForwardMark('x', 1))
-        assert LLM not in stage.budget._counts  # noqa: SLF001
+        assert LLM not in stage.budget._sent  # noqa: SLF001
         await stage.begin()
-        assert len(stage.budget._counts[LLM].requests) == 1  # noqa: SLF001
+        assert len(stage.budget._sent[LLM].requests) == 1  # noqa: SLF001
 
     run(play)
 
