--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -32,8 +32,8 @@
 from waywell.request.forwarder import Forwarder
 from waywell.request.paths import DirectPaths
 from waywell.request.peer_chooser import make_peer_key
-from waywell.request.placement import Chooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.placement import ReplicaChooser
+from waywell.request.replica_table import ReplicaTable
 from waywell.request.request_context import AnswerWriter, ForwarderDependencies
 from waywell.request.resend_budget import ResendBudget, ResendLimits
 from waywell.request.shared_loads import SharedLoads
@@ -116,7 +116,7 @@
     def __init__(self, kind: RouteKind = RouteKind.STREAM) -> None:
         self.clock = HeldClock()
         self.connects_at_once = True
-        self.book = ReplicaBook()
+        self.book = ReplicaTable()
         self.attempts: list[Attempt] = []
         self.answer = RecordedAnswer()
         self.refusal: Refusal | None = None
@@ -159,7 +159,9 @@
             ForwarderDependencies(
                 cluster=cluster,
                 wire=FakeWire(),
-                chooser=Chooser(HallName('port'), SharedLoads(), Random(1)),
+                chooser=ReplicaChooser(
+                    HallName('port'), SharedLoads(), Random(1)
+                ),
                 book=self.book,
                 budget=self.budget,
                 paths=self.paths,
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -1,4 +1,4 @@
-"""What replicas have asked of a node."""
+"""Backpressure signals that replicas send to a node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from waywell.request.attempt import Attempt
 from waywell.request.backpressure import (
     LEAVING_SECONDS,
-    MOST_KEPT,
+    MAX_BOXES,
     Backpressure,
 )
 from waywell.request.decoded_request import AnswerMetadata
@@ -34,7 +34,7 @@
 
 
 class BackpressureMachine(RuleBasedStateMachine):
-    """Replicas ask for rest, start again and are heard of, in any order."""
+    """Replicas ask for rest, answer, leave and restart in any order."""
 
     lives = st.builds(make_life, st.sampled_from('abc'), st.integers(1, 2))
 
@@ -48,18 +48,18 @@
     @rule(life=lives, seconds=st.floats(0, 20))
     def ask_for_rest(self, life: BoxLife, seconds: float) -> None:
         mark = AnswerMetadata(is_rejected=True, rest_seconds=seconds)
-        self.pressure.note(life, mark, self.now)
+        self.pressure.record(life, mark, self.now)
         ends_at = self.now + seconds
         self.ends[life] = max(ends_at, self.ends.get(life, 0.0))
 
     @rule(life=lives)
     def leave(self, life: BoxLife) -> None:
-        self.pressure.note(life, AnswerMetadata(is_leaving=True), self.now)
+        self.pressure.record(life, AnswerMetadata(is_leaving=True), self.now)
         self.leaving.add(life)
 
     @rule(life=lives)
     def answer(self, life: BoxLife) -> None:
-        self.pressure.note(life, AnswerMetadata('a1'), self.now)
+        self.pressure.record(life, AnswerMetadata('a1'), self.now)
 
     @rule(life=lives)
     def end(self, life: BoxLife) -> None:
@@ -72,56 +72,56 @@
         self.now += seconds
 
     @rule()
-    def tend(self) -> None:
-        self.pressure.forget_old(self.now)
+    def forget_expired_signals(self) -> None:
+        self.pressure.forget_expired(self.now)
 
     @invariant()
-    def each_rest_lasts_until_it_ends(self) -> None:
+    def box_accepts_requests_unless_resting_or_leaving(self) -> None:
         for life, ends_at in self.ends.items():
             is_open = self.now >= ends_at and life not in self.leaving
             assert self.pressure.may_send(life, self.now) == is_open
 
     @invariant()
-    def what_leaves_gets_nothing_more(self) -> None:
+    def leaving_box_gets_no_requests(self) -> None:
         for life in self.leaving:
             assert not self.pressure.may_send(life, self.now)
 
     @invariant()
-    def no_other_life_rests(self) -> None:
-        awake = {make_life(name) for name in 'abc'}
-        awake -= self.ends.keys() | self.leaving
-        assert all(self.pressure.may_send(life, self.now) for life in awake)
+    def other_incarnations_get_requests(self) -> None:
+        others = {make_life(name) for name in 'abc'}
+        others -= self.ends.keys() | self.leaving
+        assert all(self.pressure.may_send(life, self.now) for life in others)
 
 
 TestBackpressure = BackpressureMachine.TestCase
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_number_of_kept_rests_is_bounded() -> None:
     pressure = Backpressure()
-    for number in range(MOST_KEPT + 10):
-        pressure.note(make_life(f'b{number}'), REST, float(number))
-    assert pressure.count(0.0)['resting'] <= MOST_KEPT
-    pressure.forget_old(MOST_KEPT + 20.0)
+    for number in range(MAX_BOXES + 10):
+        pressure.record(make_life(f'b{number}'), REST, float(number))
+    assert pressure.count(0.0)['resting'] <= MAX_BOXES
+    pressure.forget_expired(MAX_BOXES + 20.0)
     assert not pressure.count(0.0)['resting']
 
 
-def test_a_word_of_leaving_is_bounded_as_well() -> None:
+def test_number_of_kept_leaving_boxes_is_bounded() -> None:
     pressure = Backpressure()
     leaves = AnswerMetadata(is_leaving=True)
-    for number in range(MOST_KEPT + 10):
-        pressure.note(make_life(f'b{number}'), leaves, 0.0)
-    assert pressure.count(0.0)['leaving'] <= MOST_KEPT
-    pressure.forget_old(LEAVING_SECONDS)
+    for number in range(MAX_BOXES + 10):
+        pressure.record(make_life(f'b{number}'), leaves, 0.0)
+    assert pressure.count(0.0)['leaving'] <= MAX_BOXES
+    pressure.forget_expired(LEAVING_SECONDS)
     assert not pressure.count(0.0)['leaving']
 
 
-def test_a_wish_is_heard_also_where_nobody_waits_for_the_answer(
+def test_rest_is_recorded_after_the_caller_disconnected(
     harness: ForwarderHarness,
 ) -> None:
     async def play() -> None:
         task = await harness.submit()
         (first,) = harness.attempts
-        # The caller leaves while the head of the answer is on its way.
+        # The caller disconnects before the head of the answer arrives.
         task.cancel()
         await harness.deliver_head(first, status=503, metadata=REST)
         for _request in range(6):
@@ -131,9 +131,7 @@
     asyncio.run(play())
 
 
-def test_a_rest_outlasts_the_group_of_its_box(
-    harness: ForwarderHarness,
-) -> None:
+def test_rest_of_a_box_outlasts_its_group(harness: ForwarderHarness) -> None:
     async def play() -> None:
         await harness.submit()
         (first,) = harness.attempts
@@ -153,9 +151,7 @@
     assert harness.refusal.code is Code.REPLICAS_REST
 
 
-def test_a_new_life_of_a_box_has_asked_for_nothing(
-    harness: ForwarderHarness,
-) -> None:
+def test_restarted_box_has_no_rest(harness: ForwarderHarness) -> None:
     async def play() -> None:
         await harness.submit()
         (first,) = harness.attempts
@@ -172,7 +168,7 @@
     asyncio.run(play())
 
 
-def test_a_request_that_connects_when_the_wish_comes_is_not_written(
+def test_request_is_not_written_if_the_rest_arrives_while_it_connects(
     harness: ForwarderHarness,
 ) -> None:
     async def play() -> None:
@@ -181,7 +177,7 @@
         harness.connects_at_once = False
         await harness.deliver_head(first, status=503, metadata=REST)
         (_first, second) = harness.attempts
-        # Another request got the wish of the second one meanwhile.
+        # Meanwhile the second replica asks for rest in another answer.
         second.destination.on_metadata(REST, second.sent_at, harness.clock.now)
         assert not harness.may_send()
         second.post(Attempt.Fault(second, SendFault.TOO_LATE))
@@ -193,7 +189,7 @@
     assert harness.refusal.ran is Ran.NOT_RUN
 
 
-def test_callers_are_told_when_the_first_replica_is_rested(
+def test_retry_after_is_the_end_of_the_first_rest(
     harness: ForwarderHarness,
 ) -> None:
     longer = AnswerMetadata('a1', is_rejected=True, rest_seconds=5.0)
@@ -216,18 +212,18 @@
     assert harness.refusal.retry_after == 1.5
 
 
-def test_nothing_is_paid_for_an_attempt_that_no_replica_is_left_for(
+def test_no_resend_is_spent_if_no_replica_is_left(
     harness: ForwarderHarness,
 ) -> None:
-    paid = []
+    spent = []
     budget = harness.forwarder._dependencies.budget
     spend = budget.spend
 
-    def note_spent(*words: object) -> bool:
-        paid.append(words)
-        return spend(*words)
+    def record_spent(*args: object) -> bool:
+        spent.append(args)
+        return spend(*args)
 
-    budget.spend = note_spent  # type: ignore[method-assign]
+    budget.spend = record_spent  # type: ignore[method-assign]
 
     async def play() -> None:
         await harness.submit()
@@ -240,10 +236,10 @@
         await harness.submit()
 
     asyncio.run(play())
-    assert len(paid) == 1
+    assert len(spent) == 1
 
 
-def test_a_stream_is_not_taken_up_at_a_replica_that_rests(
+def test_stream_is_not_resumed_on_a_resting_replica(
     harness: ForwarderHarness,
 ) -> None:
     async def play() -> None:
@@ -252,14 +248,14 @@
         await harness.deliver_head(stream)
         await harness.deliver_events(stream, 1)
         other = next(
-            one
-            for one in harness.cluster.list_replicas('llm', 'notes')
-            if one != stream.replica
+            replica
+            for replica in harness.cluster.list_replicas('llm', 'notes')
+            if replica != stream.replica
         )
-        harness.forwarder._dependencies.backpressure.note(
+        harness.forwarder._dependencies.backpressure.record(
             other.key.life, REST, harness.clock.now
         )
-        # Neither beside a silent attempt, nor in place of a broken one.
+        # Neither as a hedge of a silent attempt nor after a broken one.
         await harness.advance_time(0.25)
         assert len(harness.attempts) == 1
         await harness.deliver_end(stream, is_whole=False)
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -19,7 +19,7 @@
 )
 from waywell.ids import Epoch, GroupId, NodeId
 from waywell.membership.links import PeerLinks
-from waywell.request.replica_book import LONGEST_REST, ReplicaBook
+from waywell.request.replica_table import MAX_BACKOFF_SECONDS, ReplicaTable
 from waywell.version.fleet import Replica, ReplicaKey
 
 BOX = make_box('a')
@@ -49,7 +49,7 @@
     def __init__(self, are_links_sound: bool = True) -> None:
         self.clock = HeldClock()
         self.links = _RecordingLinks()
-        self.book = ReplicaBook()
+        self.book = ReplicaTable()
         self.doubted: list[GroupId] = []
         self.resumed: list[GroupId] = []
         self.due: list[tuple[float, Callable[[], None]]] = []
@@ -97,16 +97,16 @@
 
 def test_a_doubt_is_ignored_while_the_replica_sends_output() -> None:
     bench = Bench()
-    bench.book.note_heard(REPLICA.key, bench.clock.now)
+    bench.book.record_message(REPLICA.key, bench.clock.now)
     bench.receive('d1')
-    assert bench.book.get(REPLICA.key).rests_until == 0
+    assert bench.book.get(REPLICA.key).backoff_until == 0
 
 
 def test_any_number_of_failures_is_counted() -> None:
-    book = ReplicaBook()
+    book = ReplicaTable()
     for _failure in range(5000):
-        book.note_failure(REPLICA.key, 1.0)
-    assert book.get(REPLICA.key).rests_until == 1.0 + LONGEST_REST
+        book.record_failure(REPLICA.key, 1.0)
+    assert book.get(REPLICA.key).backoff_until == 1.0 + MAX_BACKOFF_SECONDS
 
 
 def test_a_doubt_is_withdrawn_once_the_replica_sends_output() -> None:
@@ -119,12 +119,12 @@
     """
     bench = Bench()
     bench.receive('d1')
-    assert bench.book.get(REPLICA.key).rests_until > bench.clock.now
+    assert bench.book.get(REPLICA.key).backoff_until > bench.clock.now
     bench.pass_time(LISTEN_INTERVAL / 2)
-    bench.book.note_event(REPLICA.key, bench.clock.now)
-    bench.book.get(REPLICA.key).rests_until = bench.clock.now + 1.0
+    bench.book.record_event(REPLICA.key, bench.clock.now)
+    bench.book.get(REPLICA.key).backoff_until = bench.clock.now + 1.0
     bench.pass_time(LISTEN_INTERVAL)
-    assert bench.book.get(REPLICA.key).rests_until == 0
+    assert bench.book.get(REPLICA.key).backoff_until == 0
     assert bench.resumed == [REPLICA.group]
     assert isinstance(bench.links.messages[-1], ReplicaHeard)
 
@@ -135,7 +135,7 @@
     message = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
     for node in ('n2', 'n3'):
         bench.doubts.on_received(PeerLinks.Received(NodeId(node), message))
-    assert bench.book.get(REPLICA.key).rests_until == 0
+    assert bench.book.get(REPLICA.key).backoff_until == 0
     assert bench.resumed == [REPLICA.group]
 
 
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""What counts as silence follows the pauses of sound replicas."""
+"""Estimates of pauses between events, and the gap timeout they set."""
 
 from __future__ import annotations
 
@@ -9,11 +9,15 @@
 from waywell.ids import ModelName
 from waywell.request.decoded_request import DecodedRequest
 from waywell.request.hedge_timeouts import (
-    LEAST_GAP_PART,
-    MOST_GAP_PART,
-    measure_hedge_timeouts,
+    MAX_GAP_FRACTION,
+    MIN_GAP_FRACTION,
+    compute_hedge_timeouts,
+)
+from waywell.request.pauses import (
+    INITIAL_ESTIMATE,
+    USUAL_QUANTILE,
+    PauseEstimator,
 )
-from waywell.request.pauses import FIRST_GUESS, USUAL_PART, PauseGauge
 from waywell.version.routes import Route, RouteKind
 
 MODEL = ModelName('notes')
@@ -22,32 +26,32 @@
 
 
 @pytest.mark.parametrize('scale', [0.03, 0.06])
-def test_the_estimate_settles_above_nearly_all_pauses(scale: float) -> None:
-    gauge = PauseGauge()
+def test_estimate_settles_above_nearly_all_pauses(scale: float) -> None:
+    estimator = PauseEstimator()
     random = Random(7)
-    for _warm in range(20_000):
-        gauge.note(MODEL, random.expovariate(1 / scale))
+    for _warmup in range(20_000):
+        estimator.record(MODEL, random.expovariate(1 / scale))
     later = [random.expovariate(1 / scale) for _pause in range(20_000)]
-    longer = sum(pause > gauge.get(MODEL) for pause in later)
-    assert longer / len(later) < 4 * (1 - USUAL_PART)
-    assert gauge.get(MODEL) < 12 * scale
+    longer = sum(pause > estimator.get(MODEL) for pause in later)
+    assert longer / len(later) < 4 * (1 - USUAL_QUANTILE)
+    assert estimator.get(MODEL) < 12 * scale
 
 
-def test_models_are_told_apart() -> None:
-    gauge = PauseGauge()
+def test_models_have_separate_estimates() -> None:
+    estimator = PauseEstimator()
     for _long in range(40):
-        gauge.note(MODEL, 1.0)
-    assert gauge.get(MODEL) > 2 * FIRST_GUESS
-    assert gauge.get(ModelName('other')) == FIRST_GUESS
+        estimator.record(MODEL, 1.0)
+    assert estimator.get(MODEL) > 2 * INITIAL_ESTIMATE
+    assert estimator.get(ModelName('other')) == INITIAL_ESTIMATE
 
 
-def test_patience_follows_usual_pauses_within_the_goal() -> None:
+def test_gap_timeout_follows_usual_pauses_within_its_bounds() -> None:
     gaps = [
-        measure_hedge_timeouts(ROUTE, None, ASK, pause).gap
+        compute_hedge_timeouts(ROUTE, None, ASK, pause).gap
         for pause in (0.0, 0.2, 5.0)
     ]
     assert gaps == [
-        pytest.approx(LEAST_GAP_PART * 0.3),
+        pytest.approx(MIN_GAP_FRACTION * 0.3),
         0.2,
-        pytest.approx(MOST_GAP_PART * 0.3),
+        pytest.approx(MAX_GAP_FRACTION * 0.3),
     ]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -86,8 +86,8 @@
         if has_ended:
             witness.ended.add(name)
         for traits in requests:
-            witness.note_broken(
-                make_replica(name), traits, has_begun=False, is_over=False
+            witness.record_broken_attempt(
+                make_replica(name), traits, has_begun=False, has_ended=False
             )
         for _turn in range(5):
             await asyncio.sleep(0)
@@ -112,10 +112,10 @@
     bench = Bench(nodes=4)
     for number in (1, 2, 3):
         await bench.crash(f'b{number}', 'deadly', f'x{number}', node=number)
-    assert not bench.node.find_release(DEADLY_REQUEST, bench.clock.now)
+    assert not bench.node.get_hold_seconds(DEADLY_REQUEST, bench.clock.now)
     bench.deliver_broadcasts()
-    assert bench.node.find_release(DEADLY_REQUEST, bench.clock.now) > 0
-    assert not bench.node.find_release(
+    assert bench.node.get_hold_seconds(DEADLY_REQUEST, bench.clock.now) > 0
+    assert not bench.node.get_hold_seconds(
         RequestTraits(Fingerprint('x1')), bench.clock.now
     )
     with pytest.raises(Refusal) as caught:
@@ -196,8 +196,8 @@
     assert bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
     # A second concurrent attempt could cause a fourth crash.
     assert not bench.node.may_send(DEADLY_REQUEST, 1, bench.clock.now)
-    bench.node.note_broken(
-        make_replica('b3'), DEADLY_REQUEST, has_begun=False, is_over=False
+    bench.node.record_broken_attempt(
+        make_replica('b3'), DEADLY_REQUEST, has_begun=False, has_ended=False
     )
     assert not bench.node.may_send(DEADLY_REQUEST, 0, bench.clock.now)
     assert bench.node.may_send(OTHER_REQUEST, 1, bench.clock.now)
@@ -213,13 +213,13 @@
 ):
     """A common request runs wherever answers are lost."""
     bench = Bench()
-    bench.node.note_served(OTHER_REQUEST)
+    bench.node.record_served(OTHER_REQUEST)
     for number in range(5):
-        bench.node.note_broken(
+        bench.node.record_broken_attempt(
             make_replica(f'b{number}'),
             OTHER_REQUEST,
             has_begun=False,
-            is_over=False,
+            has_ended=False,
         )
     assert bench.node.may_send(OTHER_REQUEST, 1, bench.clock.now)
 
@@ -264,7 +264,10 @@
     assert not bench.node.may_send(requests[4], 0, bench.clock.now)
     bench.node._running.discard(running)
     await bench.break_attempts('b4', requests[0])
-    assert bench.node.find_release(requests[4], bench.clock.now) > HOLD_SECONDS
+    assert (
+        bench.node.get_hold_seconds(requests[4], bench.clock.now)
+        > HOLD_SECONDS
+    )
 
 
 @in_loop
@@ -279,7 +282,7 @@
         RequestTraits(Fingerprint(Trait(f'r{number}')), (first,))
         for number in range(4)
     ]
-    witness.note_served(requests[0])
+    witness.record_served(requests[0])
     for number in (1, 2, 3):
         await bench.break_attempts(f'b{number}', requests[number], node=1)
         bench.deliver_broadcasts()
@@ -321,7 +324,7 @@
     bench.deliver_broadcasts()
     caught = Fingerprint('caught')
     assert bench.node.history.count_crashes(caught) == 2
-    bench.nodes[1].note_served(RequestTraits(caught))
+    bench.nodes[1].record_served(RequestTraits(caught))
     bench.deliver_broadcasts()
     assert not bench.node.history.count_crashes(caught)
 
@@ -333,15 +336,19 @@
     bench = Bench(nodes=2)
     new_node = bench.nodes[1]
     frequent = Fingerprint('hot')
-    bench.node.note_served(RequestTraits(frequent))
+    bench.node.record_served(RequestTraits(frequent))
     for number in (1, 2, 3):
         await bench.crash(f'b{number}', 'hot', f'x{number}', node=1)
-    assert new_node.find_release(RequestTraits(frequent), bench.clock.now) > 0
+    assert (
+        new_node.get_hold_seconds(RequestTraits(frequent), bench.clock.now) > 0
+    )
     bench.deliver_broadcasts()
     for node, message in bench.node.recorder.sent:
         assert node == PEER
         new_node.on_received(PeerLinks.Received(NodeId('n1'), message))
-    assert not new_node.find_release(RequestTraits(frequent), bench.clock.now)
+    assert not new_node.get_hold_seconds(
+        RequestTraits(frequent), bench.clock.now
+    )
     # Requests that nobody has served are not cleared.
     assert len(bench.node.recorder.sent) == 3
 
@@ -351,7 +358,7 @@
     bench = Bench()
     await bench.crash('b1', 'caught')
     bench.node.recorder.broadcasts.clear()
-    bench.node.note_served(RequestTraits(Fingerprint('caught')))
+    bench.node.record_served(RequestTraits(Fingerprint('caught')))
     assert not bench.node.recorder.broadcasts
     assert not bench.node.history.count_crashes(Fingerprint('caught'))
 
@@ -372,7 +379,7 @@
 async def test_a_known_crash_needs_no_check() -> None:
     """The box list shows that the box has restarted under its name."""
     bench = Bench()
-    bench.node.note_broken(
-        make_replica('b1'), DEADLY_REQUEST, has_begun=False, is_over=True
+    bench.node.record_broken_attempt(
+        make_replica('b1'), DEADLY_REQUEST, has_begun=False, has_ended=True
     )
     assert bench.node.history.count_crashes(DEADLY) == 1
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -25,7 +25,7 @@
 from waywell.membership.links import PeerLinks
 from waywell.request.attempt import Attempt
 from waywell.request.decoded_request import AnswerMetadata
-from waywell.request.turn_source import MOST_MISSED
+from waywell.request.permit_source import MAX_PERMIT_DENIALS
 from waywell.version.fleet import BoxLife
 
 LIFE = BoxLife(BoxId('a'), Incarnation(1))
@@ -58,7 +58,7 @@
 
 
 def acquire(limiter: LoneRateLimiter) -> Any:
-    return asyncio.run(limiter.take_turn(LIFE, HALL, 0))
+    return asyncio.run(limiter.acquire_permit(LIFE, HALL, 0))
 
 
 def add_remote_issuers(limiter: LoneRateLimiter) -> None:
@@ -77,10 +77,10 @@
     limiter: LoneRateLimiter,
 ) -> None:
     now = limiter._clock.read()
-    limiter.note_answer(LIFE, HALL, 1.0, now - 0.1)
+    limiter.record_limit(LIFE, HALL, 1.0, now - 0.1)
     (report,) = limiter.noted.broadcasts
     assert report.limit == 1.0
-    limiter.note_answer(LIFE, HALL, 1.0, now - 0.1)
+    limiter.record_limit(LIFE, HALL, 1.0, now - 0.1)
     assert len(limiter.noted.broadcasts) == 1
     receive(limiter, make_report(0.5, 0.1, 0.0))
     assert limiter.get_limit(LIFE) == 0.5
@@ -91,9 +91,9 @@
     limiter: LoneRateLimiter,
 ) -> None:
     now = limiter._clock.read()
-    limiter.note_answer(LIFE, HALL, 1.0, now - 5.0)
+    limiter.record_limit(LIFE, HALL, 1.0, now - 5.0)
     limiter._clock.now += 1.0
-    limiter.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
+    limiter.record_limit(LIFE, HALL, NO_LIMIT, now + 0.5)
     receive(limiter, make_report(1.0, 4.0, 3.0))
     assert limiter.get_limit(LIFE) == NO_LIMIT
     ((node, report),) = limiter.noted.sent
@@ -104,9 +104,9 @@
 @pytest.mark.parametrize('gap', [-0.2, -0.01, 0.0, 0.01, 0.04, 0.06, 0.2])
 def test_nodes_with_different_limits_converge(gap: float) -> None:
     first, second = LoneRateLimiter(HeldClock()), LoneRateLimiter(HeldClock())
-    first.note_answer(LIFE, HALL, 1.0, first._clock.now - 0.1)
+    first.record_limit(LIFE, HALL, 1.0, first._clock.now - 0.1)
     second._clock.now += gap
-    second.note_answer(LIFE, HALL, 2.0, second._clock.now)
+    second.record_limit(LIFE, HALL, 2.0, second._clock.now)
     first._clock.now = second._clock.now = 101.0
     pairs = [(first, second), (second, first)]
     for sender, _receiver in pairs:
@@ -124,7 +124,7 @@
 def test_a_new_peer_gets_all_reports(
     limiter: LoneRateLimiter,
 ) -> None:
-    limiter.note_answer(LIFE, HALL, 1.0, 0.0)
+    limiter.record_limit(LIFE, HALL, 1.0, 0.0)
     limiter.on_opened(PeerLinks.Opened(make_record('other')))
     ((_node, known),) = limiter.noted.sent
     other = LoneRateLimiter(HeldClock())
@@ -134,7 +134,7 @@
 
 
 def test_a_permit_expires(limiter: LoneRateLimiter) -> None:
-    limiter.note_answer(LIFE, HALL, 1.0, 0.0)
+    limiter.record_limit(LIFE, HALL, 1.0, 0.0)
     permit = acquire(limiter)
     now = limiter._clock.read()
     assert limiter.may_send(LIFE, permit, now)
@@ -145,7 +145,7 @@
 def test_a_refused_node_waits_before_it_asks_again(
     limiter: LoneRateLimiter,
 ) -> None:
-    limiter.note_answer(LIFE, HALL, 0.2, 0.0)
+    limiter.record_limit(LIFE, HALL, 0.2, 0.0)
     while acquire(limiter) is not None:
         continue
     now = limiter._clock.read()
@@ -160,7 +160,7 @@
 def test_a_node_issues_no_permits_right_after_its_start() -> None:
     limiter = LoneRateLimiter(HeldClock())
     limiter._issues_from = limiter._clock.read() + STARTUP_SECONDS
-    limiter.note_answer(LIFE, HALL, 100.0, 0.0)
+    limiter.record_limit(LIFE, HALL, 100.0, 0.0)
     assert acquire(limiter) is None
     limiter._clock.now += STARTUP_SECONDS + 3.0
     limiter.refresh(limiter._clock.now)
@@ -184,7 +184,7 @@
 def test_a_silent_issuer_times_out_and_its_late_permit_is_used(
     limiter: LoneRateLimiter,
 ) -> None:
-    limiter.note_answer(LIFE, HALL, 1.0, 0.0)
+    limiter.record_limit(LIFE, HALL, 1.0, 0.0)
     add_remote_issuers(limiter)
     assert acquire(limiter) is None
     asked = [message for _node, message in limiter.noted.sent]
@@ -199,11 +199,11 @@
     limiter: LoneRateLimiter,
 ) -> None:
     now = limiter._clock.read()
-    limiter.note_answer(LIFE, HALL, 0.0, now)
+    limiter.record_limit(LIFE, HALL, 0.0, now)
     while acquire(limiter) is not None:
         continue
     limiter._clock.now += 1.0
-    limiter.note_answer(LIFE, HALL, NO_LIMIT, now + 0.5)
+    limiter.record_limit(LIFE, HALL, NO_LIMIT, now + 0.5)
     assert limiter.may_ask(LIFE, 0, limiter._clock.now)
     assert acquire(limiter) is not None
     assert limiter.count()['limited'] == 0
@@ -252,7 +252,7 @@
 ) -> None:
     now = limiter._clock.read()
     unlimited = BoxLife(BoxId('b'), Incarnation(1))
-    limiter.note_answer(LIFE, HALL, 1.0, now)
-    assert limiter.may_ask(LIFE, MOST_MISSED - 1, now)
-    assert not limiter.may_ask(LIFE, MOST_MISSED, now)
-    assert limiter.may_ask(unlimited, MOST_MISSED, now)
+    limiter.record_limit(LIFE, HALL, 1.0, now)
+    assert limiter.may_ask(LIFE, MAX_PERMIT_DENIALS - 1, now)
+    assert not limiter.may_ask(LIFE, MAX_PERMIT_DENIALS, now)
+    assert limiter.may_ask(unlimited, MAX_PERMIT_DENIALS, now)
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -19,14 +19,14 @@
 from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
 from waywell.ids import GroupId
 from waywell.process.actor import Actor
-from waywell.request.paths import LinkCheck, trust_links
+from waywell.request.paths import LinkCheck, assume_links_work
 from waywell.telemetry.events import log_event
 from waywell.version.fleet import ReplicaKey
 
 if TYPE_CHECKING:
     from waywell.membership.links import PeerLinks
     from waywell.process.clock import Clock
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
     from waywell.version.fleet import Replica
 
 REPEAT_INTERVAL = 0.8
@@ -89,11 +89,11 @@
     def __init__(
         self,
         links: PeerLinks,
-        book: ReplicaBook,
+        book: ReplicaTable,
         clock: Clock,
         listeners: DoubtListeners,
         call_later: Scheduler = _call_later,
-        verify: LinkCheck = trust_links,
+        verify: LinkCheck = assume_links_work,
     ) -> None:
         """Start without doubts."""
         super().__init__('doubts')
@@ -158,7 +158,7 @@
             believed=is_accepted,
         )
         if is_accepted:
-            self._book.note_failure(key, now)
+            self._book.record_failure(key, now)
         self._open_doubt(key, message.group, now)
 
     async def _raise_if_links_work(self, replica: Replica) -> None:
@@ -205,7 +205,7 @@
     def _close_doubt(self, key: ReplicaKey, group: GroupId) -> None:
         """Close a doubt and let the replica get requests again."""
         self._open_doubts.discard(key)
-        self._book.forgive(key)
+        self._book.retract_failure(key)
         self._listeners.on_resumed(group)
 
     def _is_new(self, key: ReplicaKey, now: float) -> bool:
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -31,7 +31,7 @@
     from waywell.knowledge.poll_intervals import PollIntervals
     from waywell.membership.gossip import Gossip
     from waywell.process.clock import Clock
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.replica_table import ReplicaTable
     from waywell.request.shared_loads import SharedLoads
 
 MAX_OPEN_ASKS = 32
@@ -106,7 +106,7 @@
         gossip: Gossip,
         cluster: ClusterView,
         clock: Clock,
-        book: ReplicaBook,
+        book: ReplicaTable,
         loads: SharedLoads,
         intervals: PollIntervals,
         read_after: float = 0.0,
@@ -234,7 +234,7 @@
         loads = Counter(self._book.list_loads())
         if self.is_reader():
             others = self._loads.list_nodes() - self._followers
-            loads.update(self._loads.add_up(others))
+            loads.update(self._loads.sum_loads(others))
         return _encode_loads(loads)
 
     def _ask(
@@ -326,12 +326,12 @@
             return
         if ask.hall == self._own_record.hall:
             self._followers.add(peer)
-        self._loads.take(peer, _decode_loads(ask.loads), now)
+        self._loads.update(peer, _decode_loads(ask.loads), now)
 
     def _list_loads_except(self, peer: NodeId) -> tuple[BoxLoad, ...]:
         """Return all known requests in flight except those a node reported."""
         loads = Counter(self._book.list_loads())
-        loads.update(self._loads.add_up((peer,)))
+        loads.update(self._loads.sum_loads((peer,)))
         return _encode_loads(loads)
 
     def _apply_answer(self, peer: NodeId, answer: FeedAnswer) -> None:
@@ -341,7 +341,7 @@
         self._apply_routes(peer, answer, open_ask.at)
         if peer == self._readers.own_reader:
             loads = _decode_loads(answer.loads)
-            self._loads.take(peer, loads, self._clock.read())
+            self._loads.update(peer, loads, self._clock.read())
         if open_ask.wants_boxes:
             self._apply_boxes(peer, answer, open_ask)
         else:
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -29,7 +29,11 @@
 from waywell.limits.reported_limits import LimitReport, ReportedLimits
 from waywell.membership.links import PeerLinks
 from waywell.process.actor import Actor, Message
-from waywell.request.turn_source import MOST_MISSED, Turn, TurnSource
+from waywell.request.permit_source import (
+    MAX_PERMIT_DENIALS,
+    Permit,
+    PermitSource,
+)
 from waywell.version.fleet import BoxLife
 
 if TYPE_CHECKING:
@@ -59,7 +63,7 @@
     expires_at: float
 
 
-class RateLimiter(Actor, TurnSource):
+class RateLimiter(Actor, PermitSource):
     """Broadcasts limits, issues permits and requests them from other nodes.
 
     Parameters
@@ -133,7 +137,7 @@
             for life in kept.keys() - limited.keys():
                 kept.pop(life)
 
-    def note_answer(
+    def record_limit(
         self,
         life: BoxLife,
         hall: HallName,
@@ -153,37 +157,37 @@
         """Return the limit of a box, in requests a second from all nodes."""
         return self.limits.get(life)
 
-    def may_ask(self, life: BoxLife, missed: int, now: float) -> bool:
-        """Return whether a box has no limit or may have a permit left."""
-        if missed >= MOST_MISSED and self.limits.is_limited(life):
+    def may_ask(self, life: BoxLife, denied: int, now: float) -> bool:
+        """Return whether a box has no limit, or may have a permit left."""
+        if denied >= MAX_PERMIT_DENIALS and self.limits.is_limited(life):
             return False
         return self._retry_at.get(life, 0.0) <= now
 
-    def list_open(
+    def filter_available(
         self,
         replicas: Sequence[Replica],
-        missed: int,
+        denied: int,
         now: float,
     ) -> Sequence[Replica]:
         """Return the replicas that may be asked for a permit."""
-        if not self._retry_at and not missed:
+        if not self._retry_at and not denied:
             return replicas
         return [
             replica
             for replica in replicas
-            if self.may_ask(replica.key.life, missed, now)
+            if self.may_ask(replica.key.life, denied, now)
         ]
 
-    async def take_turn(
+    async def acquire_permit(
         self,
         life: BoxLife,
         hall: HallName,
         rank: int,
-    ) -> Turn | None:
+    ) -> Permit | None:
         """Return a permit for a replica, or ``None`` if there is none now."""
         now = self._clock.read()
         if not self.limits.is_limited(life):
-            return Turn()
+            return Permit()
         held = self._take_held(life, now)
         if held is not None:
             return held
@@ -269,13 +273,13 @@
             self._is_refresh_due = True
             self.post(self.Changed())
 
-    def _take_held(self, life: BoxLife, now: float) -> Turn | None:
+    def _take_held(self, life: BoxLife, now: float) -> Permit | None:
         """Return one of the permits that this node holds, if any."""
         held = self._held.get(life)
         if held is None or now >= held.expires_at or not held.permits:
             return None
         held.permits -= 1
-        return Turn(held.expires_at)
+        return Permit(held.expires_at)
 
     def _hold(self, life: BoxLife, permits: int, expires_at: float) -> None:
         """Hold granted permits unless those already held expire later."""
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -32,7 +32,7 @@
     Hold,
 )
 from waywell.request.guard import RequestGuard
-from waywell.request.paths import LinkCheck, trust_links
+from waywell.request.paths import LinkCheck, assume_links_work
 from waywell.request.prompt_parts import count_requests, describe_trait
 from waywell.telemetry.events import log_detail, log_event, log_warning
 from waywell.version.fleet import ReplicaKey
@@ -103,7 +103,7 @@
         clock: Clock,
         is_reachable: Callable[[FleetBox], Awaitable[bool]],
         is_prober: Callable[[], bool],
-        verify: LinkCheck = trust_links,
+        verify: LinkCheck = assume_links_work,
     ) -> None:
         """Start without holds."""
         super().__init__('quarantine')
@@ -135,7 +135,7 @@
         """Call a watcher with each crashed replica, whichever node saw it."""
         self._crash_watchers.append(watcher)
 
-    def find_release(self, traits: RequestTraits, now: float) -> float:
+    def get_hold_seconds(self, traits: RequestTraits, now: float) -> float:
         """Return the seconds until a request may be sent; 0 if it may now."""
         known = self.history.holds
         holds = [known[trait] for trait in traits if trait in known]
@@ -157,17 +157,17 @@
         """
         return all(self._may_risk(trait, running, now) for trait in traits)
 
-    def note_broken(
+    def record_broken_attempt(
         self,
         replica: Replica,
         traits: RequestTraits,
         *,
         has_begun: bool,
-        is_over: bool,
+        has_ended: bool,
     ) -> None:
         """Record a broken attempt and check whether its replica has ended."""
         key = replica.key
-        if is_over:
+        if has_ended:
             self._report_crash(replica, dict.fromkeys(traits, has_begun))
             return
         is_pending = key in self._pending_checks
@@ -178,7 +178,7 @@
         if not is_pending:
             self.spawn(self._check_replica(replica))
 
-    def note_served(self, traits: RequestTraits) -> None:
+    def record_served(self, traits: RequestTraits) -> None:
         """Clear the traits of a request that was answered completely."""
         holds = self.history.holds
         for trait in traits:
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from waywell.connection.wire import RawHeaders
     from waywell.request.decoded_request import AnswerMetadata
-    from waywell.request.replica_book import ReplicaBook
+    from waywell.request.permit_source import Permit
+    from waywell.request.replica_table import ReplicaTable
     from waywell.request.request_context import (
         ForwarderDependencies,
         RequestContext,
     )
-    from waywell.request.turn_source import Turn
     from waywell.version.fleet import Replica, ReplicaKey
 
 
@@ -26,7 +26,7 @@
     key: ReplicaKey
     """Key under which ``book`` keeps records of the destination."""
 
-    book: ReplicaBook
+    book: ReplicaTable
     """This node's records of load, failures and silence."""
 
     replica: Replica | None = None
@@ -119,7 +119,7 @@
         self.book = dependencies.book
         self._dependencies = dependencies
         self._context = context
-        self._permit: Turn | None = None
+        self._permit: Permit | None = None
 
     def describe(self) -> dict[str, object]:
         """Return the fields that identify the destination in log lines."""
@@ -155,7 +155,7 @@
         bool
             Whether the request may be sent.
         """
-        self._permit = await self._dependencies.permits.take_turn(
+        self._permit = await self._dependencies.permits.acquire_permit(
             self.key.life, self.replica.head.hall, self._context.priority
         )
         if self._permit is None:
@@ -207,16 +207,16 @@
     ) -> None:
         """Apply the metadata of an answer, even if the attempt was dropped."""
         life = self.key.life
-        self._dependencies.backpressure.note(life, metadata, now)
+        self._dependencies.backpressure.record(life, metadata, now)
         if metadata.rate_limit is not None:
             hall = self.replica.head.hall
-            self._dependencies.permits.note_answer(
+            self._dependencies.permits.record_limit(
                 life, hall, metadata.rate_limit, sent_at
             )
 
     def on_failed(self, now: float) -> None:
         """Record that an attempt failed, was truncated or was rejected."""
-        self.book.note_failure(self.key, now)
+        self.book.record_failure(self.key, now)
 
     def on_silent(self) -> None:
         """Report that the destination sends nothing although it has work."""
@@ -224,11 +224,11 @@
 
     def on_broken(self, *, has_begun: bool, is_over: bool) -> None:
         """Report that an attempt failed after bytes were sent."""
-        self._dependencies.guard.note_broken(
+        self._dependencies.guard.record_broken_attempt(
             self.replica,
             self._context.traits,
             has_begun=has_begun,
-            is_over=is_over,
+            has_ended=is_over,
         )
 
     def on_misdirected(self) -> None:
@@ -236,9 +236,9 @@
         self._dependencies.cluster.exclude_replica(self.replica)
 
     def on_pause(self, seconds: float) -> None:
-        """Record the pause between two pieces of an answer, in seconds."""
-        self._dependencies.pauses.note(self.replica.model, seconds)
+        """Record the pause between two pieces of an answer in seconds."""
+        self._dependencies.pauses.record(self.replica.model, seconds)
 
     def on_first_piece(self, ratio: float) -> None:
         """Record the time to the first piece, divided by the expected time."""
-        self.book.note_first(self.key, ratio)
+        self.book.record_first_event(self.key, ratio)
--- a/waywell/request/forwarder.py
+++ b/waywell/request/forwarder.py
@@ -13,7 +13,7 @@
     RequestContext,
 )
 from waywell.request.request_execution import RequestExecution
-from waywell.request.return_advice import ReturnReason, advise_return
+from waywell.request.retry_after import RefusalReason, compute_retry_after
 from waywell.request.traits import RequestTraits
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
         self._check_node_end(context)
         if request.forwarded is None:
             # A forwarded request counts at the node that received it first.
-            self._dependencies.budget.note_request(
+            self._dependencies.budget.record_request(
                 context.service, context.arrived_at
             )
         await RequestExecution(self._dependencies, context, answer).run()
@@ -90,8 +90,8 @@
         if service is None:
             raise Refusal(
                 Code.NO_WHOLE_GROUP,
-                retry_after=advise_return(
-                    ReturnReason.NO_GROUP,
+                retry_after=compute_retry_after(
+                    RefusalReason.NO_GROUP,
                     route.timeout,
                     self._dependencies.draw(),
                 ),
--- a/waywell/request/request_attempts.py
+++ b/waywell/request/request_attempts.py
@@ -7,9 +7,9 @@
 from waywell.codes import Code, Refusal
 from waywell.request.attempt import Attempt, Inbox
 from waywell.request.destination import Destination, ReplicaDestination
-from waywell.request.hedge_timeouts import measure_hedge_timeouts
+from waywell.request.hedge_timeouts import compute_hedge_timeouts
 from waywell.request.peer_destination import PeerDestination
-from waywell.request.return_advice import ReturnReason
+from waywell.request.retry_after import RefusalReason
 from waywell.request.unroutable import Unroutable, explain_unroutable
 from waywell.telemetry.events import log_event
 
@@ -45,7 +45,7 @@
     ) -> None:
         """Compute the hedge timeouts without starting an attempt."""
         self.running: list[Attempt] = []
-        self.hedge_timeouts = measure_hedge_timeouts(
+        self.hedge_timeouts = compute_hedge_timeouts(
             context.route,
             context.engine,
             context.request,
@@ -120,7 +120,7 @@
             self.running.remove(attempt)
             self._dependencies.running.discard(attempt)
             destination = attempt.destination
-            destination.book.note_end(destination.key)
+            destination.book.record_end(destination.key)
             attempt.stop()
 
     def drop_others(self, attempt: Attempt) -> None:
@@ -179,7 +179,7 @@
             destination = attempt.destination
             book, key = destination.book, destination.key
             if book.is_silent(key, self.hedge_timeouts.gap, now):
-                book.note_failure(key, now)
+                book.record_failure(key, now)
                 destination.on_silent()
                 self.log('silent', attempt, now)
 
@@ -233,12 +233,12 @@
             self._is_partitioned()
             and self._context.request.forwarded is not None
         ):
-            return Unroutable(Code.NODE_PARTITIONED, ReturnReason.NO_GROUP)
+            return Unroutable(Code.NODE_PARTITIONED, RefusalReason.NO_GROUP)
         backpressure = self._dependencies.backpressure
         replicas = self._list_replicas()
-        open_replicas = backpressure.list_open(replicas, now)
+        open_replicas = backpressure.filter_available(replicas, now)
         return explain_unroutable(
-            backpressure.find_release(
+            backpressure.get_shortest_rest(
                 [replica.key.life for replica in replicas], now
             ),
             self._dependencies.permits.find_wait(
@@ -263,9 +263,9 @@
         if not record.in_flight:
             # Silence is measured only while the replica has work.
             record.heard_at = now
-        destination.book.note_start(destination.key)
+        destination.book.record_start(destination.key)
         attempt.start(lambda: self._may_send(attempt), now)
-        rests = round(max(0.0, record.rests_until - now), 3)
+        rests = round(max(0.0, record.backoff_until - now), 3)
         self.log(
             'attempt',
             attempt,
@@ -312,12 +312,12 @@
     def _choose_replica(self, now: float) -> ReplicaDestination | None:
         # Replicas that asked for a pause or have no permit are excluded even
         # if no other replica is left.
-        replicas = self._dependencies.backpressure.list_open(
+        replicas = self._dependencies.backpressure.filter_available(
             self._list_replicas(), now
         )
         missed = self._context.permits_missed
         replica = self._dependencies.chooser.choose(
-            self._dependencies.permits.list_open(replicas, missed, now),
+            self._dependencies.permits.filter_available(replicas, missed, now),
             self._context.tried,
             self._dependencies.book,
             now,
@@ -342,7 +342,7 @@
         now = self._dependencies.clock.read()
         if now >= context.deadline_at:
             return False
-        if self._dependencies.guard.find_release(context.traits, now):
+        if self._dependencies.guard.get_hold_seconds(context.traits, now):
             return False
         if not attempt.destination.may_send(now):
             return False
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -17,13 +17,13 @@
 from waywell.request.decoded_request import DecodedRequest
 from waywell.request.guard import RequestGuard
 from waywell.request.paths import DirectPaths, ReplicaPaths
-from waywell.request.pauses import PauseGauge
-from waywell.request.placement import Chooser
-from waywell.request.replica_book import ReplicaBook
+from waywell.request.pauses import PauseEstimator
+from waywell.request.permit_source import PermitSource
+from waywell.request.placement import ReplicaChooser
+from waywell.request.replica_table import ReplicaTable
 from waywell.request.resend_budget import ResendBudget
 from waywell.request.running_attempts import RunningAttempts
 from waywell.request.traits import RequestTraits
-from waywell.request.turn_source import TurnSource
 from waywell.telemetry.request_metrics import RequestMetrics
 from waywell.version.fleet import Replica, ReplicaKey
 from waywell.version.routes import Engine, KeyHolder, Route
@@ -67,10 +67,10 @@
     wire: Wire
     """Encodes requests for replicas and decodes their answers."""
 
-    chooser: Chooser
+    chooser: ReplicaChooser
     """Selects the replica for an attempt."""
 
-    book: ReplicaBook
+    book: ReplicaTable
     """This node's records of load, failures and silence of replicas."""
 
     budget: ResendBudget
@@ -94,19 +94,19 @@
     guard: RequestGuard
     """Holds back requests that crash replicas."""
 
-    permits: TurnSource
+    permits: PermitSource
     """Grants permits under the rate limits of replicas."""
 
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
     """State of this node's links to replicas, and peers that can forward."""
 
-    peer_book: ReplicaBook = attrs.Factory(ReplicaBook)
+    peer_book: ReplicaTable = attrs.Factory(ReplicaTable)
     """This node's records of the peers that forward requests."""
 
     node: str = ''
     """Name of this node, sent along with requests that peers forward."""
 
-    pauses: PauseGauge = attrs.Factory(PauseGauge)
+    pauses: PauseEstimator = attrs.Factory(PauseEstimator)
     """Estimates the usual pause between events, by model."""
 
     running: RunningAttempts = attrs.Factory(RunningAttempts)
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -10,7 +10,7 @@
 from waywell.process.actor import get_handler_name
 from waywell.request.attempt import Attempt, Inbox
 from waywell.request.request_attempts import RequestAttempts
-from waywell.request.return_advice import advise_return
+from waywell.request.retry_after import compute_retry_after
 from waywell.telemetry.events import log_event
 from waywell.version.routes import RouteKind
 
@@ -88,7 +88,7 @@
             return
         now = self._dependencies.clock.read()
         self._record_pause(attempt, now)
-        attempt.destination.book.note_event(attempt.destination.key, now)
+        attempt.destination.book.record_event(attempt.destination.key, now)
         if not self._is_next(piece):
             # Another attempt is ahead of this one, or it skipped an event.
             await self._fail(attempt, now, f'event_{piece.event.number}')
@@ -117,7 +117,7 @@
             # Its body can't continue the answer that was begun.
             await self._fail(attempt, now, f'status_{head.status}')
             return
-        attempt.destination.book.note_heard(attempt.destination.key, now)
+        attempt.destination.book.record_message(attempt.destination.key, now)
         if head.status >= MIN_SERVER_ERROR:
             attempt.destination.on_failed(now)
             if await self._retry(attempt, now, f'status_{head.status}'):
@@ -144,12 +144,12 @@
         self._answer.finish()
         status = attempt.head.status
         if status < MIN_SERVER_ERROR:
-            cleared = self._context.traits.list_cleared(status)
-            self._dependencies.guard.note_served(cleared)
+            cleared = self._context.traits.select_cleared(status)
+            self._dependencies.guard.record_served(cleared)
         self._attempts.log(
             'answered', attempt, now, status=status, **end.outcome.describe()
         )
-        self._dependencies.answer_times.note(self._context, now)
+        self._dependencies.answer_times.record(self._context, now)
         self._dependencies.metrics.time_answer(
             self._context.service, self._get_age()
         )
@@ -173,7 +173,7 @@
             return
         if fault.fault is SendFault.NOT_SENT:
             destination = attempt.destination
-            destination.book.note_failure(destination.key, now)
+            destination.book.record_failure(destination.key, now)
         self._attempts.log('not_sent', attempt, now, fault=fault.fault.value)
         self._attempts.drop(attempt)
         if self._attempts.running:
@@ -275,7 +275,7 @@
             self._context.sends -= destination.count_sends()
         is_fit = refusal.code not in _UNFIT_PEER_CODES
         if not is_fit:
-            destination.book.note_failure(destination.key, now)
+            destination.book.record_failure(destination.key, now)
         self._attempts.drop(attempt)
         if self._attempts.running:
             return
@@ -392,11 +392,11 @@
         """Return after how many seconds the caller should retry."""
         unroutable = self._attempts.explain_unroutable(now)
         seconds_left = self._context.deadline_at - now
-        return advise_return(
+        return compute_retry_after(
             unroutable.reason,
             seconds_left,
             self._dependencies.draw(),
-            unroutable.rest,
+            unroutable.wait,
         )
 
 
