--- a/tests/holder.py
+++ b/tests/holder.py
@@ -194,12 +194,12 @@
 
     def report_group_heard(self, group: str) -> None:
         """Report to the holder that a doubted group is heard again."""
-        self.duty.post(FormingDuty.Heard(GroupId(group)))
+        self.duty.post(FormingDuty.DoubtCleared(GroupId(group)))
         self.run_tasks()
 
     def ask(self, name: str) -> None:
         """Let the holder ask a box for its report."""
-        self.loop.call_soon(self.duty._survey.ask, self._entries[name])
+        self.loop.call_soon(self.duty._monitor.probe, self._entries[name])
         self.run_tasks()
 
     def find_head(self, group: str) -> str:
@@ -214,7 +214,7 @@
 
     def report_doubt(self, group: str) -> None:
         """Report to the holder that a node hears nothing from a group."""
-        self.duty.post(FormingDuty.Doubted(GroupId(group)))
+        self.duty.post(FormingDuty.GroupDoubted(GroupId(group)))
         self.run_tasks()
 
     def carry_out(self, order: InFlightOrder) -> None:
--- a/tests/lone_quarantine.py
+++ b/tests/lone_quarantine.py
@@ -29,11 +29,11 @@
         """Answer that no stream stands."""
         return False
 
-    def spread(self, word: Any) -> None:
+    def broadcast(self, word: Any) -> None:
         """Note a word to all."""
         self.spread_words.append(word)
 
-    def pass_on(self, word: Any, _source: NodeId) -> None:
+    def forward(self, word: Any, _source: NodeId) -> None:
         """Note a word that is passed on."""
         self.passed.append(word)
 
--- a/tests/test_box_questions.py
+++ b/tests/test_box_probe.py
@@ -10,8 +10,8 @@
 from tests.boxes import make_box
 from tests.loops import in_loop
 from waywell.connection.box_orders import BoxOrders
-from waywell.duties import box_questions
-from waywell.duties.box_questions import ask_box
+from waywell.duties import box_probe
+from waywell.duties.box_probe import probe_box
 from waywell.version.box_report import BoxReport
 from waywell.version.orders import Assignment, OrderResult
 
@@ -47,16 +47,16 @@
 
 @pytest.fixture(autouse=True)
 def _no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(box_questions, 'ASK_BESIDE_SECONDS', 0.005)
+    monkeypatch.setattr(box_probe, 'SECOND_PROBE_DELAY_SECONDS', 0.005)
 
 
 @in_loop
 async def test_a_box_that_answers_is_asked_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(box_questions, 'ASK_BESIDE_SECONDS', 30.0)
+    monkeypatch.setattr(box_probe, 'SECOND_PROBE_DELAY_SECONDS', 30.0)
     orders = _Orders()
-    asking = asyncio.ensure_future(ask_box(orders, BOX))
+    asking = asyncio.ensure_future(probe_box(orders, BOX))
     await orders.wait_asked(1)
     orders.answers[0].set_result(BoxReport(orders_begun=4))
     assert await asking == BoxReport(orders_begun=4)
@@ -66,7 +66,7 @@
 @in_loop
 async def test_a_lost_question_costs_no_box() -> None:
     orders = _Orders()
-    asking = asyncio.ensure_future(ask_box(orders, BOX))
+    asking = asyncio.ensure_future(probe_box(orders, BOX))
     await orders.wait_asked(2)
     orders.answers[1].set_result(BoxReport(orders_begun=5))
     assert await asking == BoxReport(orders_begun=5)
@@ -77,7 +77,7 @@
 @in_loop
 async def test_a_box_is_silent_when_both_questions_are() -> None:
     orders = _Orders()
-    asking = asyncio.ensure_future(ask_box(orders, BOX))
+    asking = asyncio.ensure_future(probe_box(orders, BOX))
     await orders.wait_asked(2)
     orders.answers[0].set_result(None)
     await asyncio.sleep(0)
@@ -90,9 +90,9 @@
 async def test_a_question_that_fails_at_once_is_asked_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(box_questions, 'ASK_BESIDE_SECONDS', 30.0)
+    monkeypatch.setattr(box_probe, 'SECOND_PROBE_DELAY_SECONDS', 30.0)
     orders = _Orders()
-    asking = asyncio.ensure_future(ask_box(orders, BOX))
+    asking = asyncio.ensure_future(probe_box(orders, BOX))
     await orders.wait_asked(1)
     orders.answers[0].set_result(None)
     await orders.wait_asked(2)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -18,7 +18,7 @@
 from tests.house import KEY
 from waywell.codes import Refusal
 from waywell.daemon import make_loop
-from waywell.duties.lease import HOLDER_SHARE, LeaseRecord, LeaseState
+from waywell.duties.lease import TRUSTED_TERM_FRACTION, LeaseRecord, LeaseState
 from waywell.ids import AccountName, Incarnation, NodeId
 from waywell.knowledge.outlook import Outlook
 from waywell.process.clock import SystemClock
@@ -66,10 +66,10 @@
     clock = SystemClock()
     lease = LeaseState(NodeId('n1'), Incarnation(1), ASLEEP / 2)
     record = LeaseRecord(NodeId('n1'), Incarnation(1), 1)
-    lease.confirm(record, clock.read(), clock.read())
+    lease.confirm_write(record, clock.read(), clock.read())
     assert lease.is_held(clock.read())
     suspend()
-    assert HOLDER_SHARE < 1
+    assert TRUSTED_TERM_FRACTION < 1
     assert not lease.is_held(clock.read())
 
 
--- a/tests/test_crashing_loads.py
+++ b/tests/test_crashing_loads.py
@@ -252,6 +252,6 @@
     weights.holder.demand = {HEALTHY: 30.0, CRASHING: 30.0}
     weights.run(QUIET_SECONDS)
     duty = weights.holder.duty
-    weights.holder.loop.run_until_complete(duty.take_up())
-    duty.lay_down()
+    weights.holder.loop.run_until_complete(duty.start_work())
+    duty.stop_work()
     assert duty.loads.count_crashes()[f'llm/{CRASHING}'] >= CRASH_LIMIT
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -34,11 +34,11 @@
     def subscribe(self, *_words: object) -> None:
         """Take no subscriber."""
 
-    def spread(self, word: object, skip: NodeId | None = None) -> None:
+    def broadcast(self, word: object, skip: NodeId | None = None) -> None:
         self.words.append(word)
         self.spread_to.append(skip)
 
-    def pass_on(self, word: object, source: NodeId) -> None:
+    def forward(self, word: object, source: NodeId) -> None:
         self.words.append(word)
         self.spread_to.append(source)
 
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -65,7 +65,7 @@
         super().__init__('forming', store, LoneGossip(), clock, TERM)
         self.taken: list[int] = []
 
-    async def take_up(self) -> None:
+    async def start_work(self) -> None:
         self.taken.append(self.lease.state.epoch)
 
 
@@ -132,7 +132,7 @@
         await other.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
         assert not other.is_held()
-        await duty.retire()
+        await duty.release()
         assert not duty.is_held()
         await other.on_lease_tick(Duty.LeaseTick())
         assert other.is_held()
@@ -182,7 +182,7 @@
         store, clock = _Store(), HeldClock()
         store.stored = Stored('lease', 'forming', 4, 'x')
         duty = _NotedDuty(store, clock)
-        duty.find_least_epoch = lambda: 17  # type: ignore[method-assign]
+        duty.find_minimum_epoch = lambda: 17  # type: ignore[method-assign]
         await duty.on_lease_tick(Duty.LeaseTick())
         clock.now += TERM + 0.1
         await duty.on_lease_tick(Duty.LeaseTick())
--- a/tests/test_forming_machine.py
+++ b/tests/test_forming_machine.py
@@ -271,7 +271,7 @@
         box = self.holder.find_entry(self._pick(choice).name)
         if box is not None:
             report = BoxReport(pace)
-            self.holder.duty.post(FormingDuty.Probed(box, report))
+            self.holder.duty.post(FormingDuty.BoxProbed(box, report))
             self.holder.run_tasks()
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -31,12 +31,12 @@
 
     list_dialled = list_peers
 
-    def spread(self, _message: Any) -> None:
+    def broadcast(self, _message: Any) -> None:
         """Send nothing."""
 
-    send = keep_dialled = spread
+    send = close_dialled_except = broadcast
 
-    def drop(self, node: NodeId) -> None:
+    def disconnect(self, node: NodeId) -> None:
         self.dropped.append(node)
         self.peers.discard(node)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from waywell.duties.lease import LeaseMove, LeaseRecord, LeaseState
+from waywell.duties.lease import LeaseAction, LeaseRecord, LeaseState
 from waywell.ids import Incarnation, NodeId
 
 TERM = 6.0
@@ -17,25 +17,25 @@
 
 def test_absent_lease_is_taken_and_renewed() -> None:
     state = make_state('a')
-    assert state.choose_move(0) is LeaseMove.TAKE
-    record = state.make_next(LeaseMove.TAKE, 'op')
-    state.confirm(record, 0, 0.1)
+    assert state.choose_action(0) is LeaseAction.ACQUIRE
+    record = state.make_next_record(LeaseAction.ACQUIRE, 'op')
+    state.confirm_write(record, 0, 0.1)
     assert state.is_held(1)
-    assert state.choose_move(1) is LeaseMove.WAIT
-    assert state.choose_move(2) is LeaseMove.RENEW
-    renewed = state.make_next(LeaseMove.RENEW, 'op2')
+    assert state.choose_action(1) is LeaseAction.WAIT
+    assert state.choose_action(2) is LeaseAction.RENEW
+    renewed = state.make_next_record(LeaseAction.RENEW, 'op2')
     assert (renewed.epoch, renewed.beat) == (1, 1)
 
 
 def test_holder_stops_trusting_before_others_take_over() -> None:
     holder, other = make_state('a'), make_state('b')
-    record = holder.make_next(LeaseMove.TAKE, 'op')
-    holder.confirm(record, sent_at=0, now=1)
+    record = holder.make_next_record(LeaseAction.ACQUIRE, 'op')
+    holder.confirm_write(record, sent_at=0, now=1)
     other.observe(record, 0.5)
     assert not holder.is_held(TERM)
-    assert other.choose_move(TERM) is LeaseMove.WAIT
-    assert other.choose_move(TERM + 1) is LeaseMove.TAKE
-    assert other.make_next(LeaseMove.TAKE, 'x').epoch == 2
+    assert other.choose_action(TERM) is LeaseAction.WAIT
+    assert other.choose_action(TERM + 1) is LeaseAction.ACQUIRE
+    assert other.make_next_record(LeaseAction.ACQUIRE, 'x').epoch == 2
 
 
 def test_same_name_of_an_earlier_run_is_another_holder() -> None:
@@ -43,35 +43,39 @@
     earlier = LeaseRecord(NodeId('a'), Incarnation(0), 4)
     state.observe(earlier, 0)
     assert not state.is_held(1)
-    assert state.choose_move(1) is LeaseMove.TAKE
-    assert state.make_next(LeaseMove.TAKE, 'op').epoch == 5
+    assert state.choose_action(1) is LeaseAction.ACQUIRE
+    assert state.make_next_record(LeaseAction.ACQUIRE, 'op').epoch == 5
 
 
 def test_a_lease_of_another_node_is_waited_for_whatever_its_run() -> None:
     state = make_state('b')
     state.observe(LeaseRecord(NodeId('a'), Incarnation(7), 4), 0)
-    assert state.choose_move(1) is LeaseMove.WAIT
+    assert state.choose_action(1) is LeaseAction.WAIT
     # The clock was set back before the next run of that node began.
     state.observe(LeaseRecord(NodeId('a'), Incarnation(6), 5), 1)
-    assert state.choose_move(TERM + 0.5) is LeaseMove.WAIT
+    assert state.choose_action(TERM + 0.5) is LeaseAction.WAIT
 
 
 def test_a_lease_that_lapsed_is_taken_anew_with_the_next_epoch() -> None:
     state = make_state('a')
-    state.confirm(state.make_next(LeaseMove.TAKE, 'op'), 0, 0)
+    state.confirm_write(
+        state.make_next_record(LeaseAction.ACQUIRE, 'op'), 0, 0
+    )
     assert not state.is_held(TERM)
-    assert state.choose_move(TERM) is LeaseMove.TAKE
-    record = state.make_next(LeaseMove.TAKE, 'again')
+    assert state.choose_action(TERM) is LeaseAction.ACQUIRE
+    record = state.make_next_record(LeaseAction.ACQUIRE, 'again')
     assert (record.epoch, record.beat) == (2, 0)
 
 
 def test_a_renewal_that_is_known_too_late_brings_no_term_back() -> None:
     state = make_state('a')
-    state.confirm(state.make_next(LeaseMove.TAKE, 'op'), 0, 0)
-    renewed = state.make_next(LeaseMove.RENEW, 'late')
-    state.confirm(renewed, sent_at=4, now=6)
+    state.confirm_write(
+        state.make_next_record(LeaseAction.ACQUIRE, 'op'), 0, 0
+    )
+    renewed = state.make_next_record(LeaseAction.RENEW, 'late')
+    state.confirm_write(renewed, sent_at=4, now=6)
     assert not state.is_held(6)
-    assert state.choose_move(6) is LeaseMove.TAKE
+    assert state.choose_action(6) is LeaseAction.ACQUIRE
 
 
 class LeaseMachine(RuleBasedStateMachine):
@@ -114,14 +118,14 @@
     )
     def act(self, which: int, outcome: str) -> None:
         state = self.states[which]
-        move = state.choose_move(self.now)
-        if move is LeaseMove.WAIT or self.seen[which] != self.version:
+        move = state.choose_action(self.now)
+        if move is LeaseAction.WAIT or self.seen[which] != self.version:
             return
-        record = state.make_next(move, f'{which}-{self.now}')
+        record = state.make_next_record(move, f'{which}-{self.now}')
         self.stored = record
         self.version += 1
         if outcome == 'answered':
-            state.confirm(record, self.now, self.now)
+            state.confirm_write(record, self.now, self.now)
             self.seen[which] = self.version
         elif outcome in {'late', 'settled'}:
             self.late.append((which, record, self.now))
@@ -131,7 +135,7 @@
         if self.late:
             which, record, sent_at = self.late.pop(0)
             if self.stored == record:
-                self.states[which].confirm(record, sent_at, self.now)
+                self.states[which].confirm_write(record, sent_at, self.now)
                 self.seen[which] = self.version
 
     @invariant()
--- a/tests/test_lease_eras.py
+++ b/tests/test_lease_eras.py
@@ -23,8 +23,8 @@
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.duties.duty import Duty
 from waywell.duties.lease import (
-    LOST_EPOCHS,
-    LeaseMove,
+    EPOCHS_SKIPPED_PER_ERA,
+    LeaseAction,
     LeaseRecord,
     LeaseState,
 )
@@ -60,32 +60,35 @@
 ) -> None:
     state = make_state('b')
     state.observe(record, 10.0, PRESENT)
-    assert state.choose_move(10.0 + TERM) is LeaseMove.WAIT
-    assert state.choose_move(10.1 + TERM) is LeaseMove.TAKE
-    least = (PRESENT - 1) * LOST_EPOCHS
-    epoch = state.make_next(LeaseMove.TAKE, 'op').epoch
-    assert epoch == least + (LOST_EPOCHS if record else 1)
+    assert state.choose_action(10.0 + TERM) is LeaseAction.WAIT
+    assert state.choose_action(10.1 + TERM) is LeaseAction.ACQUIRE
+    least = (PRESENT - 1) * EPOCHS_SKIPPED_PER_ERA
+    epoch = state.make_next_record(LeaseAction.ACQUIRE, 'op').epoch
+    assert epoch == least + (EPOCHS_SKIPPED_PER_ERA if record else 1)
 
 
 def test_a_lease_that_was_given_back_in_this_era_is_taken_at_once() -> None:
     state = make_state('b')
     state.observe(make_record('', PRESENT), 10.0, PRESENT)
-    assert state.choose_move(10.0) is LeaseMove.TAKE
-    assert state.make_next(LeaseMove.TAKE, 'op').epoch > 4
+    assert state.choose_action(10.0) is LeaseAction.ACQUIRE
+    assert state.make_next_record(LeaseAction.ACQUIRE, 'op').epoch > 4
 
 
 def test_epochs_rise_over_those_of_a_long_era() -> None:
     state = make_state('b')
     long_used = msgspec.structs.replace(make_record('a', FORMER), epoch=7000)
     state.observe(long_used, 10.0, PRESENT)
-    assert state.make_next(LeaseMove.TAKE, 'op').epoch == 7000 + LOST_EPOCHS
+    assert (
+        state.make_next_record(LeaseAction.ACQUIRE, 'op').epoch
+        == 7000 + EPOCHS_SKIPPED_PER_ERA
+    )
 
 
 def test_nothing_is_waited_for_at_the_first_start() -> None:
     state = make_state('b')
     state.is_first_start = True
     state.observe(None, 10.0, PRESENT)
-    assert state.choose_move(10.0) is LeaseMove.TAKE
+    assert state.choose_action(10.0) is LeaseAction.ACQUIRE
 
 
 def test_the_term_is_waited_for_again_where_the_store_goes_back_twice() -> (
@@ -94,8 +97,8 @@
     state = make_state('b')
     state.observe(None, 10.0, FORMER)
     state.observe(None, 10.0 + TERM / 2, PRESENT)
-    assert state.choose_move(10.1 + TERM) is LeaseMove.WAIT
-    assert state.choose_move(10.1 + TERM * 1.5) is LeaseMove.TAKE
+    assert state.choose_action(10.1 + TERM) is LeaseAction.WAIT
+    assert state.choose_action(10.1 + TERM * 1.5) is LeaseAction.ACQUIRE
 
 
 def test_a_record_that_was_seen_before_is_waited_for_anew() -> None:
@@ -103,28 +106,28 @@
     state = make_state('b')
     state.observe(make_record('a', FORMER), 10.0, FORMER)
     state.observe(make_record('a', FORMER), 10.0 + TERM, PRESENT)
-    assert state.choose_move(10.1 + TERM) is LeaseMove.WAIT
+    assert state.choose_action(10.1 + TERM) is LeaseAction.WAIT
 
 
 def test_a_holder_renews_in_a_new_era_and_keeps_its_term() -> None:
     state = make_state('a')
     state.observe(None, 10.0, FORMER)
-    record = state.make_next(LeaseMove.TAKE, 'op')
-    state.confirm(record, 17.0, 17.0)
+    record = state.make_next_record(LeaseAction.ACQUIRE, 'op')
+    state.confirm_write(record, 17.0, 17.0)
     state.observe(record, 17.1, PRESENT)
     assert state.is_held(17.1)
-    assert state.choose_move(17.1) is LeaseMove.RENEW
-    renewed = state.make_next(LeaseMove.RENEW, 'op2')
+    assert state.choose_action(17.1) is LeaseAction.RENEW
+    renewed = state.make_next_record(LeaseAction.RENEW, 'op2')
     assert (renewed.era, renewed.epoch) == (PRESENT, record.epoch)
 
 
 def test_no_term_goes_on_under_the_epoch_of_an_earlier_one() -> None:
     state = make_state('a')
     state.observe(make_record('', FORMER), 10.0, FORMER)
-    first = state.make_next(LeaseMove.TAKE, 'op')
-    state.confirm(first, 10.0, 10.0)
-    second = state.make_next(LeaseMove.TAKE, 'op2')
-    state.confirm(second, 17.0, 17.0)
+    first = state.make_next_record(LeaseAction.ACQUIRE, 'op')
+    state.confirm_write(first, 10.0, 10.0)
+    second = state.make_next_record(LeaseAction.ACQUIRE, 'op2')
+    state.confirm_write(second, 17.0, 17.0)
     state.observe(first, 17.1, PRESENT)
     assert not state.is_held(17.1)
 
@@ -299,11 +302,11 @@
     def send(self, which: int) -> None:
         """Send what the last look leads to; it may come at any time."""
         state, (era, revision) = self.states[which], self.seen[which]
-        move = state.choose_move(self.now)
-        if era and move is not LeaseMove.WAIT:
+        move = state.choose_action(self.now)
+        if era and move is not LeaseAction.WAIT:
             run = self.runs[which]
             operation = f'op-{len(self.sent)}'
-            record = state.make_next(move, operation)
+            record = state.make_next_record(move, operation)
             self.sent[operation] = (which, run, self.now)
             self.writes.append(_Write(which, run, record, revision, self.now))
 
@@ -329,7 +332,9 @@
         is_running = self.runs[which] == write.run
         # An answer of another era than the write's confirms nothing.
         if is_answered and is_running and write.record.era == self.era:
-            self.states[which].confirm(write.record, write.sent_at, self.now)
+            self.states[which].confirm_write(
+                write.record, write.sent_at, self.now
+            )
             self.seen[which] = (self.era, self.counter)
 
     @rule(which=st.integers(0, 2))
@@ -341,7 +346,7 @@
             return
         sender, run, sent_at = self.sent[record.operation]
         if (sender, run) == (which, self.runs[which]):
-            self.states[which].confirm(record, sent_at, self.now)
+            self.states[which].confirm_write(record, sent_at, self.now)
 
     @invariant()
     def at_most_one_holder(self) -> None:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -97,7 +97,7 @@
     bench = Bench()
     dialled = [bench.open(name, dialled=True) for name in 'bc']
     accepted = bench.open('d')
-    bench.links.pass_on(BEAT, NodeId('b'))
+    bench.links.forward(BEAT, NodeId('b'))
     assert [stream.count_beats() for stream in dialled] == [0, 1]
     assert accepted.count_beats() == 0
 
@@ -110,8 +110,8 @@
     await asyncio.sleep(0.001)
     alive = bench.open('b')
     bench.links.send(NodeId('b'), BEAT)
-    bench.links.spread(BEAT)
-    bench.links.spread(BEAT, skip=NodeId('c'))
+    bench.links.broadcast(BEAT)
+    bench.links.broadcast(BEAT, skip=NodeId('c'))
     assert alive.count_beats() == 3
     assert other.count_beats() == 1
     assert [stream.count_beats() for stream in dead] == [0, 0, 0]
@@ -148,7 +148,7 @@
 async def test_stream_whose_peer_says_nothing_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr('waywell.membership.links.HELLO_SECONDS', 0)
+    monkeypatch.setattr('waywell.membership.links.HELLO_TIMEOUT_SECONDS', 0)
     bench = Bench()
     stream = HeldStream(bench.links.make_listener())
     stream.listener.on_open(stream)
@@ -161,7 +161,7 @@
     bench = Bench()
     stream = bench.open('b', dialled=True)
     bench.take_words()
-    bench.links.keep_dialled(set())
+    bench.links.close_dialled_except(set())
     assert stream.is_closed
     assert bench.links.list_peers() == set()
     assert bench.take_words() == [PeerLinks.Unreachable(NodeId('b'))]
@@ -183,6 +183,6 @@
 async def test_lost_peer_has_its_streams_closed() -> None:
     bench = Bench()
     streams = [bench.open('b'), bench.open('b')]
-    bench.links.drop(NodeId('b'))
+    bench.links.disconnect(NodeId('b'))
     assert [stream.is_closed for stream in streams] == [True, True]
     assert bench.links.list_peers() == set()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,12 +9,12 @@
 
 from waywell.ids import HallName, Incarnation, NodeId
 from waywell.membership.membership import (
-    CALLERS,
+    EXPECTED_DIALERS,
     MembershipTable,
     NodeRecord,
     NodeState,
-    may_call,
-    rank_contenders,
+    may_dial,
+    rank_candidates,
 )
 
 NAMES = ('a', 'b', 'c', 'd')
@@ -173,15 +173,15 @@
         msgspec.structs.replace(one, cores=2.15 if one.node in large else 0.52)
         for one in records
     ]
-    first = rank_contenders(records, 'duty', 3)
+    first = rank_candidates(records, 'duty', 3)
     assert set(first[:2]) == large
-    assert rank_contenders(reversed(records), 'duty', 3) == first
+    assert rank_candidates(reversed(records), 'duty', 3) == first
 
 
 def test_contenders_are_few_and_the_same_everywhere() -> None:
     records = [make_record(f'n{number}') for number in range(30)]
-    first = rank_contenders(records, 'duty', 3)
-    assert rank_contenders(reversed(records), 'duty', 3) == first
+    first = rank_candidates(records, 'duty', 3)
+    assert rank_candidates(reversed(records), 'duty', 3) == first
     assert len(first) == 3
 
 
@@ -217,7 +217,7 @@
     @rule(name=st.sampled_from(NAMES), leave=st.booleans())
     def change(self, name: str, leave: bool) -> None:
         state = NodeState.LEAVING if leave else None
-        self.tables[name].change_own(state=state, roster=int(self.now))
+        self.tables[name].update_own(state=state, roster=int(self.now))
 
     @rule(name=st.sampled_from(NAMES))
     def restart(self, name: str) -> None:
@@ -249,5 +249,5 @@
 @pytest.mark.parametrize('live', [1, 5, 90, 350])
 def test_a_lost_node_is_called_by_few_however_many_know(live: int) -> None:
     draws = [(number + 0.5) / live for number in range(live)]
-    callers = sum(may_call(live, draw) for draw in draws)
-    assert callers == min(live, CALLERS)
+    callers = sum(may_dial(live, draw) for draw in draws)
+    assert callers == min(live, EXPECTED_DIALERS)
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -66,10 +66,10 @@
     def keep_streams(self, *_words: object) -> None:
         """Open no stream."""
 
-    def post(self, message: Gossip.Advance) -> None:
+    def post(self, message: Gossip.OwnRecordChange) -> None:
         assert message.lost_services is not None
         self.told.append(message.lost_services)
-        self.table.change_own(lost_services=message.lost_services)
+        self.table.update_own(lost_services=message.lost_services)
 
 
 class _Links:
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -54,8 +54,8 @@
     A call without an answer may be carried out seconds later; the new run had
     taken its object for written and never looked again.  Found by reading.
     """
-    monkeypatch.setattr(presence_module, 'JOIN_SECONDS', 0)
-    monkeypatch.setattr(presence_module, 'LOOK_AGAIN_SECONDS', 0)
+    monkeypatch.setattr(presence_module, 'JOIN_INTERVAL_SECONDS', 0)
+    monkeypatch.setattr(presence_module, 'LIST_CHECK_SECONDS', 0)
 
     async def work() -> None:
         store = _Store()
@@ -125,7 +125,7 @@
     Sequence: something that is no node stands on the list, also under the
     node's own name.  Cause: each object was taken for a node's.
     """
-    monkeypatch.setattr(presence_module, 'JOIN_SECONDS', 0)
+    monkeypatch.setattr(presence_module, 'JOIN_INTERVAL_SECONDS', 0)
 
     async def work() -> None:
         store = _Store()
--- a/tests/test_readiness_gate.py
+++ b/tests/test_readiness_gate.py
@@ -33,14 +33,14 @@
     version: int = 1,
     latest: int = 1,
     is_first_start: bool = False,
-    has_looked: bool = True,
-    open_calls: int = 0,
+    has_read_list: bool = True,
+    pending_dials: int = 0,
 ) -> StartView:
     return StartView(
         version=version,
         latest_version=latest,
         is_first_start=is_first_start,
-        contacts=PeerContacts(has_looked, open_calls, frozenset(peers)),
+        contacts=PeerContacts(has_read_list, pending_dials, frozenset(peers)),
     )
 
 
@@ -52,7 +52,7 @@
 def test_a_node_alone_serves_once_it_has_routes_and_has_looked() -> None:
     gate = ReadinessGate(is_strict=True)
     assert not is_open(gate, view(version=0, latest=0))
-    assert not is_open(gate, view(has_looked=False))
+    assert not is_open(gate, view(has_read_list=False))
     assert is_open(gate, view())
 
 
@@ -62,7 +62,7 @@
 
 def test_at_the_first_start_of_all_a_node_waits_for_nobody() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert is_open(gate, view(B, is_first_start=True, has_looked=False))
+    assert is_open(gate, view(B, is_first_start=True, has_read_list=False))
 
 
 def test_a_later_version_keeps_a_node_from_serving_until_it_is_here() -> None:
@@ -77,7 +77,7 @@
 def test_the_same_version_of_a_peer_that_serves_is_enough() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=True)
-    assert is_open(gate, view(B, C, open_calls=3))
+    assert is_open(gate, view(B, C, pending_dials=3))
 
 
 def test_nodes_that_all_start_serve_once_each_has_answered() -> None:
@@ -85,14 +85,14 @@
     gate.record_answer(B, is_ready=False)
     assert not is_open(gate, view(B, C))
     gate.record_answer(C, is_ready=False)
-    assert not is_open(gate, view(B, C, open_calls=1))
+    assert not is_open(gate, view(B, C, pending_dials=1))
     assert is_open(gate, view(B, C))
 
 
 def test_silent_peers_are_waited_for_no_longer_than_the_bound() -> None:
     gate = ReadinessGate(is_strict=True)
     assert not is_open(gate, view(version=0, latest=0), NOW - 50)
-    silent = view(B, open_calls=1)
+    silent = view(B, pending_dials=1)
     assert not is_open(gate, silent)
     assert not is_open(gate, silent, NOW + PEERS_WAIT_SECONDS - 0.01)
     assert is_open(gate, silent, NOW + PEERS_WAIT_SECONDS)
@@ -102,7 +102,7 @@
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
     gate.record_answer(C, is_ready=False)
-    most_start = view(B, C, D, open_calls=1)
+    most_start = view(B, C, D, pending_dials=1)
     assert not is_open(gate, most_start)
     assert not is_open(gate, most_start, NOW + RESTART_WAIT_SECONDS - 0.01)
     assert is_open(gate, most_start, NOW + RESTART_WAIT_SECONDS)
@@ -111,7 +111,7 @@
 def test_half_of_the_peers_starting_is_no_stop_of_all() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
-    half = view(B, C, open_calls=1)
+    half = view(B, C, pending_dials=1)
     assert not is_open(gate, half)
     assert not is_open(gate, half, NOW + PEERS_WAIT_SECONDS - 0.01)
 
@@ -120,14 +120,14 @@
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
     gate.record_answer(C, is_ready=False)
-    behind = view(B, C, D, latest=2, open_calls=1)
+    behind = view(B, C, D, latest=2, pending_dials=1)
     assert not is_open(gate, behind)
     assert not is_open(gate, behind, NOW + RESTART_WAIT_SECONDS)
 
 
 def test_the_list_of_nodes_is_waited_for_no_longer_than_the_bound() -> None:
     gate = ReadinessGate(is_strict=True)
-    unknown = view(has_looked=False)
+    unknown = view(has_read_list=False)
     assert not is_open(gate, unknown)
     assert not is_open(gate, unknown, NOW + LOOK_WAIT_SECONDS - 0.01)
     assert is_open(gate, unknown, NOW + LOOK_WAIT_SECONDS)
@@ -135,9 +135,9 @@
 
 def test_peers_have_their_time_though_the_list_came_late() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert not is_open(gate, view(has_looked=False))
+    assert not is_open(gate, view(has_read_list=False))
     called_at = NOW + PEERS_WAIT_SECONDS
-    silent = view(B, open_calls=1)
+    silent = view(B, pending_dials=1)
     assert not is_open(gate, silent, called_at)
     assert not is_open(gate, silent, called_at + PEERS_WAIT_SECONDS - 0.01)
     assert is_open(gate, silent, called_at + PEERS_WAIT_SECONDS)
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -91,7 +91,7 @@
         table.merge(make_record(f'n{number}'), 0.0)
     links = SimpleNamespace(list_peers=lambda: {'n1'}, dial=lambda *_: None)
     presence = Presence(store, table, links, (), Random(1))  # type: ignore[arg-type]
-    eras.listen(presence.list_again)
+    eras.listen(presence.schedule_rewrite)
     presence._may_look = lambda: False  # type: ignore[method-assign]
     task = asyncio.create_task(presence.run())
     await wait_until(lambda: 'n0' in store.objects)
--- a/tests/test_silent_domain.py
+++ b/tests/test_silent_domain.py
@@ -15,7 +15,7 @@
 
 from tests.holder import Holder
 from tests.replicas import SimFleet
-from waywell.duties.box_survey import ASK_AGAIN_SECONDS, LISTENED_SECONDS
+from waywell.duties.box_monitor import DOUBT_DELAY_SECONDS, REPROBE_SECONDS
 from waywell.duties.forming import SETTLE_SECONDS
 from waywell.ids import ModelName, ServiceName
 from waywell.version.forming_memory import ORDER_TIMEOUT_SECONDS
@@ -169,7 +169,7 @@
     _make_unreachable(holder, *GROUPED, *IDLE)
     holder.report_doubt(group)
     holder.report_group_heard(group)
-    holder.clock.now += ASK_AGAIN_SECONDS + 0.1
+    holder.clock.now += REPROBE_SECONDS + 0.1
     holder.plan()
     lost = {life.box for life in holder.duty._get_memory(LLM).lost}
     assert not lost & set(GROUPED)
@@ -181,7 +181,7 @@
     _make_unreachable(holder, *GROUPED, *IDLE)
     holder.ask('d')
     holder.report_doubt(group)
-    holder.clock.now += LISTENED_SECONDS + 0.01
+    holder.clock.now += DOUBT_DELAY_SECONDS + 0.01
     holder.plan()
     lost = {life.box for life in holder.duty._get_memory(LLM).lost}
     assert lost == {*GROUPED, *IDLE}
--- a/tests/test_old_answers.py
+++ b/tests/test_stale_lease_reads.py
@@ -26,7 +26,7 @@
 from tests.loops import in_loop
 from tests.test_membership import make_record
 from waywell.connection.platform import Stored
-from waywell.duties.duty import TICKS_A_TERM, Duty
+from waywell.duties.duty import TICKS_PER_TERM, Duty
 from waywell.duties.lease import LeaseRecord
 from waywell.ids import Incarnation, NodeId
 
@@ -105,7 +105,7 @@
         began_at = self.clock.now
         while not self.duty.is_held():
             await self.duty.on_lease_tick(Duty.LeaseTick())
-            self.clock.now += TERM / TICKS_A_TERM
+            self.clock.now += TERM / TICKS_PER_TERM
             assert self.clock.now < began_at + 60
         return self.clock.now - began_at
 
@@ -116,20 +116,20 @@
 ):
     bench = Bench()
     bench.see_holder(2)
-    assert await bench.count_seconds() <= TERM + 3 * TERM / TICKS_A_TERM
+    assert await bench.count_seconds() <= TERM + 3 * TERM / TICKS_PER_TERM
 
 
 @in_loop
 async def test_the_duty_of_a_suspected_holder_is_taken_within_a_term() -> None:
     bench = Bench()
     bench.suspect_holder()
-    assert await bench.count_seconds() <= TERM + 3 * TERM / TICKS_A_TERM
+    assert await bench.count_seconds() <= TERM + 3 * TERM / TICKS_PER_TERM
 
 
 @in_loop
 async def test_cheap_answers_are_enough_while_the_holder_runs() -> None:
     bench = Bench()
-    for _ in range(TICKS_A_TERM):
+    for _ in range(TICKS_PER_TERM):
         await bench.duty.on_lease_tick(Duty.LeaseTick())
     assert not bench.store.fresh_looks
     assert not bench.duty.is_held()
@@ -144,8 +144,8 @@
     seconds = 0.0
     while not bench.duty.is_held():
         bench.store.lag = 0.0 if bench.store.lag else LAG
-        bench.clock.now += TERM / TICKS_A_TERM
-        seconds += TERM / TICKS_A_TERM
+        bench.clock.now += TERM / TICKS_PER_TERM
+        seconds += TERM / TICKS_PER_TERM
         await bench.duty.on_lease_tick(Duty.LeaseTick())
         assert seconds < 10 * TERM
-    assert seconds <= TERM + 3 * TERM / TICKS_A_TERM
+    assert seconds <= TERM + 3 * TERM / TICKS_PER_TERM
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -231,7 +231,7 @@
         'whole_view_kb': len(msgspec.msgpack.encode(records)) / 1000,
         'neighbours': len(table.list_neighbours()),
         'tick_ms': time_call(lambda: table.tick(1)),
-        'change_ms': time_call(lambda: (table.change_own(), table.digest)),
+        'change_ms': time_call(lambda: (table.update_own(), table.digest)),
         'pick_probed_ms': time_call(
             lambda: pick_probed(groups, list(table.records), table.own),
         ),
--- a/waywell/duties/box_survey.py
+++ b/waywell/duties/box_monitor.py
@@ -22,20 +22,20 @@
     from waywell.version.fleet import FleetGroup
     from waywell.version.forming_memory import FormingMemory
 
-ASK_AGAIN_SECONDS = 1.0
+REPROBE_SECONDS = 1.0
 """Between two questions to a box that is listed, and lost or slow."""
 
 
-DOUBTED_SECONDS = 2.0
+DOUBT_LIFETIME_SECONDS = 2.0
 """For which a group that a node has doubted is not spoken for by its requests:
 those that were sent before still count as in flight."""
 
-LISTENED_SECONDS = 0.35
+DOUBT_DELAY_SECONDS = 0.35
 """From a doubt until it says something: a sound group pauses while it reads
 long prompts, and a node that hears it go on takes the doubt back."""
 
 
-class BoxSurvey:
+class BoxMonitor:
     """Asks boxes for signs of life and takes in what they tell.
 
     Parameters
@@ -62,27 +62,27 @@
         self._doubted_at: dict[GroupId, float] = {}
         self._unreached: dict[BoxLife, float] = {}
 
-    def note_doubt(self, group: FleetGroup, now: float) -> None:
+    def record_doubt(self, group: FleetGroup, now: float) -> None:
         """Take in that a node hears nothing of a group any more."""
         self._doubted_at[group.group] = now
         for member in group.members:
-            self.ask(member)
+            self.probe(member)
 
-    def note_heard(self, group: GroupId) -> None:
+    def clear_doubt(self, group: GroupId) -> None:
         """Take in that a doubted group goes on."""
         self._doubted_at.pop(group, None)
 
-    def ask(self, box: FleetBox) -> None:
+    def probe(self, box: FleetBox) -> None:
         """Ask a box how it is, unless its answer is waited for."""
         if box.life not in self._asking:
             self._asking.add(box.life)
             self._begin(box)
 
-    def give_up(self, box: FleetBox) -> None:
+    def discard_probe(self, box: FleetBox) -> None:
         """Take in that a question says nothing of its box."""
         self._asking.discard(box.life)
 
-    def take(
+    def record_result(
         self,
         memory: FormingMemory,
         box: FleetBox,
@@ -115,12 +115,12 @@
             log_event('box_back', box=box.box)
         self._note_report(memory, box, report, now)
 
-    def ask_troubled(self, memory: FormingMemory, now: float) -> None:
+    def probe_failing(self, memory: FormingMemory, now: float) -> None:
         """Ask lost, unreached and slow boxes again while they are listed."""
         self._forget_old(now)
         for troubled in (memory.lost, self._unreached):
             for box in self._list_due(troubled, now):
-                self.ask(box)
+                self.probe(box)
         fleet = self._outlook.fleet
         for told in tuple(memory.reports):
             known = fleet.find_life(told)
@@ -129,7 +129,7 @@
             elif memory.is_slow(told):
                 self._ask_again(memory, known, now)
 
-    def ask_kept(self, memory: FormingMemory, now: float) -> None:
+    def probe_unlisted(self, memory: FormingMemory, now: float) -> None:
         """Ask boxes whose entries have gone whether they live."""
         for name in self._outlook.kept:
             box = self._outlook.fleet.boxes.get(name)
@@ -150,7 +150,7 @@
         head = group.head if group else None
         if head is None:
             return False
-        if LISTENED_SECONDS < now - doubted_at < DOUBTED_SECONDS:
+        if DOUBT_DELAY_SECONDS < now - doubted_at < DOUBT_LIFETIME_SECONDS:
             return False
         return self._count_requests(head.life) > 0
 
@@ -177,7 +177,7 @@
             box = self._outlook.fleet.find_life(life)
             if box is None:
                 troubled.pop(life)
-            elif now - asked_at > ASK_AGAIN_SECONDS or self._is_doubted(box):
+            elif now - asked_at > REPROBE_SECONDS or self._is_doubted(box):
                 due.append(box)
         return due
 
@@ -188,7 +188,7 @@
 
     def _forget_old(self, now: float) -> None:
         for group, doubted_at in tuple(self._doubted_at.items()):
-            if now - doubted_at > DOUBTED_SECONDS:
+            if now - doubted_at > DOUBT_LIFETIME_SECONDS:
                 self._doubted_at.pop(group)
 
     def _note_lost(
@@ -254,8 +254,8 @@
     ) -> None:
         """Ask a box how it is, unless it told a moment ago."""
         reading = memory.reports.get(box.life)
-        if reading is None or now - reading.read_at > ASK_AGAIN_SECONDS:
-            self.ask(box)
+        if reading is None or now - reading.read_at > REPROBE_SECONDS:
+            self.probe(box)
 
 
 def _is_of(box: FleetBox, report: BoxReport) -> bool:
--- a/waywell/duties/box_questions.py
+++ b/waywell/duties/box_probe.py
@@ -10,13 +10,13 @@
     from waywell.version.box_report import BoxReport
     from waywell.version.fleet import FleetBox
 
-ASK_BESIDE_SECONDS = 0.1
+SECOND_PROBE_DELAY_SECONDS = 0.1
 """Until a box is asked a second time beside the first: one packet may be lost,
 and a group with a lost box stands still until that is known.  One question
 after the other took 0.6 s in place of 0.4 s."""
 
 
-async def ask_box(orders: BoxOrders, box: FleetBox) -> BoxReport | None:
+async def probe_box(orders: BoxOrders, box: FleetBox) -> BoxReport | None:
     """Ask a box how it is, a second time where it does not answer at once.
 
     Returns
@@ -26,15 +26,15 @@
     """
     first = asyncio.ensure_future(orders.read_report(box))
     try:
-        await asyncio.wait({first}, timeout=ASK_BESIDE_SECONDS)
+        await asyncio.wait({first}, timeout=SECOND_PROBE_DELAY_SECONDS)
         if first.done():
             return first.result() or await orders.read_report(box)
-        return await _ask_beside(first, orders, box)
+        return await _probe_twice(first, orders, box)
     finally:
         first.cancel()
 
 
-async def _ask_beside(
+async def _probe_twice(
     first: asyncio.Future[BoxReport | None],
     orders: BoxOrders,
     box: FleetBox,
--- a/waywell/duties/duty.py
+++ b/waywell/duties/duty.py
@@ -10,9 +10,9 @@
 
 from waywell.connection.platform import Kind, PlatformFault
 from waywell.connection.store_era import EraTracker
-from waywell.duties.lease import LeaseMove, LeaseRecord, LeaseState
+from waywell.duties.lease import LeaseAction, LeaseRecord, LeaseState
 from waywell.membership.gossip import Gossip
-from waywell.membership.membership import NodeState, rank_contenders
+from waywell.membership.membership import NodeState, rank_candidates
 from waywell.process.actor import Actor, Message
 from waywell.telemetry.events import log_event, log_warning
 
@@ -23,10 +23,10 @@
     from waywell.membership.membership import NodeRecord
     from waywell.process.clock import Clock
 
-CONTENDERS = 3
+CANDIDATES_PER_DUTY = 3
 """Nodes that contend for one duty."""
 
-TICKS_A_TERM = 6
+TICKS_PER_TERM = 6
 """Looks at a lease within its term."""
 
 
@@ -35,7 +35,7 @@
     return secrets.token_hex(8)
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Takes and renews one lease in the platform.
 
     Parameters
@@ -78,23 +78,23 @@
         """Answer whether this node holds the lease now."""
         return self.state.is_held(self._clock.read())
 
-    async def tend(self) -> None:
+    async def update(self) -> None:
         """Look at the lease, renew it or take it."""
         if not self.is_held() or not self._has_seen_era():
             await self._look()
         if not self._has_seen_era():
             return
         now = self._clock.read()
-        move = self.state.choose_move(now)
-        if move is not LeaseMove.WAIT:
+        move = self.state.choose_action(now)
+        if move is not LeaseAction.WAIT:
             await self._write(move, now)
 
-    async def retire(self) -> None:
+    async def release(self) -> None:
         """Give the lease back, so that nobody waits for its end."""
         if not self.is_held() or not self._has_seen_era():
             return
-        record = self.state.make_vacant(make_operation())
-        self.state.distrust()
+        record = self.state.make_released_record(make_operation())
+        self.state.abandon_term()
         answer = await self._platform.write(
             Kind.LEASE,
             self._name,
@@ -120,7 +120,7 @@
         )
         if isinstance(answer, Failure):
             return
-        self._gossip.post(Gossip.Reached())
+        self._gossip.post(Gossip.PlatformReached())
         stored = answer.unwrap()
         if fresh or (stored is not None and stored.version >= self._version):
             self._take_in(stored)
@@ -166,8 +166,8 @@
             return
         self.state.observe(record, now, era)
 
-    async def _write(self, move: LeaseMove, sent_at: float) -> None:
-        record = self.state.make_next(move, make_operation())
+    async def _write(self, move: LeaseAction, sent_at: float) -> None:
+        record = self.state.make_next_record(move, make_operation())
         answer = await self._platform.write(
             Kind.LEASE,
             self._name,
@@ -177,13 +177,13 @@
         if isinstance(answer, Failure):
             await self._settle(record, sent_at, answer.failure())
             return
-        self._gossip.post(Gossip.Reached())
+        self._gossip.post(Gossip.PlatformReached())
         if not self._has_seen_era():
             # The version that was expected may name another write by now.
             await self._settle(record, sent_at, PlatformFault.FORMER_ERA)
             return
         self._version = answer.unwrap().version
-        self.state.confirm(record, sent_at, self._clock.read())
+        self.state.confirm_write(record, sent_at, self._clock.read())
 
     async def _settle(
         self,
@@ -203,7 +203,7 @@
         # One that was carried out in a later era than it was sent in met a
         # version that was given out again.
         if current == record and current.era == self._eras.current:
-            self.state.confirm(current, sent_at, self._clock.read())
+            self.state.confirm_write(current, sent_at, self._clock.read())
 
 
 class Duty(Actor):
@@ -239,7 +239,7 @@
     ) -> None:
         """Start without the lease."""
         super().__init__(name)
-        self.lease = LeaseKeeper(
+        self.lease = LeaseManager(
             name, platform, gossip, clock, term, eras or EraTracker()
         )
         self.platform = platform
@@ -253,7 +253,7 @@
     def start(self) -> None:
         """Begin to look at the lease."""
         super().start()
-        self.repeat(self._term / TICKS_A_TERM, self.LeaseTick())
+        self.repeat(self._term / TICKS_PER_TERM, self.LeaseTick())
 
     def is_held(self) -> bool:
         """Answer whether this node holds the duty now.
@@ -278,48 +278,48 @@
         table = self.gossip.table
         if table.digest != self._ranked_for:
             self._ranked_for = table.digest
-            self._candidates = rank_contenders(
+            self._candidates = rank_candidates(
                 self.list_eligible(),
                 self.name,
-                CONTENDERS,
+                CANDIDATES_PER_DUTY,
             )
         return table.own.node in self._candidates
 
-    def may_hold(self) -> bool:
+    def can_hold(self) -> bool:
         """Answer whether this node can do the work of the duty."""
         return True
 
-    def find_least_epoch(self) -> int:
+    def find_minimum_epoch(self) -> int:
         """Return the highest epoch that is known to have been in use."""
         return 0
 
-    async def take_up(self) -> None:
+    async def start_work(self) -> None:
         """Begin the duty; called when the lease was taken."""
 
-    def lay_down(self) -> None:
+    def stop_work(self) -> None:
         """End the duty; called when the lease was lost."""
 
-    async def retire(self) -> None:
+    async def release(self) -> None:
         """Give the duty back before this node stops."""
-        await self.lease.retire()
+        await self.lease.release()
 
     async def on_lease_tick(self, _tick: LeaseTick) -> None:
         """Renew, take or watch the lease."""
-        if self.lease.is_held() and not self.may_hold():
-            await self.retire()
+        if self.lease.is_held() and not self.can_hold():
+            await self.release()
         elif self.is_candidate() or self.lease.is_held():
-            self.lease.state.raise_least(self.find_least_epoch())
-            await self.lease.tend()
+            self.lease.state.raise_minimum_epoch(self.find_minimum_epoch())
+            await self.lease.update()
         epoch = self.epoch if self.lease.is_held() else None
         if epoch == self._taken_epoch:
             return
         if self._taken_epoch is not None:
             log_event('duty_lost', duty=self.name, epoch=self._taken_epoch)
-            self.lay_down()
+            self.stop_work()
         self._taken_epoch = epoch
         if epoch is not None:
             log_event('duty_taken', duty=self.name, epoch=epoch)
-            await self.take_up()
+            await self.start_work()
 
     def dump(self) -> dict[str, object]:
         """Return the lease as plain values."""
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -9,10 +9,14 @@
 
 import attrs
 
-from waywell.duties.box_questions import ask_box
-from waywell.duties.box_survey import BoxSurvey
+from waywell.duties.box_monitor import BoxMonitor
+from waywell.duties.box_probe import probe_box
 from waywell.duties.duty import Duty
-from waywell.duties.forming_log import log_backoffs, log_groups, log_order
+from waywell.duties.forming_log import (
+    log_group_counts,
+    log_load_backoffs,
+    log_order,
+)
 from waywell.ids import GroupId, ModelName, ServiceName
 from waywell.process.actor import Message
 from waywell.request.paths import DirectPaths, ReplicaPaths
@@ -48,13 +52,13 @@
 PLAN_SECONDS = 0.15
 """Between two plans: a tenth of the time in which a group is patched."""
 
-OLDEST_LIST = 2.0
+MAX_BOX_LIST_AGE_SECONDS = 2.0
 """Seconds after which a box list is too old to give orders by."""
 
-EPOCHS_A_TERM = 1_000_000
+EPOCHS_PER_TERM = 1_000_000
 """Epochs that one holder has; the next one's are higher."""
 
-OUTDATED_SECONDS = 10.0
+MIN_NEW_TERM_INTERVAL_SECONDS = 10.0
 """Between two terms that are given up because a box has seen a later one: each
 new term forgets what the holder has learned."""
 
@@ -101,19 +105,19 @@
     class PlanTick(Message, frozen=True):
         """A plan is due."""
 
-    class Doubted(Message, frozen=True):
+    class GroupDoubted(Message, frozen=True):
         """A node hears nothing of a group any more."""
 
         group: GroupId
         """The group."""
 
-    class Heard(Message, frozen=True):
+    class DoubtCleared(Message, frozen=True):
         """A doubted group goes on."""
 
         group: GroupId
         """The group."""
 
-    class Probed(Message, frozen=True):
+    class BoxProbed(Message, frozen=True):
         """A box was asked for a sign of life."""
 
         box: FleetBox
@@ -125,7 +129,7 @@
         is_conclusive: bool = True
         """Whether the lack of a report speaks against the box."""
 
-    class Ordered(Message, frozen=True):
+    class OrderCompleted(Message, frozen=True):
         """A box has answered an order, or has not."""
 
         assignment: Assignment
@@ -137,7 +141,7 @@
         epoch: int
         """Epoch of the lease under which it was planned."""
 
-    class NotFormed(Message, frozen=True):
+    class GroupNotFormed(Message, frozen=True):
         """No join of a new group was sent, as a box does not fit."""
 
         service: ServiceName
@@ -173,7 +177,7 @@
         self._memories: dict[ServiceName, FormingMemory] = {}
         self._summaries: dict[ServiceName, FormingSummary] = {}
         self.loads = LoadHistory()
-        self._survey = BoxSurvey(
+        self._monitor = BoxMonitor(
             outlook, self._begin_probe, sources.count_requests
         )
         self._box_count = 0
@@ -186,27 +190,27 @@
         live = super().list_eligible()
         return [one for one in live if not one.lost_services] or live
 
-    def may_hold(self) -> bool:
+    def can_hold(self) -> bool:
         """Answer whether this node reaches the boxes that form groups."""
         return not any(
             self._links.is_partitioned(name)
             for name, _engine in self._outlook.index.list_engines()
         )
 
-    def find_least_epoch(self) -> int:
+    def find_minimum_epoch(self) -> int:
         """Return the term of the latest group that is listed.
 
         Where the lease was written over, nothing else tells it.
         """
-        return self._outlook.fleet.find_latest_epoch() // EPOCHS_A_TERM
+        return self._outlook.fleet.find_latest_epoch() // EPOCHS_PER_TERM
 
-    async def take_up(self) -> None:
+    async def start_work(self) -> None:
         """Forget what an earlier term knew; begin to plan."""
         self._memories.clear()
         self.loads.forget_attempts()
         self._planning = self.repeat(PLAN_SECONDS, self.PlanTick())
 
-    def lay_down(self) -> None:
+    def stop_work(self) -> None:
         """Plan no more."""
         if self._planning is not None:
             self._planning.cancel()
@@ -216,12 +220,12 @@
         now = self.clock.read()
         if not self.is_held() or not self._may_plan(now):
             return
-        if not self.may_hold():
+        if not self.can_hold():
             return
         for name, engine in self._outlook.index.list_engines():
             memory = self._get_memory(name)
-            self._survey.ask_troubled(memory, now)
-            self._survey.ask_kept(memory, now)
+            self._monitor.probe_failing(memory, now)
+            self._monitor.probe_unlisted(memory, now)
             view = FormingView(
                 name,
                 engine,
@@ -232,9 +236,9 @@
             planner = FormingPlanner(view, memory, now)
             self._send(planner.plan())
             self._note_summary(name, planner.summary, view)
-            log_backoffs(name, memory.load_failures.pop_backoffs())
+            log_load_backoffs(name, memory.load_failures.pop_backoffs())
 
-    def on_ordered(self, ordered: Ordered) -> None:
+    def on_order_completed(self, ordered: OrderCompleted) -> None:
         """Note what came of an order of this term of work."""
         if not self._is_of_this_term(ordered.epoch):
             return
@@ -244,7 +248,7 @@
         if ordered.result is OrderResult.OUTDATED:
             self._begin_later_term(now)
 
-    def on_not_formed(self, not_formed: NotFormed) -> None:
+    def on_group_not_formed(self, not_formed: GroupNotFormed) -> None:
         """Give up a group of this term of work whose boxes do not fit."""
         if not self._is_of_this_term(not_formed.epoch):
             return
@@ -257,25 +261,25 @@
             not_formed.group, not_formed.unfit, self.clock.read()
         )
 
-    def on_doubted(self, doubted: Doubted) -> None:
+    def on_group_doubted(self, doubted: GroupDoubted) -> None:
         """Ask the members of a doubted group for a sign of life."""
         group = self._outlook.fleet.groups.get(doubted.group)
         if not self.is_held() or group is None:
             return
-        self._survey.note_doubt(group, self.clock.read())
+        self._monitor.record_doubt(group, self.clock.read())
 
-    def on_heard(self, heard: Heard) -> None:
+    def on_doubt_cleared(self, heard: DoubtCleared) -> None:
         """Take in that a doubted group goes on."""
-        self._survey.note_heard(heard.group)
+        self._monitor.clear_doubt(heard.group)
 
-    def on_probed(self, probed: Probed) -> None:
+    def on_box_probed(self, probed: BoxProbed) -> None:
         """Count a life of a box as lost, or as back."""
         if not probed.is_conclusive:
-            self._survey.give_up(probed.box)
+            self._monitor.discard_probe(probed.box)
             return
         memory = self._get_memory(probed.box.service)
         now = self.clock.read()
-        self._survey.take(memory, probed.box, probed.report, now)
+        self._monitor.record_result(memory, probed.box, probed.report, now)
 
     def dump(self) -> dict[str, object]:
         """Return the duty as plain values."""
@@ -311,11 +315,11 @@
 
     async def _probe(self, box: FleetBox) -> BoxReport | None:
         """Ask a box for a sign of life; note and return what it told."""
-        report = await ask_box(self._orders, box)
+        report = await probe_box(self._orders, box)
         is_conclusive = report is not None
         if not is_conclusive:
             is_conclusive = await self._links.verify(box.service)
-        self.post(self.Probed(box, report, is_conclusive))
+        self.post(self.BoxProbed(box, report, is_conclusive))
         return report
 
     def _may_plan(self, now: float) -> bool:
@@ -324,7 +328,7 @@
         if count != self._box_count:
             self._box_count = count
             self._counted_at = now
-        if self._outlook.get_boxes_age(now) > OLDEST_LIST:
+        if self._outlook.get_boxes_age(now) > MAX_BOX_LIST_AGE_SECONDS:
             return False
         if any(box.standing for box in self._outlook.fleet.boxes.values()):
             return True
@@ -334,7 +338,7 @@
         memory = self._memories.get(service)
         if memory is None:
             memory = FormingMemory(
-                next_epoch=self.epoch * EPOCHS_A_TERM + 1,
+                next_epoch=self.epoch * EPOCHS_PER_TERM + 1,
                 last_models=self._outlook.last_models,
                 lives=self._outlook.lives,
                 load_failures=self.loads.get(service),
@@ -352,7 +356,7 @@
         if self._summaries.get(service) == summary:
             return
         self._summaries[service] = summary
-        log_groups(summary, view)
+        log_group_counts(summary, view)
 
     def _is_of_this_term(self, epoch: int) -> bool:
         """Answer whether a plan was made in the present term of work."""
@@ -363,10 +367,10 @@
 
         Epochs of the next term are higher, so its orders count again.
         """
-        if now - self._outdated_at > OUTDATED_SECONDS:
+        if now - self._outdated_at > MIN_NEW_TERM_INTERVAL_SECONDS:
             self._outdated_at = now
             log_warning('term_outdated', duty=self.name, epoch=self.epoch)
-            self.lease.state.distrust()
+            self.lease.state.abandon_term()
 
     def _send(self, assignments: list[Assignment]) -> None:
         """Give the orders of a plan; boxes are asked before they join."""
@@ -395,7 +399,7 @@
         check = check_joins(joins, reports)
         if check.unfit:
             service = joins[0].box.service
-            self.post(self.NotFormed(service, group, check.unfit, epoch))
+            self.post(self.GroupNotFormed(service, group, check.unfit, epoch))
             return
         await asyncio.gather(
             *(self._give(join, epoch) for join in check.joins)
@@ -406,8 +410,10 @@
             return
         if self._outlook.fleet.has_restarted(assignment.box):
             log_order(assignment, OrderResult.ENDED)
-            self.post(self.Ordered(assignment, OrderResult.ENDED, epoch))
+            self.post(
+                self.OrderCompleted(assignment, OrderResult.ENDED, epoch)
+            )
             return
         result = await self._orders.give(assignment, epoch)
         log_order(assignment, result)
-        self.post(self.Ordered(assignment, result, epoch))
+        self.post(self.OrderCompleted(assignment, result, epoch))
--- a/waywell/duties/forming_log.py
+++ b/waywell/duties/forming_log.py
@@ -16,7 +16,7 @@
     from waywell.version.orders import Assignment
 
 
-def log_groups(summary: FormingSummary, view: FormingView) -> None:
+def log_group_counts(summary: FormingSummary, view: FormingView) -> None:
     """Log how the groups of a service stand."""
     log_event(
         'groups',
@@ -34,7 +34,7 @@
     )
 
 
-def log_backoffs(
+def log_load_backoffs(
     service: ServiceName,
     backoffs: Iterable[LoadBackoff],
 ) -> None:
--- a/waywell/duties/lease.py
+++ b/waywell/duties/lease.py
@@ -33,16 +33,16 @@
 )
 from waywell.ids import Incarnation, NodeId
 
-HOLDER_SHARE = 0.8
+TRUSTED_TERM_FRACTION = 0.8
 """Part of the term for which a holder trusts its own lease."""
 
-RENEW_SHARE = 0.25
+RENEWAL_TERM_FRACTION = 0.25
 """Part of the term after which a holder renews."""
 
-LOST_EPOCHS = 100
+EPOCHS_SKIPPED_PER_ERA = 100
 """Epochs that each era skips; a copy lacks fewer terms."""
 
-NOBODY = NodeId('')
+NO_HOLDER = NodeId('')
 """Holder of a lease that was given back."""
 
 UNKNOWN_HOLDER = NodeId('?')
@@ -72,7 +72,7 @@
     """Era of the store in which it was written."""
 
 
-class LeaseMove(enum.Enum):
+class LeaseAction(enum.Enum):
     """What a contender should do now."""
 
     WAIT = 'wait'
@@ -81,7 +81,7 @@
     RENEW = 'renew'
     """Renew the own lease."""
 
-    TAKE = 'take'
+    ACQUIRE = 'take'
     """Take it over, or create it."""
 
 
@@ -123,7 +123,7 @@
         """Return the epoch last seen."""
         return self.record.epoch if self.record else 0
 
-    def raise_least(self, epoch: int) -> None:
+    def raise_minimum_epoch(self, epoch: int) -> None:
         """Let the next term have a higher epoch than one that was in use."""
         self._least_epoch = max(self._least_epoch, epoch)
 
@@ -147,7 +147,7 @@
         era = self._era if era is None else era
         if record == self.record and era == self._era:
             return
-        self.raise_least(self.epoch)
+        self.raise_minimum_epoch(self.epoch)
         self.record = record
         self._has_seen_record |= record is not None
         self._era = era
@@ -173,7 +173,9 @@
         unknown = LeaseRecord(UNKNOWN_HOLDER, Incarnation(0), 0, version)
         self.observe(unknown, now, era)
 
-    def confirm(self, record: LeaseRecord, sent_at: float, now: float) -> None:
+    def confirm_write(
+        self, record: LeaseRecord, sent_at: float, now: float
+    ) -> None:
         """Take in that an own write, sent at ``sent_at``, took effect.
 
         A renewal that is known only after the trust has lapsed does not bring
@@ -185,7 +187,7 @@
             self._term_epoch = record.epoch
             self._held_from = sent_at
 
-    def distrust(self) -> None:
+    def abandon_term(self) -> None:
         """Give the present term up, as a later one is known of."""
         self._held_from = float('-inf')
 
@@ -195,19 +197,21 @@
         is_present_term = self._is_mine() and self.epoch == self._term_epoch
         return is_present_term and now < self._held_from + self._trusted
 
-    def choose_move(self, now: float) -> LeaseMove:
+    def choose_action(self, now: float) -> LeaseAction:
         """Return what to do at ``now``."""
         if self._is_free():
-            return LeaseMove.TAKE
+            return LeaseAction.ACQUIRE
         if self.is_held(now) or self._is_mine() and self._is_of_this_era():
             return self._choose_own_move(now)
         if now - self._seen_at > self._term:
-            return LeaseMove.TAKE
-        return LeaseMove.WAIT
+            return LeaseAction.ACQUIRE
+        return LeaseAction.WAIT
 
-    def make_next(self, move: LeaseMove, operation: str) -> LeaseRecord:
+    def make_next_record(
+        self, move: LeaseAction, operation: str
+    ) -> LeaseRecord:
         """Return the record to write for a move."""
-        if move is LeaseMove.RENEW and self.record is not None:
+        if move is LeaseAction.RENEW and self.record is not None:
             return msgspec.structs.replace(
                 self.record,
                 beat=self.record.beat + 1,
@@ -222,20 +226,20 @@
             era=self._era,
         )
 
-    def make_vacant(self, operation: str) -> LeaseRecord:
+    def make_released_record(self, operation: str) -> LeaseRecord:
         """Return the record that gives the own lease back."""
         return LeaseRecord(
-            NOBODY, self._incarnation, self.epoch, 0, operation, self._era
+            NO_HOLDER, self._incarnation, self.epoch, 0, operation, self._era
         )
 
-    def _choose_own_move(self, now: float) -> LeaseMove:
+    def _choose_own_move(self, now: float) -> LeaseAction:
         """Return what to do about an own record."""
         if not self.is_held(now) or self._least_epoch > self.epoch:
-            return LeaseMove.TAKE
-        is_due = now >= self._held_from + self._term * RENEW_SHARE
+            return LeaseAction.ACQUIRE
+        is_due = now >= self._held_from + self._term * RENEWAL_TERM_FRACTION
         if is_due or not self._is_of_this_era():
-            return LeaseMove.RENEW
-        return LeaseMove.WAIT
+            return LeaseAction.RENEW
+        return LeaseAction.WAIT
 
     def _is_free(self) -> bool:
         """Return whether nobody can trust the lease."""
@@ -243,7 +247,7 @@
             return not self._has_seen_record and self._is_of_this_era()
         if not self._is_of_this_era():
             return False
-        return self.record.holder == NOBODY or self._is_of_former_run()
+        return self.record.holder == NO_HOLDER or self._is_of_former_run()
 
     def _is_of_this_era(self) -> bool:
         """Return whether the store has kept all since the record's writing.
@@ -262,9 +266,9 @@
         if not is_told(self._era):
             return used + 1
         # Where the copy lacks any lease, the era alone tells the terms apart.
-        used = max(used, (self._era - 1) * LOST_EPOCHS)
+        used = max(used, (self._era - 1) * EPOCHS_SKIPPED_PER_ERA)
         if self.record is not None and not self._is_of_this_era():
-            return used + LOST_EPOCHS
+            return used + EPOCHS_SKIPPED_PER_ERA
         return used + 1
 
     def _is_of_former_run(self) -> bool:
@@ -278,7 +282,7 @@
 
     @property
     def _trusted(self) -> float:
-        return self._term * HOLDER_SHARE
+        return self._term * TRUSTED_TERM_FRACTION
 
     def _is_mine(self) -> bool:
         record = self.record
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -6,8 +6,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from waywell.duties.box_survey import BoxSurvey
-from waywell.duties.forming import EPOCHS_A_TERM, PLAN_SECONDS
+from waywell.duties.box_monitor import BoxMonitor
+from waywell.duties.forming import EPOCHS_PER_TERM, PLAN_SECONDS
 from waywell.experiment.model_box import SERVICE
 from waywell.request.demand import DemandGauge, count_at, count_by_model
 from waywell.version.fleet import Fleet
@@ -68,11 +68,11 @@
         self._delays = delays
         self._gauge = DemandGauge()
         self._memory = FormingMemory(
-            next_epoch=EPOCHS_A_TERM + 1,
+            next_epoch=EPOCHS_PER_TERM + 1,
             last_models=outlook.last_models,
             lives=outlook.lives,
         )
-        self._survey = BoxSurvey(
+        self._monitor = BoxMonitor(
             outlook, self._begin_probe, self._count_requests
         )
 
@@ -89,11 +89,11 @@
     def _record_suspicion(self, replica: Replica) -> None:
         group = self._outlook.fleet.groups.get(replica.group)
         if group is not None:
-            self._survey.note_doubt(group, self._timeline.now)
+            self._monitor.record_doubt(group, self._timeline.now)
 
     def _plan(self) -> None:
         now = self._timeline.now
-        self._survey.ask_troubled(self._memory, now)
+        self._monitor.probe_failing(self._memory, now)
         view = FormingView(
             SERVICE, self._engine, self._list_present(), self._read_demand()
         )
@@ -137,7 +137,7 @@
             delay = self._delays.answer_seconds
         self._timeline.schedule_in(
             delay,
-            lambda: self._survey.take(
+            lambda: self._monitor.record_result(
                 self._memory, box, report, self._timeline.now
             ),
         )
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -127,7 +127,7 @@
             replica.key.incarnation,
         )
         log_event('doubt_raised', group=replica.group, box=replica.key.box)
-        self._links.spread(word)
+        self._links.broadcast(word)
         self._begin(replica.key, replica.group, now)
 
     def on_received(self, received: PeerLinks.Received) -> None:
@@ -136,13 +136,13 @@
         key = ReplicaKey(word.box, word.epoch, word.incarnation)
         if isinstance(word, ReplicaHeard):
             if key in self._open:
-                self._links.pass_on(word, received.node)
+                self._links.forward(word, received.node)
                 self._end(key, word.group)
             return
         now = self._clock.read()
         if not self._is_news(key, now):
             return
-        self._links.pass_on(word, received.node)
+        self._links.forward(word, received.node)
         is_believed = now - self._book.get(key).heard_at > RECENT_SECONDS
         log_event(
             'doubt_received',
@@ -182,7 +182,7 @@
             return
         if self._book.get(key).event_at > doubted_at:
             log_event('doubt_taken_back', group=group, box=key.box)
-            self._links.spread(
+            self._links.broadcast(
                 ReplicaHeard(group, key.box, key.epoch, key.incarnation),
             )
             self._end(key, group)
--- a/waywell/health/partition.py
+++ b/waywell/health/partition.py
@@ -295,7 +295,7 @@
         lost = tuple(self.list_partitioned())
         gossip = self._parts.gossip
         if gossip.table.own.lost_services != lost:
-            gossip.post(Gossip.Advance(lost_services=lost))
+            gossip.post(Gossip.OwnRecordChange(lost_services=lost))
 
     async def _answer(self, query: ReachabilityQuery, sender: NodeId) -> None:
         """Report which boxes of a query this node reaches."""
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -183,7 +183,7 @@
             if self._parts.health.hear(word, now)
         )
         if news:
-            self._parts.links.spread(HealthNews(news), skip=received.node)
+            self._parts.links.broadcast(HealthNews(news), skip=received.node)
 
     def dump(self) -> dict[str, object]:
         """Return the words against groups as plain values."""
@@ -208,7 +208,7 @@
             await self._probe_some(groups[start : start + GROUPS_AT_ONCE])
         news = self._parts.loads.take_news()
         if news:
-            self._parts.links.spread(LoadNews(news))
+            self._parts.links.broadcast(LoadNews(news))
 
     def _pick_groups(self) -> list[Group]:
         table = self._parts.gossip.table
@@ -242,7 +242,7 @@
         )
         words = tuple(word for word in verdicts if word is not None)
         if words:
-            self._parts.links.spread(HealthNews(words))
+            self._parts.links.broadcast(HealthNews(words))
 
     async def _probe_group(self, group: Group) -> Evidence | None:
         answers = await asyncio.gather(
--- a/waywell/knowledge/readers.py
+++ b/waywell/knowledge/readers.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from waywell.membership.membership import NodeState, rank_contenders
+from waywell.membership.membership import NodeState, rank_candidates
 from waywell.telemetry.events import log_event
 
 if TYPE_CHECKING:
@@ -71,5 +71,5 @@
     by_name = {
         record.node: record for record in records if record.link_mbps == widest
     }
-    names = rank_contenders(by_name.values(), f'reader/{hall}', 1)
+    names = rank_candidates(by_name.values(), f'reader/{hall}', 1)
     return by_name[names[0]]
--- a/waywell/knowledge/readiness_gate.py
+++ b/waywell/knowledge/readiness_gate.py
@@ -99,7 +99,7 @@
         if self.is_open or not view.version:
             return
         self._since = min(self._since, now)
-        if view.contacts.has_looked:
+        if view.contacts.has_read_list:
             self._called_at = min(self._called_at, now)
         reason = self._find_reason(view, now)
         if reason is None:
@@ -125,7 +125,7 @@
         if any(self._answered.values()):
             return GateReason.READY_PEER
         contacts = view.contacts
-        if contacts.has_looked and not contacts.open_calls:
+        if contacts.has_read_list and not contacts.pending_dials:
             if not contacts.peers:
                 return GateReason.NO_PEERS
             if contacts.peers <= self._answered.keys():
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -147,7 +147,7 @@
         report = LimitReport(limit, sent_at, now, now, hall)
         if self.limits.record(life, report, 'own'):
             self._handle_change(life)
-            self._links.spread(_make_message(life, report, now))
+            self._links.broadcast(_make_message(life, report, now))
 
     def get_limit(self, life: BoxLife) -> float:
         """Return the limit of a box, in requests a second from all nodes."""
@@ -338,7 +338,7 @@
         known = self.limits.find(life)
         if self.limits.record(life, report, sender):
             self._handle_change(life)
-            self._links.pass_on(told, sender)
+            self._links.forward(told, sender)
         elif known is not None and not report.is_equivalent(known):
             self._links.send(sender, _make_message(life, known, now))
 
--- a/waywell/membership/gossip.py
+++ b/waywell/membership/gossip.py
@@ -17,7 +17,7 @@
     MembershipTable,
     NodeRecord,
     NodeState,
-    may_call,
+    may_dial,
 )
 from waywell.process.actor import Actor, Message
 from waywell.telemetry.events import log_event
@@ -29,20 +29,20 @@
     from waywell.process.clock import Clock
     from waywell.telemetry.timing import TimingSettings
 
-FLUSH_SECONDS = 0.1
+FLUSH_DELAY_SECONDS = 0.1
 """Seconds for which news gathers before it is passed on."""
 
-MOST_REJOINS = 2
+MAX_REJOINS = 2
 """Lost nodes that are tried again at each attempt."""
 
 REJOIN_BEATS = 5
 """Beats between two attempts to reach lost nodes."""
 
-DIGEST_BEATS = 3
+MISMATCHED_BEATS = 3
 """Beats with different digests in a row before all records are sent."""
 
 
-class Numbers(msgspec.Struct, frozen=True):
+class VersionNumbers(msgspec.Struct, frozen=True):
     """Versions in force at this node."""
 
     configuration: int = 0
@@ -73,19 +73,19 @@
     class Flush(Message, frozen=True):
         """News that has gathered is due to be passed on."""
 
-    class Advance(Message, frozen=True):
+    class OwnRecordChange(Message, frozen=True):
         """This node has a new version in force, or is leaving."""
 
         state: NodeState | None = None
         """New state."""
 
-        numbers: Numbers | None = None
+        numbers: VersionNumbers | None = None
         """New versions."""
 
         lost_services: tuple[ServiceName, ...] | None = None
         """Services whose replicas this node does not reach."""
 
-    class Reached(Message, frozen=True):
+    class PlatformReached(Message, frozen=True):
         """This node has reached the platform."""
 
     def __init__(
@@ -98,7 +98,7 @@
         """Start with the view as it is."""
         super().__init__('gossip')
         self.table = table
-        self.numbers = Numbers()
+        self.numbers = VersionNumbers()
         self._links = links
         self._clock = clock
         self._timing = timing
@@ -170,11 +170,11 @@
             if news:
                 self._links.send(peer, Records(news))
 
-    def on_advance(self, advance: Advance) -> None:
+    def on_own_record_change(self, advance: OwnRecordChange) -> None:
         """Spread this node's own change."""
         numbers = advance.numbers or self.numbers
         self.numbers = numbers
-        record = self.table.change_own(
+        record = self.table.update_own(
             advance.state,
             numbers.configuration,
             numbers.roster,
@@ -182,7 +182,7 @@
         )
         self._report([record])
 
-    def on_reached(self, _reached: Reached) -> None:
+    def on_platform_reached(self, _reached: PlatformReached) -> None:
         """Note that the platform was reached."""
         self._reached_at = self._clock.read()
 
@@ -215,7 +215,7 @@
             return
         self._take_beat(received.node, message)
 
-    def call(self, host: str, peer_port: int) -> None:
+    def dial(self, host: str, peer_port: int) -> None:
         """Open a stream to an entry box that is not in the view."""
         self._links.dial(host, peer_port)
 
@@ -238,8 +238,8 @@
             self._differs.pop(node, None)
             return
         count = self._differs.get(node, 0) + 1
-        self._differs[node] = count % DIGEST_BEATS
-        if count >= DIGEST_BEATS:
+        self._differs[node] = count % MISMATCHED_BEATS
+        if count >= MISMATCHED_BEATS:
             whole = Records(self.table.records, whole=True)
             self._links.send(node, whole)
 
@@ -250,14 +250,14 @@
             self.table.digest,
             round(now - self._reached_at, 1),
         )
-        self._links.spread(beat)
+        self._links.broadcast(beat)
 
     def _suspect_silent(self, now: float) -> None:
         for node in self._links.list_dialled():
             heard_at = self._heard_at.setdefault(node, now)
             if now - heard_at >= self._timing.silence:
                 # A stream may be silent for good while a new one works.
-                self._links.drop(node)
+                self._links.disconnect(node)
                 self._suspect(node)
 
     def _suspect(self, node: NodeId) -> None:
@@ -274,14 +274,14 @@
             wanted.add(address)
             self._links.dial(*address, record.node)
         if self._beats % REJOIN_BEATS == 0:
-            self._links.keep_dialled(wanted)
+            self._links.close_dialled_except(wanted)
 
     def _dial_lost(self) -> None:
         lost = self.table.list_lost()
-        count = min(MOST_REJOINS, len(lost))
+        count = min(MAX_REJOINS, len(lost))
         live = self.table.count_live()
         for record in self._random.sample(lost, count):
-            if not may_call(live, self._random.random()):
+            if not may_dial(live, self._random.random()):
                 continue
             self._links.dial(record.host, record.peer_port, record.node)
 
@@ -321,7 +321,7 @@
             return
         if not self._pending:
             loop = asyncio.get_running_loop()
-            loop.call_later(FLUSH_SECONDS, self.post, self.Flush())
+            loop.call_later(FLUSH_DELAY_SECONDS, self.post, self.Flush())
         for record in news:
             self._pending[record.node] = (record, source)
             self._note_state(record)
@@ -331,5 +331,5 @@
     def _note_state(self, record: NodeRecord) -> None:
         if record.state is NodeState.LOST:
             log_event('node_lost', node=record.node)
-            self._links.drop(record.node)
+            self._links.disconnect(record.node)
             self._heard_at.pop(record.node, None)
--- a/waywell/membership/links.py
+++ b/waywell/membership/links.py
@@ -25,7 +25,7 @@
     from waywell.connection.peer_stream import PeerTransport
     from waywell.membership.membership import NodeRecord
 
-HELLO_SECONDS = 2.0
+HELLO_TIMEOUT_SECONDS = 2.0
 """Seconds for a new stream's first message."""
 
 
@@ -72,7 +72,7 @@
 
     def on_open(self, stream: PeerStream) -> None:
         self.keep(stream)
-        self._owner.greet(self)
+        self._owner.send_hello(self)
 
     def on_message(self, message: Any) -> None:
         self.heard_at = asyncio.get_running_loop().time()
@@ -80,16 +80,16 @@
             self._meet(message)
             return
         self.received += 1
-        self._owner.receive(self.peer, message)
+        self._owner.dispatch(self.peer, message)
 
     def on_close(self, why: str) -> None:
-        self._owner.end(self, why)
+        self._owner.remove_link(self, why)
 
     def _meet(self, message: Any) -> None:
         """Take in the first message, which says who the peer is."""
         if isinstance(message, Hello):
             self.peer = message.record.node
-            self._owner.add(self, message.record)
+            self._owner.add_link(self, message.record)
         else:
             self.close()
 
@@ -162,7 +162,7 @@
             if link.peer is not None
         }
 
-    def count_open_calls(self) -> int:
+    def count_pending_dials(self) -> int:
         """Return the streams whose peer was dialled and has not answered."""
         return sum(link.peer is None for link in self._dialled.values())
 
@@ -171,11 +171,11 @@
         if node in self._links:
             self._find_best(node).send(pack(message))
 
-    def spread(self, message: Any, skip: NodeId | None = None) -> None:
+    def broadcast(self, message: Any, skip: NodeId | None = None) -> None:
         """Send a message to every peer once, but for one."""
         self._send_each(message, self.list_peers() - {skip})
 
-    def pass_on(self, message: Any, source: NodeId) -> None:
+    def forward(self, message: Any, source: NodeId) -> None:
         """Send a message that came from a peer along the rings.
 
         Each node dials the next one on each ring, so what everyone passes on
@@ -192,13 +192,13 @@
         self._dialled[address] = link
         link.keep(self._transport.dial(host, port, link))
 
-    def keep_dialled(self, wanted: set[tuple[str, int]]) -> None:
+    def close_dialled_except(self, wanted: set[tuple[str, int]]) -> None:
         """Close the streams to addresses that are not wanted any more."""
         for address, link in tuple(self._dialled.items()):
             if address not in wanted:
                 link.close()
 
-    def drop(self, node: NodeId) -> None:
+    def disconnect(self, node: NodeId) -> None:
         """Close the streams with a peer."""
         for link in tuple(self._links.get(node, ())):
             link.close()
@@ -207,24 +207,24 @@
         """Return the listener of a stream that a peer opens."""
         return _Link(self)
 
-    def greet(self, link: _Link) -> None:
+    def send_hello(self, link: _Link) -> None:
         """Say who this node is; wait for the peer to do so."""
         link.send(pack(Hello(self._describe())))
         loop = asyncio.get_running_loop()
-        loop.call_later(HELLO_SECONDS, _close_unknown, link)
+        loop.call_later(HELLO_TIMEOUT_SECONDS, _close_unknown, link)
 
-    def add(self, link: _Link, record: NodeRecord) -> None:
+    def add_link(self, link: _Link, record: NodeRecord) -> None:
         """Use a stream whose peer has said who it is."""
         self._links[record.node].add(link)
         self._publish(self.Opened(record))
 
-    def receive(self, node: NodeId, message: Any) -> None:
+    def dispatch(self, node: NodeId, message: Any) -> None:
         """Pass a message on to the tasks that want its class."""
         received = self.Received(node, message)
         for actor in self._subscribers.get(type(message), ()):
             actor.post(received)
 
-    def end(self, link: _Link, why: str) -> None:
+    def remove_link(self, link: _Link, why: str) -> None:
         """Forget a stream that is closed."""
         self._closed_sent += link.sent
         self._closed_received += link.received
--- a/waywell/membership/membership.py
+++ b/waywell/membership/membership.py
@@ -24,14 +24,14 @@
 RINGS = 3
 """Rings on which a node has a next neighbour."""
 
-HALL_RING_NODES = 8
+MIN_HALL_RING_NODES = 8
 """Nodes of a hall from which on it has rings of its own; with fewer, rings of
 all halls keep a word going round when a node on the way is lost."""
 
-CALLERS = 8
+EXPECTED_DIALERS = 8
 """Nodes that are expected to call one that is lost or unknown at each look."""
 
-LEAST_LINKED_PART = 0.6
+MIN_LINKED_FRACTION = 0.6
 """Part of the entry boxes that must have their links to all services for the
 others to be left out of the list: callers keep their connections, so the few
 would carry all load for long after links are back."""
@@ -188,7 +188,7 @@
         states = [record.state for record in self._records.values()]
         return {state.name.lower(): states.count(state) for state in NodeState}
 
-    def change_own(
+    def update_own(
         self,
         state: NodeState | None = None,
         configuration: int | None = None,
@@ -287,7 +287,7 @@
         near = frozenset(
             node for node in present if self._records[node].hall == hall
         )
-        return near if len(near) >= HALL_RING_NODES else present
+        return near if len(near) >= MIN_HALL_RING_NODES else present
 
     def _answer(self, record: NodeRecord) -> NodeRecord | None:
         own = self.own
@@ -305,7 +305,7 @@
                 own, incarnation=incarnation, stamp=record.stamp
             ),
         )
-        return self.change_own()
+        return self.update_own()
 
     def _store(self, record: NodeRecord) -> None:
         self._drop(record.node)
@@ -343,7 +343,7 @@
     return zlib.crc32(text.encode())
 
 
-def may_call(live: int, draw: float) -> bool:
+def may_dial(live: int, draw: float) -> bool:
     """Answer whether this node is one of the few that call another now.
 
     All nodes know of a lost or unknown node at one moment; if each called it,
@@ -356,10 +356,10 @@
     draw
         A number from 0 up to 1, drawn anew for each call.
     """
-    return draw * live < CALLERS
+    return draw * live < EXPECTED_DIALERS
 
 
-def rank_contenders(
+def rank_candidates(
     records: Iterable[NodeRecord],
     duty: str,
     count: int,
@@ -387,6 +387,6 @@
 def select_linked(nodes: list[NodeRecord]) -> list[NodeRecord]:
     """Return the nodes with links to all services, where they are enough."""
     linked = [record for record in nodes if not record.lost_services]
-    if len(linked) < LEAST_LINKED_PART * len(nodes):
+    if len(linked) < MIN_LINKED_FRACTION * len(nodes):
         return nodes
     return linked
--- a/waywell/membership/presence.py
+++ b/waywell/membership/presence.py
@@ -11,7 +11,7 @@
 
 from waywell.connection.platform import Kind
 from waywell.ids import NodeId
-from waywell.membership.membership import may_call
+from waywell.membership.membership import may_dial
 from waywell.process.front_settings import Address, parse_address
 from waywell.telemetry.events import log_warning
 
@@ -24,23 +24,23 @@
     from waywell.membership.links import PeerLinks
     from waywell.membership.membership import MembershipTable, NodeRecord
 
-JOIN_SECONDS = 1.0
+JOIN_INTERVAL_SECONDS = 1.0
 """Seconds between two attempts to find other entry boxes."""
 
 JOIN_DIALS = 2
 """Entry boxes that a new one calls at each attempt."""
 
-START_DIALS = 8
+FIRST_DIALS = 8
 """Entry boxes that one which has started calls at its first look, to compare
 its routes with theirs; each is expected to be called by as many."""
 
-FIRST_LOOKS = 8
+FAST_JOIN_ATTEMPTS = 8
 """Looks in quick order after the start, while all others may start as well."""
 
-SPREAD_SECONDS = 2.0
+REWRITE_SPREAD_SECONDS = 2.0
 """Seconds over which nodes spread their writes after the store's return."""
 
-LOOK_AGAIN_SECONDS = 5.0
+LIST_CHECK_SECONDS = 5.0
 """Seconds between two looks for entry boxes that this one does not know."""
 
 
@@ -55,10 +55,10 @@
 class PeerContacts:
     """How far a node has reached the others."""
 
-    has_looked: bool
+    has_read_list: bool
     """Whether the platform's list was read, and nodes on it were called."""
 
-    open_calls: int
+    pending_dials: int
     """Calls that have neither failed nor been answered."""
 
     peers: frozenset[NodeId]
@@ -119,15 +119,15 @@
             if not self._is_listed:
                 self._is_listed = await self._list_self()
             await self._look()
-            is_settled = self._is_listed and looks > FIRST_LOOKS
+            is_settled = self._is_listed and looks > FAST_JOIN_ATTEMPTS
             await asyncio.sleep(
-                LOOK_AGAIN_SECONDS if is_settled else JOIN_SECONDS
+                LIST_CHECK_SECONDS if is_settled else JOIN_INTERVAL_SECONDS
             )
 
-    def list_again(self, _change: EraChange) -> None:
+    def schedule_rewrite(self, _change: EraChange) -> None:
         """Write this node again, as a copy of the store may lack it."""
         self._is_listed = False
-        self._wait_seconds = self._random.uniform(0, SPREAD_SECONDS)
+        self._wait_seconds = self._random.uniform(0, REWRITE_SPREAD_SECONDS)
 
     async def withdraw(self, seconds: float) -> None:
         """Take this node off the platform's list, if that is done in time.
@@ -156,11 +156,11 @@
         """Return how far this node has reached the others."""
         return PeerContacts(
             self._has_looked,
-            self._links.count_open_calls(),
+            self._links.count_pending_dials(),
             frozenset(self._links.list_peers()),
         )
 
-    def count_hearing(self) -> int:
+    def count_reachable_nodes(self) -> int:
         """Return the nodes that this one hears from, itself counted."""
         return self._members.count_live() if self._links.list_peers() else 1
 
@@ -188,13 +188,13 @@
         if not self._is_listed or not self._links.list_peers():
             return True
         live = self._members.count_live()
-        return may_call(live, self._random.random())
+        return may_dial(live, self._random.random())
 
     def _call(self, strangers: list[Address]) -> None:
         """Call some of the entry boxes that are not known."""
-        live = self.count_hearing()
+        live = self.count_reachable_nodes()
         for address in self._draw(strangers, JOIN_DIALS):
-            if may_call(live, self._random.random()):
+            if may_dial(live, self._random.random()):
                 self._links.dial(address.host, address.port)
 
     def _call_first(self, others: list[Address]) -> None:
--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -124,7 +124,7 @@
         self.repeat(PLAN_SECONDS, self.PlanTick())
         self.spawn(self._watch_boxes())
 
-    async def take_up(self) -> None:
+    async def start_work(self) -> None:
         """Forget what an earlier term knew."""
         self._base = None
         self._ready.clear()
@@ -326,7 +326,7 @@
         if isinstance(written, Failure):
             log_warning('roster_not_written', fault=written.failure().value)
             return
-        self.gossip.post(Gossip.Reached())
+        self.gossip.post(Gossip.PlatformReached())
         self._documents.adopt(DocumentKind.ROSTER, document)
         for group in plan.changed:
             log_event(
--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -7,7 +7,7 @@
 
 from waywell.connection.entry_peer import DocumentNews, DocumentWanted
 from waywell.connection.peer import Beat
-from waywell.membership.gossip import Numbers
+from waywell.membership.gossip import VersionNumbers
 from waywell.process.actor import Actor, Message
 from waywell.telemetry.events import log_event, log_warning
 from waywell.version.configuration import parse_configuration
@@ -45,9 +45,9 @@
         self.index = ServingIndex(self.configuration, self.roster)
 
     @property
-    def numbers(self) -> Numbers:
+    def numbers(self) -> VersionNumbers:
         """Return the versions in force."""
-        return Numbers(
+        return VersionNumbers(
             self.ledgers[DocumentKind.CONFIGURATION].current.number,
             self.ledgers[DocumentKind.ROSTER].current.number,
         )
@@ -211,6 +211,6 @@
         self._asked_at.pop(kind, None)
         log_event('document_adopted', kind=kind.value, number=document.number)
         change = compare_documents(before, document)
-        self._links.spread(DocumentNews(kind, change=change), skip=source)
+        self._links.broadcast(DocumentNews(kind, change=change), skip=source)
         for watcher in self._watchers:
             watcher(kind)
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -129,7 +129,7 @@
         """
         timing = self.settings.timing
         log_event('leaving', node=self.own.node)
-        self.gossip.post(Gossip.Advance(state=NodeState.LEAVING))
+        self.gossip.post(Gossip.OwnRecordChange(state=NodeState.LEAVING))
         await asyncio.sleep(timing.entry_list)
         self.refuses_new = True
         ends_at = self.clock.read() + timing.drain
@@ -408,7 +408,7 @@
         return self.home_claimer.answer(ask)
 
     def _note_document(self, _kind: DocumentKind) -> None:
-        self.gossip.post(Gossip.Advance(numbers=self.in_force.numbers))
+        self.gossip.post(Gossip.OwnRecordChange(numbers=self.in_force.numbers))
 
     def _report(self, request: CallerRequest, code: Code, ran: Ran) -> None:
         self.metrics.count_request(code, ran)
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -22,7 +22,7 @@
 from waywell.knowledge.platform_watch import WatchParts
 from waywell.knowledge.route_watch import RouteWatch
 from waywell.limits.rate_limiter import RateLimiter
-from waywell.membership.gossip import Gossip, Numbers
+from waywell.membership.gossip import Gossip, VersionNumbers
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import (
     MembershipTable,
@@ -30,7 +30,7 @@
     NodeState,
     select_linked,
 )
-from waywell.membership.presence import JOIN_DIALS, START_DIALS, Presence
+from waywell.membership.presence import FIRST_DIALS, JOIN_DIALS, Presence
 from waywell.process.clock import SystemClock
 from waywell.process.front_operations import FrontOperations
 from waywell.process.front_ports import FrontHandlers, FrontPorts
@@ -259,7 +259,7 @@
             self._random,
             _choose_first_dials(self.outlook),
         )
-        self.outlook.eras.listen(self.presence.list_again)
+        self.outlook.eras.listen(self.presence.schedule_rewrite)
         self.paths = make_node_paths(
             self.gossip,
             self.links,
@@ -305,8 +305,8 @@
             self.book,
             self.clock,
             DoubtListeners(
-                partial(self._tell_forming, FormingDuty.Doubted),
-                partial(self._tell_forming, FormingDuty.Heard),
+                partial(self._tell_forming, FormingDuty.GroupDoubted),
+                partial(self._tell_forming, FormingDuty.DoubtCleared),
             ),
             verify=self.paths.watch.verify,
         )
@@ -348,7 +348,7 @@
             self.clock,
             is_needed,
             self._reads_for_others,
-            self.presence.count_hearing,
+            self.presence.count_reachable_nodes,
             self._random.random,
         )
 
@@ -403,7 +403,7 @@
 
     def _tell_forming(
         self,
-        word: type[FormingDuty.Doubted | FormingDuty.Heard],
+        word: type[FormingDuty.GroupDoubted | FormingDuty.DoubtCleared],
         group: GroupId,
     ) -> None:
         """Tell the forming duty of a doubt; plain services have no group."""
@@ -421,8 +421,8 @@
         promises = self.settings.promises
         log_event('leaving', node=self.settings.node.name)
         self._is_leaving = True
-        self.gossip.post(Gossip.Advance(state=NodeState.LEAVING))
-        await self.forming.retire()
+        self.gossip.post(Gossip.OwnRecordChange(state=NodeState.LEAVING))
+        await self.forming.release()
         kept = promises.entry_list_term * KEPT_FACTOR
         await asyncio.sleep(min(kept, promises.stop_within - LAST_SECONDS))
 
@@ -489,7 +489,9 @@
         if is_ready == self._was_ready:
             return
         self._was_ready = is_ready
-        self.gossip.post(Gossip.Advance(numbers=Numbers(int(is_ready), 0)))
+        self.gossip.post(
+            Gossip.OwnRecordChange(numbers=VersionNumbers(int(is_ready), 0))
+        )
         version = self.outlook.index.table.version
         log_event('readiness', ready=is_ready, routes=version)
 
@@ -507,4 +509,4 @@
     """Return how many nodes one that has started calls at its first look."""
     if outlook.gate.is_open or outlook.eras.is_first_start:
         return JOIN_DIALS
-    return START_DIALS
+    return FIRST_DIALS
--- a/waywell/process/joiner.py
+++ b/waywell/process/joiner.py
@@ -85,7 +85,7 @@
             found.append((host, int(port)))
         answer = await self._platform.fetch_all(Kind.PRESENCE)
         if not isinstance(answer, Failure):
-            self._gossip.post(Gossip.Reached())
+            self._gossip.post(Gossip.PlatformReached())
             own = self._gossip.table.own.node
             for stored in answer.unwrap().objects:
                 found.extend(
--- a/waywell/process/watch.py
+++ b/waywell/process/watch.py
@@ -135,7 +135,7 @@
         if strangers:
             # Each call makes two parts one, so one at a time is enough.
             listed = self._random.choice(strangers)
-            self.gossip.call(listed['host'], listed['peer_port'])
+            self.gossip.dial(listed['host'], listed['peer_port'])
 
     async def on_recheck_tick(self, _tick: RecheckTick) -> None:
         """Read both documents: a watch may have missed a change."""
@@ -145,12 +145,12 @@
             read = await store.read()
             if isinstance(read, Failure):
                 return
-            self.gossip.post(Gossip.Reached())
+            self.gossip.post(Gossip.PlatformReached())
             stored = read.unwrap()
             self._documents.adopt(kind, stored.document)
             await self._restore(kind, stored.document, stored.version)
 
-    async def take_up(self) -> None:
+    async def start_work(self) -> None:
         """Read what is stored as soon as the lease is held."""
         self._written = []
         await self.on_recheck_tick(self.RecheckTick())
@@ -184,7 +184,7 @@
             if isinstance(answer, Failure):
                 await asyncio.sleep(FAILED_WAIT)
                 continue
-            self.gossip.post(Gossip.Reached())
+            self.gossip.post(Gossip.PlatformReached())
             changes = answer.unwrap()
             revision = changes.revision
             for stored in changes.objects:
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -186,7 +186,7 @@
                 log_event(
                     'request_cleared', **describe_trait(trait), ends=ends
                 )
-                self._links.spread(RequestCleared(trait))
+                self._links.broadcast(RequestCleared(trait))
         self._compare(held, 'own')
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
@@ -212,7 +212,7 @@
         for one in _list_words(word):
             self._speak_for_served(one, received.node)
             if self._take_word(one):
-                self._links.pass_on(one, received.node)
+                self._links.forward(one, received.node)
         self._compare(held, received.node)
 
     def take_stored(
@@ -224,7 +224,7 @@
         held = self.book.held
         if self.book.note_told(trait, hold):
             word = _describe_hold(trait, hold, self._clock.read())
-            self._links.spread(word)
+            self._links.broadcast(word)
         self._compare(held, 'platform')
 
     def count(self) -> dict[str, float]:
@@ -303,7 +303,7 @@
             requests=count_requests(runs),
             most=max(self.book.count_crashes(one) for one in runs),
         )
-        self._links.spread(_describe_end(self._drop_served(crash), now))
+        self._links.broadcast(_describe_end(self._drop_served(crash), now))
         self._remember_witnessed(runs)
         self._compare(held, 'own')
 
