--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -190,7 +190,9 @@
     order = Leave(entry.standing.group, entry.standing.epoch)
     head.restart()
     holder.refresh()
-    giving = holder.duty._give(Assignment(entry, order), holder.duty.epoch)
+    giving = holder.duty._send_order(
+        Assignment(entry, order), holder.duty.epoch
+    )
     holder.loop.run_until_complete(giving)
     assert not holder.orders.in_flight
 
--- a/waywell/duties/__init__.py
+++ b/waywell/duties/__init__.py
@@ -1,1 +1,1 @@
-"""What one node does for all: leases, and the forming of groups."""
+"""Work that one elected node does for all nodes: leases and group forming."""
--- a/waywell/duties/box_monitor.py
+++ b/waywell/duties/box_monitor.py
@@ -1,8 +1,9 @@
-"""Which boxes are asked how they are, and what their answers change.
+"""Choice of the boxes to probe, and evaluation of the results.
 
-Answers cuts between the boxes and the nodes' orders, while callers' requests
-still run: a box that does not answer the holder is lost only where no request
-speaks for its group.
+The network path that carries a node's orders to the boxes can fail while
+callers' requests still run.  A box that does not answer the holder of the duty
+is therefore counted as lost only if no running request shows that its group
+is alive.
 """
 
 from __future__ import annotations
@@ -23,64 +24,64 @@
     from waywell.version.forming_memory import FormingMemory
 
 REPROBE_SECONDS = 1.0
-"""Between two questions to a box that is listed, and lost or slow."""
-
+"""Interval between probes of a listed box that is lost or slow."""
 
 DOUBT_LIFETIME_SECONDS = 2.0
-"""For which a group that a node has doubted is not spoken for by its requests:
-those that were sent before still count as in flight."""
+"""Seconds after a doubt during which requests in flight do not count as a sign
+of life of the group: those sent before the failure are still counted."""
 
 DOUBT_DELAY_SECONDS = 0.35
-"""From a doubt until it says something: a sound group pauses while it reads
-long prompts, and a node that hears it go on takes the doubt back."""
+"""Seconds before a doubt takes effect: a healthy group pauses while it
+processes long prompts, and a node that sees it resume withdraws the doubt."""
 
 
 class BoxMonitor:
-    """Asks boxes for signs of life and takes in what they tell.
+    """Schedules probes of boxes and records their results.
 
     Parameters
     ----------
     outlook
-        Where the box list is.
-    begin
-        Begins to ask a box; its answer is taken in later.
+        Source of the box list.
+    start_probe
+        Starts an asynchronous probe of a box; the caller passes the result to
+        ``record_result`` or ``discard_probe``.
     count_requests
-        Returns the requests in flight at a box, of all nodes.
+        Returns the number of requests in flight at a box, from all nodes.
     """
 
     def __init__(
         self,
         outlook: Outlook,
-        begin: Callable[[FleetBox], None],
+        start_probe: Callable[[FleetBox], None],
         count_requests: Callable[[BoxLife], int],
     ) -> None:
-        """Ask nobody yet."""
+        """Start without probes in flight."""
         self._outlook = outlook
-        self._begin = begin
+        self._start_probe = start_probe
         self._count_requests = count_requests
-        self._asking: set[BoxLife] = set()
+        self._probing: set[BoxLife] = set()
         self._doubted_at: dict[GroupId, float] = {}
         self._unreached: dict[BoxLife, float] = {}
 
     def record_doubt(self, group: FleetGroup, now: float) -> None:
-        """Take in that a node hears nothing of a group any more."""
+        """Record a doubt about a group and probe the boxes of the group."""
         self._doubted_at[group.group] = now
         for member in group.members:
             self.probe(member)
 
     def clear_doubt(self, group: GroupId) -> None:
-        """Take in that a doubted group goes on."""
+        """Withdraw the doubt about a group that has resumed."""
         self._doubted_at.pop(group, None)
 
     def probe(self, box: FleetBox) -> None:
-        """Ask a box how it is, unless its answer is waited for."""
-        if box.life not in self._asking:
-            self._asking.add(box.life)
-            self._begin(box)
+        """Probe a box unless a probe of it is in flight."""
+        if box.life not in self._probing:
+            self._probing.add(box.life)
+            self._start_probe(box)
 
     def discard_probe(self, box: FleetBox) -> None:
-        """Take in that a question says nothing of its box."""
-        self._asking.discard(box.life)
+        """End a probe whose failure is no evidence against the box."""
+        self._probing.discard(box.life)
 
     def record_result(
         self,
@@ -89,58 +90,58 @@
         report: BoxReport | None,
         now: float,
     ) -> None:
-        """Take in an answer, or that none came.
+        """Record the result of a probe.
 
         Parameters
         ----------
         memory
-            What the holder of the duty remembers; changed.
+            State of the duty's holder; updated in place.
         box
-            The box, as it was listed when it was asked.
+            The box as it was listed when the probe was sent.
         report
-            What it told; ``None`` where nothing came.
+            Report of the box; ``None`` if it did not answer.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         """
-        self._asking.discard(box.life)
-        if report is None and self._is_spoken_for(box, now):
-            self._note_unreached(memory, box, now)
+        self._probing.discard(box.life)
+        if report is None and self._has_live_requests(box, now):
+            self._record_unreached(memory, box, now)
             return
         self._unreached.pop(box.life, None)
-        if report is None or not _is_of(box, report):
-            self._note_lost(memory, box, report, now)
+        if report is None or not _is_same_life(box, report):
+            self._record_lost(memory, box, report, now)
             return
         if box.life in memory.lost:
             memory.lost.pop(box.life)
             log_event('box_back', box=box.box)
-        self._note_report(memory, box, report, now)
+        self._record_report(memory, box, report, now)
 
     def probe_failing(self, memory: FormingMemory, now: float) -> None:
-        """Ask lost, unreached and slow boxes again while they are listed."""
-        self._forget_old(now)
-        for troubled in (memory.lost, self._unreached):
-            for box in self._list_due(troubled, now):
-                self.probe(box)
+        """Probe lost, unreached and slow boxes again while they are listed."""
+        self._expire_doubts(now)
+        for failing in (memory.lost, self._unreached):
+            for due in self._list_due(failing, now):
+                self.probe(due)
         fleet = self._outlook.fleet
-        for told in tuple(memory.reports):
-            known = fleet.find_life(told)
-            if known is None:
-                memory.reports.pop(told)
-            elif memory.is_slow(told):
-                self._ask_again(memory, known, now)
+        for life in tuple(memory.reports):
+            box = fleet.find_life(life)
+            if box is None:
+                memory.reports.pop(life)
+            elif memory.is_slow(life):
+                self._probe_if_stale(memory, box, now)
 
     def probe_unlisted(self, memory: FormingMemory, now: float) -> None:
-        """Ask boxes whose entries have gone whether they live."""
+        """Probe retained boxes whose entries have left the store's list."""
         for name in self._outlook.kept:
             box = self._outlook.fleet.boxes.get(name)
             if box is not None and box.life not in memory.lost:
-                self._ask_again(memory, box, now)
+                self._probe_if_stale(memory, box, now)
 
-    def _is_spoken_for(self, box: FleetBox, now: float) -> bool:
-        """Answer whether requests run at a box's group, and none stands still.
+    def _has_live_requests(self, box: FleetBox, now: float) -> bool:
+        """Return whether requests make progress at a box's group.
 
-        A group that lost a member stands still, which the nodes whose streams
-        run there notice within a fraction of a second, and doubt it.
+        A group that has lost a member stalls; the nodes with streams to it
+        detect that within a fraction of a second and raise a doubt.
         """
         standing = box.standing
         if standing is None:
@@ -154,110 +155,110 @@
             return False
         return self._count_requests(head.life) > 0
 
-    def _note_unreached(
+    def _record_unreached(
         self,
         memory: FormingMemory,
         box: FleetBox,
         now: float,
     ) -> None:
-        """Remember that a box of a group that serves does not answer."""
+        """Record that a box of a serving group does not answer."""
         if box.life not in self._unreached:
             log_warning('box_unreached', box=box.box)
-            self._ask_mates(memory, box, now)
+            self._probe_domain(memory, box, now)
         self._unreached[box.life] = now
 
     def _list_due(
         self,
-        troubled: dict[BoxLife, float],
+        failing: dict[BoxLife, float],
         now: float,
     ) -> list[FleetBox]:
-        """Return the boxes to ask again; forget those that are gone."""
+        """Return the boxes due for a probe; drop those no longer listed."""
         due = []
-        for life, asked_at in tuple(troubled.items()):
+        for life, probed_at in tuple(failing.items()):
             box = self._outlook.fleet.find_life(life)
             if box is None:
-                troubled.pop(life)
-            elif now - asked_at > REPROBE_SECONDS or self._is_doubted(box):
+                failing.pop(life)
+            elif now - probed_at > REPROBE_SECONDS or self._is_doubted(box):
                 due.append(box)
         return due
 
     def _is_doubted(self, box: FleetBox) -> bool:
-        """Answer whether a node hears nothing of a box's group just now."""
+        """Return whether a doubt about the box's group is in force."""
         standing = box.standing
         return standing is not None and standing.group in self._doubted_at
 
-    def _forget_old(self, now: float) -> None:
+    def _expire_doubts(self, now: float) -> None:
         for group, doubted_at in tuple(self._doubted_at.items()):
             if now - doubted_at > DOUBT_LIFETIME_SECONDS:
                 self._doubted_at.pop(group)
 
-    def _note_lost(
+    def _record_lost(
         self,
         memory: FormingMemory,
         box: FleetBox,
         report: BoxReport | None,
         now: float,
     ) -> None:
-        """Count a life of a box as lost; where it is news, ask its mates.
+        """Record a life of a box as lost; probe its domain on the first loss.
 
-        A box that tells another life than the list has started again: what
-        the list shows of it is over.
+        A box that reports another life than the listed one has restarted, so
+        the listed life has ended.
         """
-        is_news = box.life not in memory.lost
+        is_first_loss = box.life not in memory.lost
         memory.lost[box.life] = now
-        if is_news:
+        if is_first_loss:
             event = 'box_silent' if report is None else 'box_restarting'
             log_warning(event, box=box.box, ended=box.incarnation)
-            self._ask_mates(memory, box, now)
+            self._probe_domain(memory, box, now)
 
-    def _note_report(
+    def _record_report(
         self,
         memory: FormingMemory,
         box: FleetBox,
         report: BoxReport,
         now: float,
     ) -> None:
-        """Keep what a box told; where it is slow, others may be as well."""
+        """Store a box's report; probe its domain if the box is slow."""
         was_slow = memory.is_slow(box.life)
         memory.reports[box.life] = TimedReport(report, now)
         if report.is_slow() != was_slow:
             event = 'box_slow' if report.is_slow() else 'box_fast'
             log_event(event, box=box.box, pace=report.pace)
         if report.is_slow():
-            self._ask_mates(memory, box, now)
+            self._probe_domain(memory, box, now)
 
-    def _ask_mates(
+    def _probe_domain(
         self,
         memory: FormingMemory,
         box: FleetBox,
         now: float,
     ) -> None:
-        """Ask the boxes of a domain where one is silent or slow.
+        """Probe the other boxes of a domain in which one is silent or slow.
 
-        What hits one box often hits more.  Those that no request depends on
-        are noticed by nobody else until their entries lapse, and groups were
-        formed of them in vain: of 20 boxes of 171 that went silent at one
-        moment, the holder knew 9 at the most after 2 s (one day's log).
+        Faults of boxes in a domain are correlated.  The failure of a box that
+        serves no request stays undetected until its entry expires, and new
+        groups formed from such boxes fail: when 20 of 171 boxes went silent
+        at once, the holder had detected at most 9 of them after 2 s.
         """
         silent = memory.lost.keys() | self._unreached.keys()
         for other in self._outlook.fleet.boxes.values():
-            is_mate = other.domain == box.domain
-            is_mate = is_mate and other.service == box.service
-            if is_mate and other.life not in silent:
-                self._ask_again(memory, other, now)
+            is_peer = other.domain == box.domain
+            is_peer = is_peer and other.service == box.service
+            if is_peer and other.life not in silent:
+                self._probe_if_stale(memory, other, now)
 
-    def _ask_again(
+    def _probe_if_stale(
         self,
         memory: FormingMemory,
         box: FleetBox,
         now: float,
     ) -> None:
-        """Ask a box how it is, unless it told a moment ago."""
+        """Probe a box unless its last report is recent."""
         reading = memory.reports.get(box.life)
         if reading is None or now - reading.read_at > REPROBE_SECONDS:
             self.probe(box)
 
 
-def _is_of(box: FleetBox, report: BoxReport) -> bool:
-    """Answer whether a report is of the life that the list shows."""
+def _is_same_life(box: FleetBox, report: BoxReport) -> bool:
+    """Return whether a report belongs to the listed life of a box."""
     return may_be_same_life(box.incarnation, report.incarnation)
--- a/waywell/duties/box_probe.py
+++ b/waywell/duties/box_probe.py
@@ -1,4 +1,4 @@
-"""Questions to boxes for a sign of life."""
+"""Liveness probes of boxes."""
 
 from __future__ import annotations
 
@@ -11,38 +11,40 @@
     from waywell.version.fleet import FleetBox
 
 SECOND_PROBE_DELAY_SECONDS = 0.1
-"""Until a box is asked a second time beside the first: one packet may be lost,
-and a group with a lost box stands still until that is known.  One question
-after the other took 0.6 s in place of 0.4 s."""
+"""Delay before a second probe is sent in parallel with the first.
+
+A single lost packet must not delay the result, since a group with a lost box
+is stalled until the loss is detected.  With sequential probes detection took
+0.6 s instead of 0.4 s."""
 
 
 async def probe_box(orders: BoxOrders, box: FleetBox) -> BoxReport | None:
-    """Ask a box how it is, a second time where it does not answer at once.
+    """Request a box's report, with a second request if the first is slow.
 
     Returns
     -------
     BoxReport or None
-        What it told first; ``None`` when neither question was answered.
+        The first report received; ``None`` when both requests failed.
     """
     first = asyncio.ensure_future(orders.read_report(box))
     try:
         await asyncio.wait({first}, timeout=SECOND_PROBE_DELAY_SECONDS)
         if first.done():
             return first.result() or await orders.read_report(box)
-        return await _probe_twice(first, orders, box)
+        return await _probe_in_parallel(first, orders, box)
     finally:
         first.cancel()
 
 
-async def _probe_twice(
+async def _probe_in_parallel(
     first: asyncio.Future[BoxReport | None],
     orders: BoxOrders,
     box: FleetBox,
 ) -> BoxReport | None:
     second = asyncio.ensure_future(orders.read_report(box))
     try:
-        for answered in asyncio.as_completed((first, second)):
-            report = await answered
+        for completed in asyncio.as_completed((first, second)):
+            report = await completed
             if report is not None:
                 return report
     finally:
--- a/waywell/duties/duty.py
+++ b/waywell/duties/duty.py
@@ -1,4 +1,4 @@
-"""Duties that one entry box holds by a lease in the platform."""
+"""Duties, each performed by the entry box that holds its lease."""
 
 from __future__ import annotations
 
@@ -24,34 +24,34 @@
     from waywell.process.clock import Clock
 
 CANDIDATES_PER_DUTY = 3
-"""Nodes that contend for one duty."""
+"""Nodes that compete for the lease of one duty."""
 
 TICKS_PER_TERM = 6
-"""Looks at a lease within its term."""
+"""Checks of a lease per term."""
 
 
 def make_operation() -> str:
-    """Return a fresh id for a write."""
+    """Return a new random id for a write."""
     return secrets.token_hex(8)
 
 
 class LeaseManager:
-    """Takes and renews one lease in the platform.
+    """Acquires and renews one lease in the platform's store.
 
     Parameters
     ----------
     name
         Name of the lease.
     platform
-        The platform.
+        Client of the platform's store.
     gossip
-        Membership, which learns that the platform was reached.
+        Membership; informed of each successful call to the platform.
     clock
-        Where the time is read.
+        Time source.
     term
         Term of the lease, in seconds.
     eras
-        Era of the platform's store.
+        Tracker of the era of the platform's store.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         term: float,
         eras: EraTracker,
     ) -> None:
-        """Start without a look at the lease."""
+        """Start without reading the lease."""
         own = gossip.table.own
         self.state = LeaseState(own.node, own.incarnation, term)
         self._eras = eras
@@ -75,22 +75,22 @@
         self._version = 0
 
     def is_held(self) -> bool:
-        """Answer whether this node holds the lease now."""
+        """Return whether this node holds the lease now."""
         return self.state.is_held(self._clock.read())
 
     async def update(self) -> None:
-        """Look at the lease, renew it or take it."""
+        """Read the lease if needed; renew or acquire it if due."""
         if not self.is_held() or not self._has_seen_era():
-            await self._look()
+            await self._read()
         if not self._has_seen_era():
             return
         now = self._clock.read()
-        move = self.state.choose_action(now)
-        if move is not LeaseAction.WAIT:
-            await self._write(move, now)
+        action = self.state.choose_action(now)
+        if action is not LeaseAction.WAIT:
+            await self._write(action, now)
 
     async def release(self) -> None:
-        """Give the lease back, so that nobody waits for its end."""
+        """Release the lease, so that no candidate waits for it to expire."""
         if not self.is_held() or not self._has_seen_era():
             return
         record = self.state.make_released_record(make_operation())
@@ -106,15 +106,16 @@
                 'lease_kept', lease=self._name, fault=answer.failure().value
             )
 
-    async def _look(self) -> None:
-        """Look at the lease, by a cheap answer while its holder runs.
+    async def _read(self) -> None:
+        """Read the lease, with a cached read while its holder is known to run.
 
-        Cheap answers may be seconds old and show the renewals of a holder that
-        has ended since: with answers of up to 6 s before, a duty lay idle for
-        8.0 s in place of the term of 2 s.
+        Cached reads may be seconds old and show renewals of a holder that has
+        stopped since.  With reads up to 6 s old, a duty had no holder for
+        8.0 s instead of the term of 2 s, so an uncertain holder causes a
+        fresh read.
         """
         has_era_changed = self._seen_era not in {None, self._eras.current}
-        fresh = self._doubts_holder() or has_era_changed
+        fresh = self._is_holder_uncertain() or has_era_changed
         answer = await self._platform.fetch(
             Kind.LEASE, self._name, fresh=fresh
         )
@@ -123,12 +124,12 @@
         self._gossip.post(Gossip.PlatformReached())
         stored = answer.unwrap()
         if fresh or (stored is not None and stored.version >= self._version):
-            self._take_in(stored)
+            self._observe(stored)
         elif stored is None and not self._version:
-            self._take_in(None)
+            self._observe(None)
 
-    def _doubts_holder(self) -> bool:
-        """Answer whether the holder is not known to run any more."""
+    def _is_holder_uncertain(self) -> bool:
+        """Return whether the holder is not known to be running."""
         record = self.state.record
         if record is None:
             return False
@@ -138,13 +139,14 @@
         return known.state is not NodeState.LIVE
 
     def _has_seen_era(self) -> bool:
-        """Return whether the lease was read in the store's present era.
+        """Return whether the lease was last read in the current store era.
 
-        Its version is one of that era, and may name another write later.
+        A version is valid only in its era: in a later one the same number may
+        belong to another write.
         """
         return self._seen_era == self._eras.current
 
-    def _take_in(self, stored: Stored | None) -> None:
+    def _observe(self, stored: Stored | None) -> None:
         era = self._eras.current
         self._seen_era = era
         self.state.is_first_start = self._eras.is_first_start
@@ -166,8 +168,8 @@
             return
         self.state.observe(record, now, era)
 
-    async def _write(self, move: LeaseAction, sent_at: float) -> None:
-        record = self.state.make_next_record(move, make_operation())
+    async def _write(self, action: LeaseAction, sent_at: float) -> None:
+        record = self.state.make_next_record(action, make_operation())
         answer = await self._platform.write(
             Kind.LEASE,
             self._name,
@@ -175,58 +177,58 @@
             self._version,
         )
         if isinstance(answer, Failure):
-            await self._settle(record, sent_at, answer.failure())
+            await self._verify_write(record, sent_at, answer.failure())
             return
         self._gossip.post(Gossip.PlatformReached())
         if not self._has_seen_era():
-            # The version that was expected may name another write by now.
-            await self._settle(record, sent_at, PlatformFault.FORMER_ERA)
+            # The expected version may belong to another write in the new era.
+            await self._verify_write(record, sent_at, PlatformFault.FORMER_ERA)
             return
         self._version = answer.unwrap().version
         self.state.confirm_write(record, sent_at, self._clock.read())
 
-    async def _settle(
+    async def _verify_write(
         self,
         record: LeaseRecord,
         sent_at: float,
         fault: PlatformFault,
     ) -> None:
-        """Find out whether a write without an answer took effect."""
+        """Check whether a write without a definite result took effect."""
         if fault is PlatformFault.NOT_SENT:
             return
         answer = await self._platform.fetch(Kind.LEASE, self._name)
         if isinstance(answer, Failure):
             return
         stored = answer.unwrap()
-        self._take_in(stored)
+        self._observe(stored)
         current = self.state.record
-        # One that was carried out in a later era than it was sent in met a
-        # version that was given out again.
+        # A write applied in a later era than it was sent in matched a reused
+        # version, so it does not count.
         if current == record and current.era == self._eras.current:
             self.state.confirm_write(current, sent_at, self._clock.read())
 
 
 class Duty(Actor):
-    """Holds a lease and does its work while it holds it.
+    """Actor that performs a duty while this node holds its lease.
 
     Parameters
     ----------
     name
         Name of the duty and of its lease.
     platform
-        The platform.
+        Client of the platform's store.
     gossip
-        Membership, to know the contenders.
+        Membership, from which the candidates are selected.
     clock
-        Where the time is read.
+        Time source.
     term
         Term of the lease, in seconds.
     eras
-        Era of the platform's store; one that never changes by default.
+        Tracker of the store's era; by default one whose era never changes.
     """
 
     class LeaseTick(Message, frozen=True):
-        """A look at the lease is due."""
+        """A check of the lease is due."""
 
     def __init__(
         self,
@@ -246,38 +248,39 @@
         self.gossip = gossip
         self.clock = clock
         self._term = term
-        self._taken_epoch: int | None = None
-        self._ranked_for = -1
+        self._active_epoch: int | None = None
+        self._ranked_digest = -1
         self._candidates: list[NodeId] = []
 
     def start(self) -> None:
-        """Begin to look at the lease."""
+        """Start the periodic check of the lease."""
         super().start()
         self.repeat(self._term / TICKS_PER_TERM, self.LeaseTick())
 
     def is_held(self) -> bool:
-        """Answer whether this node holds the duty now.
+        """Return whether this node performs the duty now.
 
-        A lease that lapsed and was taken again within one look begins a new
-        term, whose work must not go on by what the former one knew; so it
-        counts from when that was forgotten.
+        A lease that expires and is acquired again between two checks begins a
+        new term, which must not use state of the previous one.  It
+        counts only from the check that calls ``start_work``, which resets that
+        state.
         """
-        return self.lease.is_held() and self._taken_epoch == self.epoch
+        return self.lease.is_held() and self._active_epoch == self.epoch
 
     @property
     def epoch(self) -> int:
-        """Return the epoch of the lease, as last seen."""
+        """Return the epoch of the lease as last read."""
         return self.lease.state.epoch
 
     def list_eligible(self) -> list[NodeRecord]:
-        """Return the nodes that the duty may fall to."""
+        """Return the nodes that may become candidates for the duty."""
         return self.gossip.table.list_live()
 
     def is_candidate(self) -> bool:
-        """Answer whether this node is one of the few that contend."""
+        """Return whether this node competes for the lease."""
         table = self.gossip.table
-        if table.digest != self._ranked_for:
-            self._ranked_for = table.digest
+        if table.digest != self._ranked_digest:
+            self._ranked_digest = table.digest
             self._candidates = rank_candidates(
                 self.list_eligible(),
                 self.name,
@@ -286,43 +289,43 @@
         return table.own.node in self._candidates
 
     def can_hold(self) -> bool:
-        """Answer whether this node can do the work of the duty."""
+        """Return whether this node is able to perform the duty."""
         return True
 
     def find_minimum_epoch(self) -> int:
-        """Return the highest epoch that is known to have been in use."""
+        """Return the highest epoch known to have been used."""
         return 0
 
     async def start_work(self) -> None:
-        """Begin the duty; called when the lease was taken."""
+        """Start the work of the duty; called after the lease is acquired."""
 
     def stop_work(self) -> None:
-        """End the duty; called when the lease was lost."""
+        """Stop the work of the duty; called after the lease is lost."""
 
     async def release(self) -> None:
-        """Give the duty back before this node stops."""
+        """Release the lease before this node stops."""
         await self.lease.release()
 
     async def on_lease_tick(self, _tick: LeaseTick) -> None:
-        """Renew, take or watch the lease."""
+        """Renew, acquire or read the lease; start or stop the work."""
         if self.lease.is_held() and not self.can_hold():
             await self.release()
         elif self.is_candidate() or self.lease.is_held():
             self.lease.state.raise_minimum_epoch(self.find_minimum_epoch())
             await self.lease.update()
         epoch = self.epoch if self.lease.is_held() else None
-        if epoch == self._taken_epoch:
+        if epoch == self._active_epoch:
             return
-        if self._taken_epoch is not None:
-            log_event('duty_lost', duty=self.name, epoch=self._taken_epoch)
+        if self._active_epoch is not None:
+            log_event('duty_lost', duty=self.name, epoch=self._active_epoch)
             self.stop_work()
-        self._taken_epoch = epoch
+        self._active_epoch = epoch
         if epoch is not None:
             log_event('duty_taken', duty=self.name, epoch=epoch)
             await self.start_work()
 
     def dump(self) -> dict[str, object]:
-        """Return the lease as plain values."""
+        """Return the state of the lease as plain values."""
         record = self.lease.state.record
         return {
             'held': self.is_held(),
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -1,4 +1,4 @@
-"""The duty of forming groups: one node plans and gives the orders."""
+"""Duty of forming groups: one node plans and sends the orders to boxes."""
 
 from __future__ import annotations
 
@@ -50,111 +50,113 @@
     from waywell.process.clock import Clock
 
 PLAN_SECONDS = 0.15
-"""Between two plans: a tenth of the time in which a group is patched."""
+"""Interval between plans: a tenth of the time that it takes to patch a
+group."""
 
 MAX_BOX_LIST_AGE_SECONDS = 2.0
-"""Seconds after which a box list is too old to give orders by."""
+"""Age beyond which the box list is too old to base orders on it."""
 
 EPOCHS_PER_TERM = 1_000_000
-"""Epochs that one holder has; the next one's are higher."""
+"""Group epochs reserved for each term of the lease, so that groups of a later
+term have higher epochs."""
 
 MIN_NEW_TERM_INTERVAL_SECONDS = 10.0
-"""Between two terms that are given up because a box has seen a later one: each
-new term forgets what the holder has learned."""
+"""Minimum interval between terms that are abandoned because a box has seen a
+later one: each new term discards what the holder has learned."""
 
 SETTLE_SECONDS = 1.5
-"""For which the list of a service must have been the same before the first
-groups are formed, so that whole domains are there."""
+"""Seconds for which the number of boxes must be unchanged before the first
+groups are formed, so that whole domains are listed."""
 
 
 @attrs.frozen
 class FormingSources:
-    """What a holder of the duty knows of requests and of its own links."""
+    """Sources of demand, request counts and link state at this node."""
 
     read_demand: Callable[[float], Mapping[ModelName, float]]
-    """Returns the places that callers take, by model."""
+    """Returns the number of places that callers occupy, by model."""
 
     count_requests: Callable[[BoxLife], int]
-    """Returns the requests in flight at a box, of all nodes."""
+    """Returns the number of requests in flight at a box, from all nodes."""
 
     links: ReplicaPaths = attrs.Factory(DirectPaths)
-    """This node's links to boxes."""
+    """Reachability of the boxes from this node."""
 
 
 class FormingDuty(Duty):
-    """Plans groups and gives the orders while it holds the lease.
+    """Plans groups and sends orders to boxes while it holds the lease.
 
     Parameters
     ----------
     platform
-        The platform, for the lease.
+        Client of the platform's store, which keeps the lease.
     gossip
         Membership.
     clock
-        Where the time is read.
+        Time source.
     outlook
-        Routes and boxes in force.
+        Routes and box list in force.
     orders
-        Calls to boxes.
+        Client of the boxes, for orders and reports.
     term
         Term of the lease, in seconds.
     sources
-        What this node knows of requests and of its own links.
+        Request counts, demand and link state at this node.
     """
 
     class PlanTick(Message, frozen=True):
-        """A plan is due."""
+        """A planning pass is due."""
 
     class GroupDoubted(Message, frozen=True):
-        """A node hears nothing of a group any more."""
+        """A node no longer receives anything from a group."""
 
         group: GroupId
-        """The group."""
+        """Group that is doubted."""
 
     class DoubtCleared(Message, frozen=True):
-        """A doubted group goes on."""
+        """A doubted group has resumed."""
 
         group: GroupId
-        """The group."""
+        """Group whose doubt is withdrawn."""
 
     class BoxProbed(Message, frozen=True):
-        """A box was asked for a sign of life."""
+        """A probe of a box has ended."""
 
         box: FleetBox
-        """The box."""
+        """Box as it was listed when the probe was sent."""
 
         report: BoxReport | None
-        """What it told; ``None`` where nothing came."""
+        """Report of the box; ``None`` if it did not answer."""
 
         is_conclusive: bool = True
-        """Whether the lack of a report speaks against the box."""
+        """Whether a missing report is evidence against the box."""
 
     class OrderCompleted(Message, frozen=True):
-        """A box has answered an order, or has not."""
+        """An order has been answered or has failed."""
 
         assignment: Assignment
-        """The order."""
+        """Order and the box that it was sent to."""
 
         result: OrderResult
-        """What came of it."""
+        """Answer of the box, or the kind of failure."""
 
         epoch: int
-        """Epoch of the lease under which it was planned."""
+        """Epoch of the lease under which the order was planned."""
 
     class GroupNotFormed(Message, frozen=True):
-        """No join of a new group was sent, as a box does not fit."""
+        """A new group was given up before any join, as boxes are unfit."""
 
         service: ServiceName
-        """Service of its boxes."""
+        """Service of the group's boxes."""
 
         group: GroupId
-        """The group."""
+        """Group that was planned."""
 
         unfit: tuple[BoxLife, ...]
-        """The boxes that do not fit."""
+        """Boxes that can't join the group."""
 
         epoch: int
-        """Epoch of the lease under which it was planned."""
+        """Epoch of the lease under which the group was planned."""
 
     def __init__(
         self,
@@ -178,7 +180,7 @@
         self._summaries: dict[ServiceName, FormingSummary] = {}
         self.loads = LoadHistory()
         self._monitor = BoxMonitor(
-            outlook, self._begin_probe, sources.count_requests
+            outlook, self._start_probe, sources.count_requests
         )
         self._box_count = 0
         self._counted_at = 0.0
@@ -186,37 +188,37 @@
         self._planning: asyncio.Task[object] | None = None
 
     def list_eligible(self) -> list[NodeRecord]:
-        """Return the nodes that reach boxes, where any does."""
+        """Return the nodes with links to all services, or all if none has."""
         live = super().list_eligible()
-        return [one for one in live if not one.lost_services] or live
+        return [record for record in live if not record.lost_services] or live
 
     def can_hold(self) -> bool:
-        """Answer whether this node reaches the boxes that form groups."""
+        """Return whether this node reaches the boxes of all services."""
         return not any(
             self._links.is_partitioned(name)
             for name, _engine in self._outlook.index.list_engines()
         )
 
     def find_minimum_epoch(self) -> int:
-        """Return the term of the latest group that is listed.
+        """Return the lease epoch of the latest listed group.
 
-        Where the lease was written over, nothing else tells it.
+        If the lease record was overwritten, this is the only source of it.
         """
         return self._outlook.fleet.find_latest_epoch() // EPOCHS_PER_TERM
 
     async def start_work(self) -> None:
-        """Forget what an earlier term knew; begin to plan."""
+        """Discard the state of earlier terms and start planning."""
         self._memories.clear()
         self.loads.forget_attempts()
         self._planning = self.repeat(PLAN_SECONDS, self.PlanTick())
 
     def stop_work(self) -> None:
-        """Plan no more."""
+        """Stop planning."""
         if self._planning is not None:
             self._planning.cancel()
 
     def on_plan_tick(self, _tick: PlanTick) -> None:
-        """Plan for each service, and give the orders."""
+        """Plan the groups of each service and send the orders."""
         now = self.clock.read()
         if not self.is_held() or not self._may_plan(now):
             return
@@ -229,28 +231,28 @@
             view = FormingView(
                 name,
                 engine,
-                self._list_present(name, memory),
+                self._list_live(name, memory),
                 self._read_demand(now),
                 self._outlook.kept,
             )
             planner = FormingPlanner(view, memory, now)
-            self._send(planner.plan())
-            self._note_summary(name, planner.summary, view)
+            self._send_orders(planner.plan())
+            self._log_summary(name, planner.summary, view)
             log_load_backoffs(name, memory.load_failures.pop_backoffs())
 
     def on_order_completed(self, ordered: OrderCompleted) -> None:
-        """Note what came of an order of this term of work."""
-        if not self._is_of_this_term(ordered.epoch):
+        """Record the result of an order of the current term."""
+        if not self._is_current_term(ordered.epoch):
             return
         now = self.clock.read()
         memory = self._get_memory(ordered.assignment.box.service)
         memory.record_result(ordered.assignment, ordered.result, now)
         if ordered.result is OrderResult.OUTDATED:
-            self._begin_later_term(now)
+            self._start_later_term(now)
 
     def on_group_not_formed(self, not_formed: GroupNotFormed) -> None:
-        """Give up a group of this term of work whose boxes do not fit."""
-        if not self._is_of_this_term(not_formed.epoch):
+        """Give up a planned group of the current term with unfit boxes."""
+        if not self._is_current_term(not_formed.epoch):
             return
         log_warning(
             'group_not_formed',
@@ -262,18 +264,18 @@
         )
 
     def on_group_doubted(self, doubted: GroupDoubted) -> None:
-        """Ask the members of a doubted group for a sign of life."""
+        """Probe the members of a doubted group."""
         group = self._outlook.fleet.groups.get(doubted.group)
         if not self.is_held() or group is None:
             return
         self._monitor.record_doubt(group, self.clock.read())
 
-    def on_doubt_cleared(self, heard: DoubtCleared) -> None:
-        """Take in that a doubted group goes on."""
-        self._monitor.clear_doubt(heard.group)
+    def on_doubt_cleared(self, cleared: DoubtCleared) -> None:
+        """Withdraw the doubt about a group."""
+        self._monitor.clear_doubt(cleared.group)
 
     def on_box_probed(self, probed: BoxProbed) -> None:
-        """Count a life of a box as lost, or as back."""
+        """Record the result of a probe."""
         if not probed.is_conclusive:
             self._monitor.discard_probe(probed.box)
             return
@@ -282,7 +284,7 @@
         self._monitor.record_result(memory, probed.box, probed.report, now)
 
     def dump(self) -> dict[str, object]:
-        """Return the duty as plain values."""
+        """Return the state of the duty as plain values."""
         return {
             **super().dump(),
             'services': {
@@ -296,12 +298,12 @@
             },
         }
 
-    def _list_present(
+    def _list_live(
         self,
         service: ServiceName,
         memory: FormingMemory,
     ) -> Fleet:
-        """Return the boxes of a service that give signs of life."""
+        """Return the listed boxes of a service that are not lost."""
         return Fleet(
             {
                 name: box
@@ -310,11 +312,11 @@
             },
         )
 
-    def _begin_probe(self, box: FleetBox) -> None:
+    def _start_probe(self, box: FleetBox) -> None:
         self.spawn(self._probe(box))
 
     async def _probe(self, box: FleetBox) -> BoxReport | None:
-        """Ask a box for a sign of life; note and return what it told."""
+        """Probe a box; post the result to this actor and return the report."""
         report = await probe_box(self._orders, box)
         is_conclusive = report is not None
         if not is_conclusive:
@@ -323,7 +325,7 @@
         return report
 
     def _may_plan(self, now: float) -> bool:
-        """Answer whether the box list is new enough and has settled."""
+        """Return whether the box list is recent and its size is stable."""
         count = len(self._outlook.fleet.boxes)
         if count != self._box_count:
             self._box_count = count
@@ -346,54 +348,57 @@
             self._memories[service] = memory
         return memory
 
-    def _note_summary(
+    def _log_summary(
         self,
         service: ServiceName,
         summary: FormingSummary,
         view: FormingView,
     ) -> None:
-        """Log how the groups stand when that has changed."""
+        """Log the group counts of a service if they have changed."""
         if self._summaries.get(service) == summary:
             return
         self._summaries[service] = summary
         log_group_counts(summary, view)
 
-    def _is_of_this_term(self, epoch: int) -> bool:
-        """Answer whether a plan was made in the present term of work."""
+    def _is_current_term(self, epoch: int) -> bool:
+        """Return whether a plan was made in the current term."""
         return self.is_held() and epoch == self.epoch
 
-    def _begin_later_term(self, now: float) -> None:
-        """Take the lease anew: a box has had orders of a later term.
+    def _start_later_term(self, now: float) -> None:
+        """Abandon the term, as a box has received orders of a later one.
 
-        Epochs of the next term are higher, so its orders count again.
+        The lease is then acquired again with a higher epoch, so that boxes
+        accept this node's orders again.
         """
         if now - self._outdated_at > MIN_NEW_TERM_INTERVAL_SECONDS:
             self._outdated_at = now
             log_warning('term_outdated', duty=self.name, epoch=self.epoch)
             self.lease.state.abandon_term()
 
-    def _send(self, assignments: list[Assignment]) -> None:
-        """Give the orders of a plan; boxes are asked before they join."""
+    def _send_orders(self, assignments: list[Assignment]) -> None:
+        """Send the orders of a plan; probe the boxes of a new group first."""
         joins: dict[GroupId, list[Assignment]] = defaultdict(list)
         for assignment in assignments:
             if isinstance(assignment.order, Join):
                 joins[assignment.order.group].append(assignment)
             else:
-                self.spawn(self._give(assignment, self.epoch))
+                self.spawn(self._send_order(assignment, self.epoch))
         for group, members in joins.items():
-            self.spawn(self._form(group, tuple(members), self.epoch))
+            self.spawn(self._form_group(group, tuple(members), self.epoch))
 
-    async def _form(
+    async def _form_group(
         self,
         group: GroupId,
         joins: tuple[Assignment, ...],
         epoch: int,
     ) -> None:
-        """Ask the boxes of a new group; give the joins if all of them fit."""
-        told = await asyncio.gather(*(self._probe(join.box) for join in joins))
+        """Probe the boxes of a new group; send the joins if all are fit."""
+        probed = await asyncio.gather(
+            *(self._probe(join.box) for join in joins)
+        )
         reports = {
             join.box.life: report
-            for join, report in zip(joins, told, strict=True)
+            for join, report in zip(joins, probed, strict=True)
             if report is not None
         }
         check = check_joins(joins, reports)
@@ -402,11 +407,11 @@
             self.post(self.GroupNotFormed(service, group, check.unfit, epoch))
             return
         await asyncio.gather(
-            *(self._give(join, epoch) for join in check.joins)
+            *(self._send_order(join, epoch) for join in check.joins)
         )
 
-    async def _give(self, assignment: Assignment, epoch: int) -> None:
-        if not self._is_of_this_term(epoch):
+    async def _send_order(self, assignment: Assignment, epoch: int) -> None:
+        if not self._is_current_term(epoch):
             return
         if self._outlook.fleet.has_restarted(assignment.box):
             log_order(assignment, OrderResult.ENDED)
--- a/waywell/duties/forming_log.py
+++ b/waywell/duties/forming_log.py
@@ -1,4 +1,4 @@
-"""Log lines of the forming duty: how groups stand, and each order."""
+"""Log lines of the forming duty: group counts, load backoffs and orders."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def log_group_counts(summary: FormingSummary, view: FormingView) -> None:
-    """Log how the groups of a service stand."""
+    """Log the boxes, groups by state, idle boxes and demand of a service."""
     log_event(
         'groups',
         service=view.service,
@@ -38,7 +38,7 @@
     service: ServiceName,
     backoffs: Iterable[LoadBackoff],
 ) -> None:
-    """Log the models that are not loaded for a while."""
+    """Log the models whose loads are suspended after crashes."""
     for backoff in backoffs:
         log_warning(
             'model_loads_limited',
@@ -51,10 +51,10 @@
 
 
 def log_order(assignment: Assignment, result: OrderResult) -> None:
-    """Log an order and what came of it.
+    """Log an order and its result.
 
-    ``shown`` is the box's place in a group as the plan saw it, and ``begun``
-    the number of the state for which a join holds.
+    ``shown`` is the box's group and state as listed when the plan was made.
+    ``begun`` is the order count of the box for which a join is valid.
     """
     log = log_event if result is OrderResult.ACCEPTED else log_warning
     order, standing = assignment.order, assignment.box.standing
--- a/waywell/duties/lease.py
+++ b/waywell/duties/lease.py
@@ -1,22 +1,22 @@
-"""Leases in the platform: who holds a duty, fenced by an epoch.
+"""Leases in the platform's store: one holder per duty, fenced by an epoch.
 
-No clocks are compared: a contender takes a lease over when it has seen
-the same holder and the same beat for longer than the term by its own
-clock; a holder counts its lease from before it sent the last renewal
-that is known to have taken effect.
+Clocks of different nodes are never compared.  A candidate takes over a lease
+after it has seen the same holder and beat for longer than the term, measured
+by its own clock.  A holder measures its lease from the time before it sent the
+last renewal that is known to have taken effect.
 
-A run of a node proves to itself that the node's former run has ended, so it
-need not wait for a lease which that run held.  Other nodes wait: where a clock
-was set back, the number of a newer run may be the lower one.
+A new run of a node knows that the node's former run has ended, so it need not
+wait for a lease held by that run.  Other nodes must wait: if a clock was set
+back, the newer of two runs may have the lower incarnation.
 
-Each term of work has an epoch of its own: a holder that has lost trust in its
-lease takes it anew with the next epoch, also where nobody took it meanwhile.
-What it forgot at the end of one term is so never numbered like that of the
-next.
+Each term has its own epoch.  A holder whose lease has expired acquires it with
+the next epoch, even if no other node held it in between.  State discarded at
+the end of one term therefore never shares an epoch with that of the next.
 
-A store that comes back from an older copy may lack the lease of a holder that
-still trusts it.  So a contender waits for a whole term after a new era began,
-also for a lease that is vacant or its own, unless that was written in the era.
+A store restored from an older copy may lack the lease of a holder that still
+trusts it.  After a new era begins, a candidate therefore waits for a full
+term, even if the lease is vacant or its own, unless the record was written in
+the new era.
 """
 
 from __future__ import annotations
@@ -34,66 +34,67 @@
 from waywell.ids import Incarnation, NodeId
 
 TRUSTED_TERM_FRACTION = 0.8
-"""Part of the term for which a holder trusts its own lease."""
+"""Fraction of the term for which a holder trusts its own lease."""
 
 RENEWAL_TERM_FRACTION = 0.25
-"""Part of the term after which a holder renews."""
+"""Fraction of the term after which a holder renews its lease."""
 
 EPOCHS_SKIPPED_PER_ERA = 100
-"""Epochs that each era skips; a copy lacks fewer terms."""
+"""Epochs skipped when a new era begins; must exceed the number of terms that a
+restored copy of the store can lack."""
 
 NO_HOLDER = NodeId('')
-"""Holder of a lease that was given back."""
+"""Holder of a lease that has been released."""
 
 UNKNOWN_HOLDER = NodeId('?')
-"""Holder of a lease over which another writer has written: whoever held it may
-still trust it, so it is waited for as for any other."""
+"""Holder of a lease that another writer has overwritten; the former holder may
+still trust it, so candidates wait for a full term."""
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """A lease as the platform keeps it."""
+    """Record of a lease in the platform's store."""
 
     holder: NodeId
-    """Entry box that holds the duty."""
+    """Entry box that holds the lease."""
 
     incarnation: Incarnation
-    """Incarnation of the holder."""
+    """Incarnation of the holder when it acquired the lease."""
 
     epoch: int
-    """Fence: rises with each term of work, also of the same holder."""
+    """Fencing token; increases with each term, even for the same holder."""
 
     beat: int = 0
-    """Rises with each renewal."""
+    """Number of renewals in this term."""
 
     operation: str = ''
-    """Id of the write, to recognise it when its answer was lost."""
+    """Id of the write, which identifies it if its answer is lost."""
 
     era: StoreEra = UNTOLD_ERA
-    """Era of the store in which it was written."""
+    """Era of the store in which the record was written."""
 
 
 class LeaseAction(enum.Enum):
-    """What a contender should do now."""
+    """Action due for a candidate."""
 
     WAIT = 'wait'
-    """Nothing: another holds it, or the own lease is fresh."""
+    """None: another node holds the lease, or no renewal is due."""
 
     RENEW = 'renew'
-    """Renew the own lease."""
+    """Renew the lease held by this node."""
 
     ACQUIRE = 'take'
-    """Take it over, or create it."""
+    """Take over or create the lease."""
 
 
 class LeaseState:
-    """What one contender knows of a lease.
+    """State of a lease as seen by one candidate.
 
     Parameters
     ----------
     node
-        This entry box.
+        Name of this entry box.
     incarnation
-        Its incarnation.
+        Incarnation of this entry box.
     term
         Term of the lease, in seconds.
     """
@@ -104,28 +105,28 @@
         incarnation: Incarnation,
         term: float,
     ) -> None:
-        """Start without a look at the lease."""
+        """Start without having read the lease."""
         self.record: LeaseRecord | None = None
         self._node = node
         self._incarnation = incarnation
         self._term = term
         self.is_first_start = False
-        """Whether a lease that is not there was never held."""
+        """Whether a missing lease is known never to have been held."""
         self._era = UNSEEN_ERA
         self._has_seen_record = False
         self._seen_at = 0.0
-        self._least_epoch = 0
+        self._minimum_epoch = 0
         self._held_from = float('-inf')
         self._term_epoch = 0
 
     @property
     def epoch(self) -> int:
-        """Return the epoch last seen."""
+        """Return the epoch of the last record seen; 0 if there is none."""
         return self.record.epoch if self.record else 0
 
     def raise_minimum_epoch(self, epoch: int) -> None:
-        """Let the next term have a higher epoch than one that was in use."""
-        self._least_epoch = max(self._least_epoch, epoch)
+        """Require the next term to have a higher epoch than a used one."""
+        self._minimum_epoch = max(self._minimum_epoch, epoch)
 
     def observe(
         self,
@@ -133,16 +134,16 @@
         now: float,
         era: StoreEra | None = None,
     ) -> None:
-        """Take in what the platform shows at ``now``.
+        """Record the lease as read from the store at ``now``.
 
         Parameters
         ----------
         record
-            The lease, or ``None`` where there is none.
+            Lease record, or ``None`` if there is none.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         era
-            Era of the store; that of the last look by default.
+            Era of the store; by default that of the last read.
         """
         era = self._era if era is None else era
         if record == self.record and era == self._era:
@@ -159,16 +160,16 @@
         now: float,
         era: StoreEra | None = None,
     ) -> None:
-        """Take in that another writer has written over the lease.
+        """Record that another writer has overwritten the lease.
 
         Parameters
         ----------
         version
-            Version of what is there.
+            Version of the overwritten object.
         now
-            The present time, in seconds.
+            Current time, in seconds.
         era
-            Era of the store; that of the last look by default.
+            Era of the store; by default that of the last read.
         """
         unknown = LeaseRecord(UNKNOWN_HOLDER, Incarnation(0), 0, version)
         self.observe(unknown, now, era)
@@ -176,10 +177,10 @@
     def confirm_write(
         self, record: LeaseRecord, sent_at: float, now: float
     ) -> None:
-        """Take in that an own write, sent at ``sent_at``, took effect.
+        """Record that this node's write, sent at ``sent_at``, took effect.
 
-        A renewal that is known only after the trust has lapsed does not bring
-        the term back: its work may have been given up meanwhile.
+        A renewal confirmed only after the lease has expired does not restore
+        the term, since its work may have been stopped in between.
         """
         has_lapsed = record.epoch == self._term_epoch and not self.is_held(now)
         self.observe(record, now)
@@ -188,30 +189,30 @@
             self._held_from = sent_at
 
     def abandon_term(self) -> None:
-        """Give the present term up, as a later one is known of."""
+        """Stop trusting the lease, as a later term is known to exist."""
         self._held_from = float('-inf')
 
     def is_held(self, now: float) -> bool:
-        """Answer whether this node holds the lease at ``now``."""
-        # A copy may show a record of an earlier term of this holder.
-        is_present_term = self._is_mine() and self.epoch == self._term_epoch
-        return is_present_term and now < self._held_from + self._trusted
+        """Return whether this node holds the lease at ``now``."""
+        # A restored store may show this node's record of an earlier term.
+        is_current_term = self._is_own() and self.epoch == self._term_epoch
+        return is_current_term and now < self._held_from + self._trusted_for
 
     def choose_action(self, now: float) -> LeaseAction:
-        """Return what to do at ``now``."""
+        """Return the action due at ``now``."""
         if self._is_free():
             return LeaseAction.ACQUIRE
-        if self.is_held(now) or self._is_mine() and self._is_of_this_era():
-            return self._choose_own_move(now)
+        if self.is_held(now) or self._is_own() and self._is_current_era():
+            return self._choose_holder_action(now)
         if now - self._seen_at > self._term:
             return LeaseAction.ACQUIRE
         return LeaseAction.WAIT
 
     def make_next_record(
-        self, move: LeaseAction, operation: str
+        self, action: LeaseAction, operation: str
     ) -> LeaseRecord:
-        """Return the record to write for a move."""
-        if move is LeaseAction.RENEW and self.record is not None:
+        """Return the record to write for an action."""
+        if action is LeaseAction.RENEW and self.record is not None:
             return msgspec.structs.replace(
                 self.record,
                 beat=self.record.beat + 1,
@@ -227,32 +228,33 @@
         )
 
     def make_released_record(self, operation: str) -> LeaseRecord:
-        """Return the record that gives the own lease back."""
+        """Return the record that releases the lease held by this node."""
         return LeaseRecord(
             NO_HOLDER, self._incarnation, self.epoch, 0, operation, self._era
         )
 
-    def _choose_own_move(self, now: float) -> LeaseAction:
-        """Return what to do about an own record."""
-        if not self.is_held(now) or self._least_epoch > self.epoch:
+    def _choose_holder_action(self, now: float) -> LeaseAction:
+        """Return the action due for a lease whose record names this run."""
+        if not self.is_held(now) or self._minimum_epoch > self.epoch:
             return LeaseAction.ACQUIRE
         is_due = now >= self._held_from + self._term * RENEWAL_TERM_FRACTION
-        if is_due or not self._is_of_this_era():
+        if is_due or not self._is_current_era():
             return LeaseAction.RENEW
         return LeaseAction.WAIT
 
     def _is_free(self) -> bool:
-        """Return whether nobody can trust the lease."""
+        """Return whether no node can still trust the lease."""
         if self.record is None:
-            return not self._has_seen_record and self._is_of_this_era()
-        if not self._is_of_this_era():
+            return not self._has_seen_record and self._is_current_era()
+        if not self._is_current_era():
             return False
-        return self.record.holder == NO_HOLDER or self._is_of_former_run()
+        return self.record.holder == NO_HOLDER or self._is_held_by_former_run()
 
-    def _is_of_this_era(self) -> bool:
-        """Return whether the store has kept all since the record's writing.
+    def _is_current_era(self) -> bool:
+        """Return whether the record was written in the store's current era.
 
-        A store that tells no era is taken to lose nothing.
+        A missing record counts as current only on the first start.  A store
+        that reports no era is assumed to lose no writes.
         """
         if not is_told(self._era):
             return True
@@ -261,18 +263,18 @@
         return self.record.era == self._era
 
     def _choose_epoch(self) -> int:
-        """Return an epoch above those that were or may have been in use."""
-        used = max(self.epoch, self._least_epoch)
+        """Return an epoch above all that were or may have been used."""
+        used = max(self.epoch, self._minimum_epoch)
         if not is_told(self._era):
             return used + 1
-        # Where the copy lacks any lease, the era alone tells the terms apart.
+        # If the copy lacks the lease, only the era separates the terms.
         used = max(used, (self._era - 1) * EPOCHS_SKIPPED_PER_ERA)
-        if self.record is not None and not self._is_of_this_era():
+        if self.record is not None and not self._is_current_era():
             return used + EPOCHS_SKIPPED_PER_ERA
         return used + 1
 
-    def _is_of_former_run(self) -> bool:
-        """Answer whether an earlier run of this node holds the lease."""
+    def _is_held_by_former_run(self) -> bool:
+        """Return whether an earlier run of this node holds the lease."""
         record = self.record
         return (
             record is not None
@@ -281,10 +283,10 @@
         )
 
     @property
-    def _trusted(self) -> float:
+    def _trusted_for(self) -> float:
         return self._term * TRUSTED_TERM_FRACTION
 
-    def _is_mine(self) -> bool:
+    def _is_own(self) -> bool:
         record = self.record
         return (
             record is not None
