--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -23,7 +23,7 @@
         self.dropped: list[NodeId] = []
         self.dialled: list[NodeId | None] = []
 
-    def subscribe(self, *_words: object) -> None:
+    def subscribe(self, *_args: object) -> None:
         """Take no subscriber."""
 
     def list_peers(self) -> set[NodeId]:
@@ -61,7 +61,7 @@
     The stream was kept: its peer was suspected and cleared again each second.
     """
     gossip, links, clock = make_gossip()
-    monkeypatch.setattr(gossip, '_report', lambda *_words: None)
+    monkeypatch.setattr(gossip, '_publish_changes', lambda *_args: None)
     clock.now += TimingSettings().silence
     gossip._suspect_silent(clock.now)
     assert links.dropped == [B]
@@ -73,7 +73,7 @@
 
 def test_a_stream_that_was_heard_is_kept(monkeypatch: Any) -> None:
     gossip, links, clock = make_gossip()
-    monkeypatch.setattr(gossip, '_report', lambda *_words: None)
+    monkeypatch.setattr(gossip, '_publish_changes', lambda *_args: None)
     clock.now += TimingSettings().silence - 0.1
     gossip._suspect_silent(clock.now)
     assert not links.dropped
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -87,13 +87,13 @@
     links = SimpleNamespace(list_peers=lambda: {'n1'})
     presence = Presence(_Store(), table, links, (), Random(1))
     presence._is_listed = True
-    looks = sum(presence._may_look() for _ in range(1950))
+    looks = sum(presence._may_read_list() for _ in range(1950))
     assert 40 <= looks <= 120
     alone = Presence(
         _Store(), table, SimpleNamespace(list_peers=set), (), Random(1)
     )
     alone._is_listed = True
-    assert all(alone._may_look() for _ in range(100))
+    assert all(alone._may_read_list() for _ in range(100))
 
 
 def test_a_silent_platform_does_not_keep_a_node_that_stops() -> None:
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -92,7 +92,7 @@
     links = SimpleNamespace(list_peers=lambda: {'n1'}, dial=lambda *_: None)
     presence = Presence(store, table, links, (), Random(1))  # type: ignore[arg-type]
     eras.listen(presence.schedule_rewrite)
-    presence._may_look = lambda: False  # type: ignore[method-assign]
+    presence._may_read_list = lambda: False  # type: ignore[method-assign]
     task = asyncio.create_task(presence.run())
     await wait_until(lambda: 'n0' in store.objects)
     come_back(store, eras)
--- a/waywell/membership/__init__.py
+++ b/waywell/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which entry boxes there are, and the streams between them."""
+"""Membership of the entry boxes, and the streams between them."""
--- a/waywell/membership/gossip.py
+++ b/waywell/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The task that keeps the membership view and the streams it needs."""
+"""Actor that maintains the membership view and the streams to neighbours."""
 
 from __future__ import annotations
 
@@ -30,60 +30,60 @@
     from waywell.telemetry.timing import TimingSettings
 
 FLUSH_DELAY_SECONDS = 0.1
-"""Seconds for which news gathers before it is passed on."""
+"""Seconds for which changed records are batched before they are sent."""
 
 MAX_REJOINS = 2
-"""Lost nodes that are tried again at each attempt."""
+"""Lost nodes that are dialled in one attempt to reach them."""
 
 REJOIN_BEATS = 5
-"""Beats between two attempts to reach lost nodes."""
+"""Beats between attempts to reach lost nodes and to close unwanted streams."""
 
 MISMATCHED_BEATS = 3
-"""Beats with different digests in a row before all records are sent."""
+"""Consecutive beats with another digest before all records are sent."""
 
 
 class VersionNumbers(msgspec.Struct, frozen=True):
-    """Versions in force at this node."""
+    """Version numbers in force at one node."""
 
     configuration: int = 0
-    """Of the configuration."""
+    """Version of the configuration; 0 if none is in force."""
 
     roster: int = 0
-    """Of the roster."""
+    """Version of the roster; 0 if none is in force."""
 
 
 class Gossip(Actor):
-    """Owns the membership view.
+    """Owns the membership view and spreads changes of it by gossip.
 
     Parameters
     ----------
     table
-        View, with this node in it.
+        Membership view, which contains this node's record.
     links
         Streams to other nodes.
     clock
-        Where the time is read.
+        Time source.
     timing
-        Periods and bounds.
+        Intervals and timeouts.
     """
 
     class Tick(Message, frozen=True):
         """A beat is due."""
 
     class Flush(Message, frozen=True):
-        """News that has gathered is due to be passed on."""
+        """Batched changes are due to be sent."""
 
     class OwnRecordChange(Message, frozen=True):
-        """This node has a new version in force, or is leaving."""
+        """This node's own record changes; ``None`` keeps a value."""
 
         state: NodeState | None = None
-        """New state."""
+        """New state of this node."""
 
         numbers: VersionNumbers | None = None
-        """New versions."""
+        """New version numbers in force at this node."""
 
         lost_services: tuple[ServiceName, ...] | None = None
-        """Services whose replicas this node does not reach."""
+        """Services whose replicas this node can't reach."""
 
     class PlatformReached(Message, frozen=True):
         """This node has reached the platform."""
@@ -95,7 +95,7 @@
         clock: Clock,
         timing: TimingSettings,
     ) -> None:
-        """Start with the view as it is."""
+        """Start with the given view."""
         super().__init__('gossip')
         self.table = table
         self.numbers = VersionNumbers()
@@ -104,12 +104,12 @@
         self._timing = timing
         self._random = Random(table.own.incarnation)
         self._heard_at: dict[NodeId, float] = {}
-        self._differs: dict[NodeId, int] = {}
+        self._mismatches: dict[NodeId, int] = {}
         self._beats = 0
         self._reached_at = -math.inf
         self._pending: dict[NodeId, tuple[NodeRecord, NodeId | None]] = {}
         self._watchers: list[Callable[[NodeRecord], None]] = []
-        self._kept: dict[str, tuple[NodeRecord, ...]] = {}
+        self._extra_streams: dict[str, tuple[NodeRecord, ...]] = {}
         links.subscribe(
             self,
             PeerLinks.Opened,
@@ -119,7 +119,7 @@
         )
 
     def watch_changes(self, watcher: Callable[[NodeRecord], None]) -> None:
-        """Call a watcher with each record that changes."""
+        """Call ``watcher`` with each record that changes."""
         self._watchers.append(watcher)
 
     def keep_streams(
@@ -127,28 +127,28 @@
         user: str,
         records: tuple[NodeRecord, ...],
     ) -> None:
-        """Keep streams to some nodes that need not be neighbours.
+        """Keep streams to nodes that need not be neighbours.
 
         Parameters
         ----------
         user
-            Task that needs them, in place of those that it needed before.
+            Name of the actor that needs the streams.
         records
-            The nodes.
+            Nodes to keep streams to; replaces the user's previous nodes.
         """
-        if records != self._kept.get(user, ()):
-            self._kept[user] = records
+        if records != self._extra_streams.get(user, ()):
+            self._extra_streams[user] = records
             self._dial_neighbours(self._clock.read())
 
     def get_platform_age(self, now: float) -> float:
-        """Return seconds since any node is known to have reached it."""
+        """Return the seconds since any node is known to have reached it."""
         return now - self._reached_at
 
     def on_tick(self, _tick: Tick) -> None:
-        """Send a beat, look for silent neighbours, mend streams."""
+        """Send a beat, suspect silent peers and dial missing streams."""
         now = self._clock.read()
         self._beats += 1
-        self._report(self.table.tick(now))
+        self._publish_changes(self.table.tick(now))
         self._send_beat(now)
         self._suspect_silent(now)
         self._dial_neighbours(now)
@@ -156,38 +156,38 @@
             self._dial_lost()
 
     def on_flush(self, _flush: Flush) -> None:
-        """Pass on what has changed, a message a neighbour.
+        """Send the batched changes, in one message per peer.
 
-        All nodes tell of a new version within moments, so news that
-        gathers for a moment costs a small part of the messages.
+        All nodes announce a new version at almost the same time, so a short
+        batch delay saves most of the messages.
         """
         pending = tuple(self._pending.values())
         self._pending.clear()
         for peer in self._links.list_peers() if pending else ():
-            news = tuple(
+            changes = tuple(
                 record for record, source in pending if source != peer
             )
-            if news:
-                self._links.send(peer, Records(news))
+            if changes:
+                self._links.send(peer, Records(changes))
 
-    def on_own_record_change(self, advance: OwnRecordChange) -> None:
-        """Spread this node's own change."""
-        numbers = advance.numbers or self.numbers
+    def on_own_record_change(self, change: OwnRecordChange) -> None:
+        """Update this node's record and spread it."""
+        numbers = change.numbers or self.numbers
         self.numbers = numbers
         record = self.table.update_own(
-            advance.state,
+            change.state,
             numbers.configuration,
             numbers.roster,
-            advance.lost_services,
+            change.lost_services,
         )
-        self._report([record])
+        self._publish_changes([record])
 
     def on_platform_reached(self, _reached: PlatformReached) -> None:
-        """Note that the platform was reached."""
+        """Record the time at which the platform was reached."""
         self._reached_at = self._clock.read()
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
-        """Tell a new neighbour all that is known."""
+        """Send all records to a new peer."""
         now = self._clock.read()
         record = opened.record
         self._heard_at[record.node] = now
@@ -195,32 +195,32 @@
         self._links.send(record.node, Records(self.table.records, whole=True))
 
     def on_unreachable(self, unreachable: PeerLinks.Unreachable) -> None:
-        """Suspect a neighbour whose stream broke and can't be dialled."""
+        """Suspect a peer whose stream broke and can't be dialled again."""
         node = unreachable.node
         if node in self._links.list_peers():
             return
         if self._heard_at.pop(node, None) is not None:
-            # The first loss of a stream: dial again before a suspicion.
+            # First loss of the stream: dial again before suspecting the peer.
             self._dial_neighbours(self._clock.read())
             return
         self._suspect(node)
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in a beat or records."""
+        """Process a beat or records from a peer."""
         message = received.message
         if isinstance(message, Records):
             self._merge(message.records, received.node)
             if message.whole:
                 self._send_missing(received.node, message.records)
             return
-        self._take_beat(received.node, message)
+        self._process_beat(received.node, message)
 
     def dial(self, host: str, peer_port: int) -> None:
-        """Open a stream to an entry box that is not in the view."""
+        """Open a stream to an entry box that may be unknown."""
         self._links.dial(host, peer_port)
 
     def dump(self) -> dict[str, object]:
-        """Return the view as plain values."""
+        """Return the membership view as plain values."""
         return {
             'nodes': [
                 msgspec.structs.asdict(record) for record in self.table.records
@@ -230,18 +230,18 @@
             ),
         }
 
-    def _take_beat(self, node: NodeId, beat: Beat) -> None:
+    def _process_beat(self, node: NodeId, beat: Beat) -> None:
         now = self._clock.read()
         self._heard_at[node] = now
         self._reached_at = max(self._reached_at, now - beat.platform_age)
         if beat.digest == self.table.digest:
-            self._differs.pop(node, None)
+            self._mismatches.pop(node, None)
             return
-        count = self._differs.get(node, 0) + 1
-        self._differs[node] = count % MISMATCHED_BEATS
+        count = self._mismatches.get(node, 0) + 1
+        self._mismatches[node] = count % MISMATCHED_BEATS
         if count >= MISMATCHED_BEATS:
-            whole = Records(self.table.records, whole=True)
-            self._links.send(node, whole)
+            full_view = Records(self.table.records, whole=True)
+            self._links.send(node, full_view)
 
     def _send_beat(self, now: float) -> None:
         beat = Beat(
@@ -256,7 +256,7 @@
         for node in self._links.list_dialled():
             heard_at = self._heard_at.setdefault(node, now)
             if now - heard_at >= self._timing.silence:
-                # A stream may be silent for good while a new one works.
+                # A stream may stay silent forever while a new one would work.
                 self._links.disconnect(node)
                 self._suspect(node)
 
@@ -264,12 +264,12 @@
         record = self.table.suspect(node, self._clock.read())
         if record is not None:
             log_event('node_suspected', node=node)
-            self._report([record])
+            self._publish_changes([record])
 
     def _dial_neighbours(self, now: float) -> None:
         wanted = set()
-        kept = chain.from_iterable(self._kept.values())
-        for record in (*self.table.list_neighbours(), *kept):
+        extra = chain.from_iterable(self._extra_streams.values())
+        for record in (*self.table.list_neighbours(), *extra):
             address = (record.host, record.peer_port)
             wanted.add(address)
             self._links.dial(*address, record.node)
@@ -292,43 +292,43 @@
     ) -> None:
         now = self._clock.read()
         merged = [self.table.merge(record, now) for record in records]
-        news = [record for record in merged if record is not None]
-        # An answer about this node itself goes to the source as well.
-        own = any(record.node == self.table.own_name for record in news)
-        self._report(news, None if own else source)
+        changes = [record for record in merged if record is not None]
+        # A refutation about this node also goes back to the source.
+        is_own = any(record.node == self.table.own_name for record in changes)
+        self._publish_changes(changes, None if is_own else source)
 
     def _send_missing(
         self,
         node: NodeId,
-        theirs: tuple[NodeRecord, ...],
+        received: tuple[NodeRecord, ...],
     ) -> None:
-        known = {record.node: record.rank for record in theirs}
+        ranks = {record.node: record.rank for record in received}
         missing = tuple(
             record
             for record in self.table.records
-            if known.get(record.node, (-1, 0, 0)) < record.rank
+            if ranks.get(record.node, (-1, 0, 0)) < record.rank
         )
         if missing:
             self._links.send(node, Records(missing))
 
-    def _report(
+    def _publish_changes(
         self,
-        news: list[NodeRecord],
+        changes: list[NodeRecord],
         source: NodeId | None = None,
     ) -> None:
-        """Pass news on and tell the other tasks of this node."""
-        if not news:
+        """Queue changed records for sending and notify the watchers."""
+        if not changes:
             return
         if not self._pending:
             loop = asyncio.get_running_loop()
             loop.call_later(FLUSH_DELAY_SECONDS, self.post, self.Flush())
-        for record in news:
+        for record in changes:
             self._pending[record.node] = (record, source)
-            self._note_state(record)
+            self._disconnect_if_lost(record)
             for watcher in self._watchers:
                 watcher(record)
 
-    def _note_state(self, record: NodeRecord) -> None:
+    def _disconnect_if_lost(self, record: NodeRecord) -> None:
         if record.state is NodeState.LOST:
             log_event('node_lost', node=record.node)
             self._links.disconnect(record.node)
--- a/waywell/membership/links.py
+++ b/waywell/membership/links.py
@@ -1,4 +1,4 @@
-"""Streams to neighbours: opened, kept, closed; their messages passed on."""
+"""Streams to other entry boxes, and dispatch of their messages."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
     from waywell.membership.membership import NodeRecord
 
 HELLO_TIMEOUT_SECONDS = 2.0
-"""Seconds for a new stream's first message."""
+"""Seconds within which the first message of a new stream must arrive."""
 
 
 class _Link(StreamListener):
-    """One stream, in either direction.
+    """One stream, opened by either side.
 
     Parameters
     ----------
     owner
-        Where what happens is told.
+        Actor that is notified of events on the stream.
     address
-        Where it was dialled; ``None`` for one that the peer opened.
+        Address that was dialled; ``None`` if the peer opened the stream.
     expected
-        The peer, where it is known before it has said so.
+        Name of the peer, if it is known before the peer's ``Hello``.
     """
 
     def __init__(
@@ -66,18 +66,18 @@
         if self._stream is not None:
             self._stream.close()
 
-    def keep(self, stream: PeerStream) -> None:
-        """Note the stream, which may not stand yet."""
+    def attach(self, stream: PeerStream) -> None:
+        """Set the stream, which may not be established yet."""
         self._stream = stream
 
     def on_open(self, stream: PeerStream) -> None:
-        self.keep(stream)
+        self.attach(stream)
         self._owner.send_hello(self)
 
     def on_message(self, message: Any) -> None:
         self.heard_at = asyncio.get_running_loop().time()
         if self.peer is None:
-            self._meet(message)
+            self._handle_hello(message)
             return
         self.received += 1
         self._owner.dispatch(self.peer, message)
@@ -85,8 +85,8 @@
     def on_close(self, why: str) -> None:
         self._owner.remove_link(self, why)
 
-    def _meet(self, message: Any) -> None:
-        """Take in the first message, which says who the peer is."""
+    def _handle_hello(self, message: Any) -> None:
+        """Process the first message, which identifies the peer."""
         if isinstance(message, Hello):
             self.peer = message.record.node
             self._owner.add_link(self, message.record)
@@ -100,31 +100,31 @@
     Parameters
     ----------
     describe
-        Returns this node's present record, for the first message.
+        Returns this node's current record, which the first message carries.
     transport
         Opens the streams.
     """
 
     class Opened(Message, frozen=True):
-        """A stream stands and the peer has said who it is."""
+        """A stream is established and its peer is identified."""
 
         record: Any
-        """Record of the peer."""
+        """Record that the peer sent of itself."""
 
     class Unreachable(Message, frozen=True):
-        """A neighbour can't be reached."""
+        """A dialled stream to a peer has ended or could not be opened."""
 
         node: NodeId
-        """The neighbour."""
+        """Name of the peer."""
 
     class Received(Message, frozen=True):
-        """A message came."""
+        """A message was received from a peer."""
 
         node: NodeId
-        """Who sent it."""
+        """Name of the sender."""
 
         message: Any
-        """What it says."""
+        """Decoded message."""
 
     def __init__(
         self,
@@ -142,20 +142,20 @@
         self._closed_received = 0
 
     def subscribe(self, actor: Actor, *kinds: type) -> None:
-        """Pass messages of some classes on to an actor."""
+        """Dispatch messages of the given classes to an actor."""
         for kind in kinds:
             self._subscribers.setdefault(kind, []).append(actor)
 
     def list_peers(self) -> set[NodeId]:
-        """Return the peers with a stream that stands."""
+        """Return the peers with an established stream."""
         return set(self._links)
 
     def has_peer(self, node: NodeId) -> bool:
-        """Answer whether a stream to a node stands."""
+        """Return whether a stream to a node is established."""
         return node in self._links
 
     def list_dialled(self) -> set[NodeId]:
-        """Return the peers that this node opened a stream to."""
+        """Return the identified peers of the streams this node dialled."""
         return {
             link.peer
             for link in self._dialled.values()
@@ -163,81 +163,82 @@
         }
 
     def count_pending_dials(self) -> int:
-        """Return the streams whose peer was dialled and has not answered."""
+        """Return the number of dialled streams without a ``Hello`` yet."""
         return sum(link.peer is None for link in self._dialled.values())
 
     def send(self, node: NodeId, message: Any) -> None:
-        """Send a message on one stream to a peer, if one stands."""
+        """Send a message on one stream to a peer, if one is established."""
         if node in self._links:
-            self._find_best(node).send(pack(message))
+            self._find_latest(node).send(pack(message))
 
     def broadcast(self, message: Any, skip: NodeId | None = None) -> None:
-        """Send a message to every peer once, but for one."""
-        self._send_each(message, self.list_peers() - {skip})
+        """Send a message once to every peer except ``skip``."""
+        self._send_to(message, self.list_peers() - {skip})
 
     def forward(self, message: Any, source: NodeId) -> None:
-        """Send a message that came from a peer along the rings.
+        """Forward a peer's message along the rings, except to ``source``.
 
-        Each node dials the next one on each ring, so what everyone passes on
-        to those that it dialled reaches all, each a few times.
+        Each node dials its successor on each ring, so a message that every
+        node forwards to the peers it dialled reaches all nodes, each a few
+        times.
         """
-        self._send_each(message, self.list_dialled() - {source})
+        self._send_to(message, self.list_dialled() - {source})
 
     def dial(self, host: str, port: int, node: NodeId | None = None) -> None:
-        """Open a stream to an address, unless there is one."""
+        """Open a stream to an address unless one has been dialled."""
         address = (host, port)
         if address in self._dialled:
             return
         link = _Link(self, address, node)
         self._dialled[address] = link
-        link.keep(self._transport.dial(host, port, link))
+        link.attach(self._transport.dial(host, port, link))
 
     def close_dialled_except(self, wanted: set[tuple[str, int]]) -> None:
-        """Close the streams to addresses that are not wanted any more."""
+        """Close the dialled streams to all addresses not in ``wanted``."""
         for address, link in tuple(self._dialled.items()):
             if address not in wanted:
                 link.close()
 
     def disconnect(self, node: NodeId) -> None:
-        """Close the streams with a peer."""
+        """Close all streams to a peer."""
         for link in tuple(self._links.get(node, ())):
             link.close()
 
     def make_listener(self) -> StreamListener:
-        """Return the listener of a stream that a peer opens."""
+        """Return a listener for a stream that a peer opens."""
         return _Link(self)
 
     def send_hello(self, link: _Link) -> None:
-        """Say who this node is; wait for the peer to do so."""
+        """Send this node's record and start the timeout for the peer's."""
         link.send(pack(Hello(self._describe())))
         loop = asyncio.get_running_loop()
         loop.call_later(HELLO_TIMEOUT_SECONDS, _close_unknown, link)
 
     def add_link(self, link: _Link, record: NodeRecord) -> None:
-        """Use a stream whose peer has said who it is."""
+        """Register a stream whose peer is identified."""
         self._links[record.node].add(link)
         self._publish(self.Opened(record))
 
     def dispatch(self, node: NodeId, message: Any) -> None:
-        """Pass a message on to the tasks that want its class."""
+        """Post a message to the actors subscribed to its class."""
         received = self.Received(node, message)
         for actor in self._subscribers.get(type(message), ()):
             actor.post(received)
 
     def remove_link(self, link: _Link, why: str) -> None:
-        """Forget a stream that is closed."""
+        """Remove a closed stream."""
         self._closed_sent += link.sent
         self._closed_received += link.received
         if link.peer is not None:
-            self._forget(link, link.peer)
+            self._unregister(link, link.peer)
         if link.address is None:
             return
         self._dialled.pop(link.address, None)
         host, port = link.address
         log_detail('stream_ended', host=host, port=port, why=why)
-        gone = link.peer or link.expected
-        if gone is not None:
-            self._publish(self.Unreachable(gone))
+        peer = link.peer or link.expected
+        if peer is not None:
+            self._publish(self.Unreachable(peer))
 
     async def stop(self) -> None:
         """Close all streams."""
@@ -246,7 +247,7 @@
         await super().stop()
 
     def dump(self) -> dict[str, object]:
-        """Return the streams as plain values."""
+        """Return the peers and traffic counts as plain values."""
         sent = sum(link.sent for link in self._list_links())
         received = sum(link.received for link in self._list_links())
         return {
@@ -261,20 +262,20 @@
     def _list_links(self) -> list[_Link]:
         return [link for links in self._links.values() for link in links]
 
-    def _find_best(self, node: NodeId) -> _Link:
-        """Return the stream with a peer that was heard last.
+    def _find_latest(self, node: NodeId) -> _Link:
+        """Return the peer's stream that received a message most recently.
 
-        There can be two, one from each side, and of these one that the
-        peer has given up without this side noticing.
+        There can be two streams, one opened by each side, and the peer may
+        have abandoned one of them without this side noticing.
         """
         return max(self._links[node], key=_get_heard_at)
 
-    def _send_each(self, message: Any, nodes: set[NodeId]) -> None:
+    def _send_to(self, message: Any, nodes: set[NodeId]) -> None:
         packed = pack(message)
         for node in nodes & self._links.keys():
-            self._find_best(node).send(packed)
+            self._find_latest(node).send(packed)
 
-    def _forget(self, link: _Link, peer: NodeId) -> None:
+    def _unregister(self, link: _Link, peer: NodeId) -> None:
         links = self._links.get(peer, set())
         links.discard(link)
         if not links:
@@ -290,6 +291,6 @@
 
 
 def _close_unknown(link: _Link) -> None:
-    """Close a stream whose peer has not said who it is."""
+    """Close a stream whose peer has not identified itself."""
     if link.peer is None:
         link.close()
--- a/waywell/membership/membership.py
+++ b/waywell/membership/membership.py
@@ -1,10 +1,10 @@
 """Membership among entry boxes: who is live, leaving or lost.
 
-Each node is watched by a few neighbours only.  A neighbour that hears
-nothing suspects it; the word spreads, and unless the node answers with a
-higher stamp it counts as lost.  Records of higher incarnation, stamp and
-state replace lower ones, so every node comes to the same view whatever
-the order in which records arrive.
+Each node is monitored by a few neighbours only.  A neighbour that receives
+nothing from it suspects it, and the suspicion spreads by gossip.  Unless the
+node refutes it with a higher stamp, the node counts as lost.  Records are
+ordered by incarnation, stamp and state, and a higher record replaces a lower
+one, so all nodes converge to the same view in whatever order records arrive.
 """
 
 from __future__ import annotations
@@ -22,26 +22,28 @@
     from collections.abc import Iterable
 
 RINGS = 3
-"""Rings on which a node has a next neighbour."""
+"""Rings on each of which a node dials its successor."""
 
 MIN_HALL_RING_NODES = 8
-"""Nodes of a hall from which on it has rings of its own; with fewer, rings of
-all halls keep a word going round when a node on the way is lost."""
+"""Minimum number of nodes for a hall to have rings of its own.  With fewer,
+all rings span all halls, so that messages still spread when a node on the
+path is lost."""
 
 EXPECTED_DIALERS = 8
-"""Nodes that are expected to call one that is lost or unknown at each look."""
+"""Expected number of nodes that dial a lost or unknown node per attempt."""
 
 MIN_LINKED_FRACTION = 0.6
-"""Part of the entry boxes that must have their links to all services for the
-others to be left out of the list: callers keep their connections, so the few
-would carry all load for long after links are back."""
+"""Fraction of the entry boxes that must have links to all services before the
+others are left out of the list.  Callers keep their connections, so with fewer
+listed boxes those would carry all load long after the links are restored."""
 
 FORGET_SECONDS = 7200.0
-"""Seconds after which a lost node is forgotten; longer than regions part."""
+"""Seconds after which the record of a lost node is deleted; longer than a
+partition between regions lasts."""
 
 
 class NodeState(enum.IntEnum):
-    """State of an entry box; at one stamp the higher one holds."""
+    """State of an entry box; at equal stamps the higher state wins."""
 
     LIVE = 0
     LEAVING = 1
@@ -50,83 +52,83 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one entry box."""
+    """Membership record of one entry box."""
 
     node: NodeId
     """Name of the entry box."""
 
     incarnation: Incarnation
-    """Its run; a later run has a higher one."""
+    """Number of the run of the node; a later run has a higher one."""
 
     hall: HallName
-    """Its data hall."""
+    """Data hall of the entry box."""
 
     region: str
     """Region of the data hall."""
 
     host: str
-    """IP number."""
+    """IP address of the entry box."""
 
     caller_port: int
-    """Port for callers."""
+    """TCP port for callers."""
 
     peer_port: int
-    """Port for other entry boxes."""
+    """TCP port for other entry boxes."""
 
     admin_port: int
-    """Port for operators."""
+    """TCP port for operators."""
 
     stamp: int = 0
-    """Counts the node's own changes to its record."""
+    """Number of changes that the node has made to its own record."""
 
     state: NodeState = NodeState.LIVE
-    """Live, leaving, suspect or lost."""
+    """State of the node as last reported by itself or its neighbours."""
 
     was_leaving: bool = False
-    """Whether it said that it is leaving before it was suspected."""
+    """Whether the node had announced to leave before it was suspected."""
 
     configuration: int = 0
-    """Version of the configuration in force there."""
+    """Version of the configuration in force at the node."""
 
     roster: int = 0
-    """Version of the roster in force there."""
+    """Version of the roster in force at the node."""
 
     link_mbps: int = 0
-    """Bandwidth of its link, in Mbit/s; 0 where it is not told."""
+    """Bandwidth of the node's link, in Mbit/s; 0 if unknown."""
 
     cores: float = 0.0
-    """Processor that it may use, in cores of an ordinary box; 0 where it is
-    not told."""
+    """Processor capacity of the node, in cores of an ordinary box; 0 if
+    unknown."""
 
     lost_services: tuple[ServiceName, ...] | None = None
-    """Services whose replicas it does not reach by links of its own; ``None``
-    where it does not tell, and then it forwards no requests either."""
+    """Services whose replicas the node can't reach directly; ``None`` if it
+    doesn't report them, in which case it forwards no requests either."""
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Return what decides between two records of one node."""
+        """Return the precedence of this record among those of the node."""
         return (self.incarnation, self.stamp, self.state)
 
 
 class MembershipTable:
-    """All entry boxes that one node knows.
+    """Records of all entry boxes that one node knows.
 
     Parameters
     ----------
     own
         This node's record.
     suspicion
-        Seconds from a suspicion to a loss.
+        Seconds after which a suspected node counts as lost.
     """
 
     def __init__(self, own: NodeRecord, suspicion: float) -> None:
-        """Start with this node alone."""
+        """Start with this node's record only."""
         self.own_name = own.node
         self._suspicion = suspicion
         self._records: dict[NodeId, NodeRecord] = {own.node: own}
-        self._since: dict[NodeId, float] = {}
+        self._state_since: dict[NodeId, float] = {}
         self._digest = _digest_record(own)
-        self._count_is_old = True
+        self._is_count_stale = True
         self._present_key: frozenset[NodeId] = frozenset()
         self._neighbours: list[NodeId] = []
         self._live_count = 1
@@ -143,15 +145,15 @@
 
     @property
     def digest(self) -> int:
-        """Return a number that is equal where the views are equal."""
+        """Return a digest that is equal for equal views."""
         return self._digest
 
     def find(self, node: NodeId) -> NodeRecord | None:
-        """Return the record of a node."""
+        """Return the record of a node, or ``None`` if it is unknown."""
         return self._records.get(node)
 
     def list_live(self) -> list[NodeRecord]:
-        """Return nodes that are live, or suspect but not yet lost."""
+        """Return the nodes that are live, or suspect but not leaving."""
         return [
             record
             for record in self._records.values()
@@ -161,7 +163,7 @@
         ]
 
     def list_present(self) -> list[NodeRecord]:
-        """Return nodes that are not lost: live, leaving or suspect."""
+        """Return the nodes that are live, leaving or suspect."""
         return [
             record
             for record in self._records.values()
@@ -169,7 +171,7 @@
         ]
 
     def list_lost(self) -> list[NodeRecord]:
-        """Return lost nodes that are not forgotten yet."""
+        """Return the lost nodes whose records are not deleted yet."""
         return [
             record
             for record in self._records.values()
@@ -178,13 +180,13 @@
 
     def count_live(self) -> int:
         """Return the number of nodes that ``list_live`` returns."""
-        if self._count_is_old:
+        if self._is_count_stale:
             self._live_count = len(self.list_live())
-            self._count_is_old = False
+            self._is_count_stale = False
         return self._live_count
 
     def count_states(self) -> dict[str, int]:
-        """Return how many nodes are in each state."""
+        """Return the number of nodes by state."""
         states = [record.state for record in self._records.values()]
         return {state.name.lower(): states.count(state) for state in NodeState}
 
@@ -195,14 +197,14 @@
         roster: int | None = None,
         lost_services: tuple[ServiceName, ...] | None = None,
     ) -> NodeRecord:
-        """Change this node's record and return it."""
+        """Update this node's record with a higher stamp and return it."""
         own = self.own
         changed = msgspec.structs.replace(
             own,
             stamp=own.stamp + 1,
             state=own.state if state is None else state,
-            configuration=_pick(configuration, own.configuration),
-            roster=_pick(roster, own.roster),
+            configuration=_default_to(configuration, own.configuration),
+            roster=_default_to(roster, own.roster),
             lost_services=(
                 own.lost_services if lost_services is None else lost_services
             ),
@@ -211,28 +213,28 @@
         return changed
 
     def merge(self, record: NodeRecord, now: float) -> NodeRecord | None:
-        """Take in a record heard at ``now``.
+        """Merge a record received at ``now`` into the view.
 
         Returns
         -------
         NodeRecord or None
-            The record to pass on: the one heard where it was news, this
-            node's answer where it was wrongly held for gone.
+            Record to spread: the received one if it replaces the known one,
+            or this node's refutation of a wrong record about itself.
         """
         if record.node == self.own_name:
-            return self._answer(record)
+            return self._refute(record)
         known = self._records.get(record.node)
         if known is not None and record.rank <= known.rank:
             return None
         self._store(record)
         if record.state in {NodeState.SUSPECT, NodeState.LOST}:
-            self._since[record.node] = now
+            self._state_since[record.node] = now
         else:
-            self._since.pop(record.node, None)
+            self._state_since.pop(record.node, None)
         return record
 
     def suspect(self, node: NodeId, now: float) -> NodeRecord | None:
-        """Note that a neighbour was not heard; return what to pass on."""
+        """Mark a silent node as suspect; return the record to spread."""
         known = self._records.get(node)
         if known is None or known.state >= NodeState.SUSPECT:
             return None
@@ -242,63 +244,63 @@
             was_leaving=known.state is NodeState.LEAVING,
         )
         self._store(changed)
-        self._since[node] = now
+        self._state_since[node] = now
         return changed
 
     def tick(self, now: float) -> list[NodeRecord]:
-        """Turn old suspicions to losses; return what to pass on."""
+        """Mark long suspected nodes as lost; return the records to spread."""
         lost = []
         for record in self.records:
-            age = now - self._since.get(record.node, now)
+            age = now - self._state_since.get(record.node, now)
             if record.state is NodeState.SUSPECT and age >= self._suspicion:
                 changed = msgspec.structs.replace(record, state=NodeState.LOST)
                 self._store(changed)
-                self._since[record.node] = now
+                self._state_since[record.node] = now
                 lost.append(changed)
             elif record.state is NodeState.LOST and age >= FORGET_SECONDS:
-                self._drop(record.node)
-                self._since.pop(record.node)
+                self._remove(record.node)
+                self._state_since.pop(record.node)
         return lost
 
     def list_neighbours(self) -> list[NodeRecord]:
-        """Return the nodes that this one keeps a stream to.
+        """Return the nodes to which this node keeps a stream.
 
-        On each of a few rings, on which nodes stand in an order of their own,
-        it is the next one.  One ring goes through all halls; the others stay
-        in the own hall where that has nodes enough, as what is said on a
-        stream between halls is paid for: of three rings over three halls, two
-        streams of each node led to others.
+        These are its successors on a few rings, each of which orders the nodes
+        differently.  The first ring spans all halls.  The others stay within
+        this node's hall if it has enough nodes, because traffic between halls
+        is billed: with three rings across three halls, two of the three
+        streams of each node led to other halls.
         """
         present = frozenset(record.node for record in self.list_present())
         if present != self._present_key:
             self._present_key = present
-            near = self._list_near(present)
-            followers = {_find_follower(present, 0, self.own_name)}
-            followers.update(
-                _find_follower(near, ring, self.own_name)
+            local = self._list_local(present)
+            successors = {_find_successor(present, 0, self.own_name)}
+            successors.update(
+                _find_successor(local, ring, self.own_name)
                 for ring in range(1, RINGS)
             )
-            self._neighbours = sorted(followers - {self.own_name})
+            self._neighbours = sorted(successors - {self.own_name})
         return [self._records[node] for node in self._neighbours]
 
-    def _list_near(self, present: frozenset[NodeId]) -> frozenset[NodeId]:
-        """Return the nodes of the rings that stay near."""
+    def _list_local(self, present: frozenset[NodeId]) -> frozenset[NodeId]:
+        """Return the nodes on all rings but the first."""
         hall = self.own.hall
-        near = frozenset(
+        local = frozenset(
             node for node in present if self._records[node].hall == hall
         )
-        return near if len(near) >= MIN_HALL_RING_NODES else present
+        return local if len(local) >= MIN_HALL_RING_NODES else present
 
-    def _answer(self, record: NodeRecord) -> NodeRecord | None:
+    def _refute(self, record: NodeRecord) -> NodeRecord | None:
         own = self.own
         if record.rank <= own.rank:
             return None
         incarnation = own.incarnation
         if record.incarnation > incarnation:
             if record.host != own.host:
-                # Another box with this name, not an earlier run of this one.
+                # Another box with this name, not an earlier run of this node.
                 return None
-            # The earlier run began by a clock that was ahead of today's.
+            # The clock was ahead when the earlier run began.
             incarnation = Incarnation(record.incarnation + 1)
         self._store(
             msgspec.structs.replace(
@@ -308,53 +310,53 @@
         return self.update_own()
 
     def _store(self, record: NodeRecord) -> None:
-        self._drop(record.node)
+        self._remove(record.node)
         self._records[record.node] = record
         self._digest ^= _digest_record(record)
 
-    def _drop(self, node: NodeId) -> None:
+    def _remove(self, node: NodeId) -> None:
         known = self._records.pop(node, None)
         if known is not None:
             self._digest ^= _digest_record(known)
-        self._count_is_old = True
+        self._is_count_stale = True
 
 
-def _find_follower(
+def _find_successor(
     nodes: Iterable[NodeId],
     ring: int,
     node: NodeId,
 ) -> NodeId:
-    """Return the node that comes after a node on a ring."""
-    order = sorted(nodes, key=lambda name: _place(ring, name))
+    """Return the successor of a node on a ring."""
+    order = sorted(nodes, key=lambda name: _hash_position(ring, name))
     return order[(order.index(node) + 1) % len(order)]
 
 
-def _pick(number: int | None, default: int) -> int:
-    return default if number is None else number
+def _default_to(version: int | None, default: int) -> int:
+    return default if version is None else version
 
 
-def _place(ring: int, node: NodeId) -> bytes:
+def _hash_position(ring: int, node: NodeId) -> bytes:
     return hashlib.blake2b(f'{ring}\n{node}'.encode(), digest_size=8).digest()
 
 
 def _digest_record(record: NodeRecord) -> int:
-    """Return a record's part of a digest that no order changes."""
+    """Return a record's contribution to the order-independent digest."""
     text = f'{record.node} {record.rank}'
     return zlib.crc32(text.encode())
 
 
 def may_dial(live: int, draw: float) -> bool:
-    """Answer whether this node is one of the few that call another now.
+    """Return whether this node is one of the few that dial another now.
 
-    All nodes know of a lost or unknown node at one moment; if each called it,
-    the calls alone would keep a small box from answering.
+    All nodes learn of a lost or unknown node at the same time.  If each of
+    them dialled it, the connections alone would overload a small box.
 
     Parameters
     ----------
     live
-        Entry boxes that are live.
+        Number of live entry boxes.
     draw
-        A number from 0 up to 1, drawn anew for each call.
+        Random number in [0, 1), drawn separately for each call.
     """
     return draw * live < EXPECTED_DIALERS
 
@@ -364,12 +366,12 @@
     duty: str,
     count: int,
 ) -> list[NodeId]:
-    """Return the nodes that should contend for a duty.
+    """Return the nodes that should compete for the lease of a duty.
 
-    A few of the live nodes, the same at every node of one view, so that
-    the platform doesn't hear all of them.  Those with the most processor go
-    first: where boxes differ, a duty that fills a small one (0.6 of a core,
-    one day of 195 nodes and 760 target boxes) leaves a large one half idle.
+    Only a few nodes compete, to limit the load on the platform, and nodes with
+    equal views choose the same ones.  Nodes with the most cores come first: a
+    duty can saturate a small box (0.6 of a core with 195 nodes and 760 target
+    boxes) and still leave a large one half idle.
     """
     ranked = sorted(
         records,
@@ -385,7 +387,7 @@
 
 
 def select_linked(nodes: list[NodeRecord]) -> list[NodeRecord]:
-    """Return the nodes with links to all services, where they are enough."""
+    """Return the nodes with links to all services, or all if these are few."""
     linked = [record for record in nodes if not record.lost_services]
     if len(linked) < MIN_LINKED_FRACTION * len(nodes):
         return nodes
--- a/waywell/membership/presence.py
+++ b/waywell/membership/presence.py
@@ -1,4 +1,4 @@
-"""How an entry box is found by others, and finds those it does not know."""
+"""Discovery of entry boxes through a list in the platform's store."""
 
 from __future__ import annotations
 
@@ -25,27 +25,28 @@
     from waywell.membership.membership import MembershipTable, NodeRecord
 
 JOIN_INTERVAL_SECONDS = 1.0
-"""Seconds between two attempts to find other entry boxes."""
+"""Seconds between attempts to find other entry boxes after the start."""
 
 JOIN_DIALS = 2
-"""Entry boxes that a new one calls at each attempt."""
+"""Maximum number of entry boxes that are dialled per attempt."""
 
 FIRST_DIALS = 8
-"""Entry boxes that one which has started calls at its first look, to compare
-its routes with theirs; each is expected to be called by as many."""
+"""Entry boxes that a starting one dials after its first read of the list, to
+compare its routes with theirs; each is expected to be dialled by as many."""
 
 FAST_JOIN_ATTEMPTS = 8
-"""Looks in quick order after the start, while all others may start as well."""
+"""Attempts at the short interval after the start, while all other nodes may be
+starting as well."""
 
 REWRITE_SPREAD_SECONDS = 2.0
-"""Seconds over which nodes spread their writes after the store's return."""
+"""Seconds over which nodes spread their writes after the store is restored."""
 
 LIST_CHECK_SECONDS = 5.0
-"""Seconds between two looks for entry boxes that this one does not know."""
+"""Seconds between reads of the list for unknown entry boxes."""
 
 
-class _Listed(msgspec.Struct):
-    """What a node writes of itself."""
+class _PresenceEntry(msgspec.Struct):
+    """Body of a node's entry in the list."""
 
     host: str
     peer_port: int
@@ -53,35 +54,35 @@
 
 @attrs.frozen
 class PeerContacts:
-    """How far a node has reached the others."""
+    """Progress of a starting node in contacting the others."""
 
     has_read_list: bool
-    """Whether the platform's list was read, and nodes on it were called."""
+    """Whether the list has been read and nodes on it dialled."""
 
     pending_dials: int
-    """Calls that have neither failed nor been answered."""
+    """Number of dialled streams that have neither failed nor been answered."""
 
     peers: frozenset[NodeId]
-    """Nodes with a stream to this one."""
+    """Nodes with an established stream to this one."""
 
 
 class Presence:
-    """Lists this node in the platform and calls the others listed there.
+    """Lists this node in the platform's store and dials other listing nodes.
 
     Parameters
     ----------
     platform
-        The platform.
+        Client of the platform's store.
     members
-        Entry boxes that this one knows.
+        Membership view of this node.
     links
         Streams to other entry boxes.
     seeds
-        Peer addresses, ``IP:PORT``, to find the first entry box by.
+        Peer addresses, ``IP:PORT``, through which to reach the first peer.
     random
-        Draws the entry boxes that are called.
+        Random source for the choice of the entry boxes to dial.
     first_dials
-        Entry boxes that are called at the first look.
+        Number of entry boxes to dial after the first read of the list.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
         random: Random,
         first_dials: int = JOIN_DIALS,
     ) -> None:
-        """Know of no other entry box."""
+        """Start without having read the list."""
         self._platform = platform
         self._members = members
         self._links = links
@@ -101,40 +102,45 @@
         self._random = random
         self._first_dials = first_dials
         self._has_looked = False
-        self._listed_nodes = 0
+        self._listed_count = 0
         self._is_listed = False
-        self._wait_seconds = 0.0
+        self._delay_seconds = 0.0
 
     async def run(self) -> None:
-        """Be found by others, and go on looking for those not known.
+        """Keep this node listing and keep dialling unknown nodes.
 
-        Nodes that start at one moment may meet in parts that know nothing of
-        each other; the list in the platform shows whom a part lacks.
+        Nodes that start at the same time may form separate clusters that do
+        not know each other; the list shows the nodes a cluster lacks.
         """
-        looks = 0
+        attempts = 0
         while True:
-            looks += 1
-            await asyncio.sleep(self._wait_seconds)
-            self._wait_seconds = 0.0
+            attempts += 1
+            await asyncio.sleep(self._delay_seconds)
+            self._delay_seconds = 0.0
             if not self._is_listed:
-                self._is_listed = await self._list_self()
-            await self._look()
-            is_settled = self._is_listed and looks > FAST_JOIN_ATTEMPTS
+                self._is_listed = await self._write_entry()
+            await self._dial_listed()
+            is_settled = self._is_listed and attempts > FAST_JOIN_ATTEMPTS
             await asyncio.sleep(
                 LIST_CHECK_SECONDS if is_settled else JOIN_INTERVAL_SECONDS
             )
 
     def schedule_rewrite(self, _change: EraChange) -> None:
-        """Write this node again, as a copy of the store may lack it."""
+        """Schedule a write of this node's entry, as a copy may lack it."""
         self._is_listed = False
-        self._wait_seconds = self._random.uniform(0, REWRITE_SPREAD_SECONDS)
+        self._delay_seconds = self._random.uniform(0, REWRITE_SPREAD_SECONDS)
 
     async def withdraw(self, seconds: float) -> None:
-        """Take this node off the platform's list, if that is done in time.
+        """Remove this node from the list, within a time limit.
 
-        A platform that is silent kept a node whose work had ended until the
-        process was ended by force.  An entry that is left only costs others a
-        call; the next run of the node writes over it.
+        Without the limit, an unresponsive platform keeps a node that has
+        finished its work from exiting until the process is killed.  A stale
+        entry only costs other nodes a dial, and the next run overwrites it.
+
+        Parameters
+        ----------
+        seconds
+            Time limit, in seconds.
         """
         withdrawing = self._platform.delete(
             Kind.PRESENCE, self._members.own.node
@@ -145,15 +151,15 @@
             log_warning('not_withdrawn', node=self._members.own.node)
 
     def count_nodes(self) -> int:
-        """Return the entry boxes that share budgets, also unheard ones.
+        """Return the number of nodes that share budgets, even if unreached.
 
-        It is 0 until the platform or another entry box has told.
+        It is 0 until the list has been read or another node is known.
         """
         known = len(self._members.records)
-        return max(self._listed_nodes, known if known > 1 else 0)
+        return max(self._listed_count, known if known > 1 else 0)
 
     def get_contacts(self) -> PeerContacts:
-        """Return how far this node has reached the others."""
+        """Return the progress of this node in contacting the others."""
         return PeerContacts(
             self._has_looked,
             self._links.count_pending_dials(),
@@ -161,52 +167,52 @@
         )
 
     def count_reachable_nodes(self) -> int:
-        """Return the nodes that this one hears from, itself counted."""
+        """Return the number of live nodes within reach, including this one."""
         return self._members.count_live() if self._links.list_peers() else 1
 
-    async def _look(self) -> None:
-        """Call entry boxes on the platform's list, where it is time to."""
+    async def _dial_listed(self) -> None:
+        """Read the list if due and dial nodes on it."""
         if not self._has_looked:
-            self._call_first(await self._find_strangers())
-        elif self._may_look():
-            self._call(await self._find_strangers())
+            self._dial_first(await self._find_unknown())
+        elif self._may_read_list():
+            self._dial_some(await self._find_unknown())
 
     def _is_linked(self, record: NodeRecord) -> bool:
-        """Answer whether a node is this one or has a stream to it."""
+        """Return whether a node is this one or has a stream to it."""
         if record.node == self._members.own_name:
             return True
         return record.node in self._links.list_peers()
 
-    def _may_look(self) -> bool:
-        """Answer whether this node looks at the platform's list now.
+    def _may_read_list(self) -> bool:
+        """Return whether this node reads the list now.
 
-        One that is listed and has peers is one of the few that look: each
-        look finds those that the node and all whom it knows lack.  At 195
-        nodes and pages of 50 objects, each node's look each 5 s was 16 of 96
-        calls a second (worked out from the calls of one day).
+        A node that is listing and has peers takes turns with the others: one
+        read finds the nodes unknown to the reader and to all nodes it knows.
+        With 195 nodes and pages of 50 objects, a read by each node every 5 s
+        made up 16 of 96 calls per second to the platform.
         """
         if not self._is_listed or not self._links.list_peers():
             return True
         live = self._members.count_live()
         return may_dial(live, self._random.random())
 
-    def _call(self, strangers: list[Address]) -> None:
-        """Call some of the entry boxes that are not known."""
+    def _dial_some(self, unknown: list[Address]) -> None:
+        """Dial some of the unknown nodes."""
         live = self.count_reachable_nodes()
-        for address in self._draw(strangers, JOIN_DIALS):
+        for address in self._sample(unknown, JOIN_DIALS):
             if may_dial(live, self._random.random()):
                 self._links.dial(address.host, address.port)
 
-    def _call_first(self, others: list[Address]) -> None:
-        """Call entry boxes that may know of later routes."""
-        for address in self._draw(others, self._first_dials):
+    def _dial_first(self, others: list[Address]) -> None:
+        """Dial nodes that may have later routes."""
+        for address in self._sample(others, self._first_dials):
             self._links.dial(address.host, address.port)
 
-    def _draw(self, addresses: list[Address], most: int) -> list[Address]:
+    def _sample(self, addresses: list[Address], most: int) -> list[Address]:
         return self._random.sample(addresses, min(most, len(addresses)))
 
-    async def _list_self(self) -> bool:
-        """Write this node's address into the platform, once a run."""
+    async def _write_entry(self) -> bool:
+        """Write this node's entry to the store; return whether it is there."""
         own = self._members.own
         read = await self._platform.fetch(Kind.PRESENCE, own.node)
         if isinstance(read, Failure):
@@ -224,12 +230,12 @@
             return False
         return True
 
-    async def _find_strangers(self) -> list[Address]:
-        """Return addresses of entry boxes that are not known at all.
+    async def _find_unknown(self) -> list[Address]:
+        """Return the addresses of unknown nodes.
 
-        Those that are known and lost are called by the task that keeps the
-        membership view.  At the first look those without a stream count as
-        unknown, as nothing may have been heard from them.
+        Nodes that are known and lost are dialled by ``Gossip``.  At the first
+        read, nodes without a stream count as unknown too, as nothing may have
+        been received from them.
         """
         known = {
             Address(record.host, record.peer_port)
@@ -238,29 +244,29 @@
         }
         found = {parse_address(seed) for seed in self._seeds}
         if self._links.list_peers():
-            # Seeds may be old; they only help to find the first peer.
+            # Seeds may be outdated; they only serve to reach the first peer.
             found.clear()
-        listed = await self._platform.fetch_all(Kind.PRESENCE, False)
-        if not isinstance(listed, Failure):
+        listing = await self._platform.fetch_all(Kind.PRESENCE, False)
+        if not isinstance(listing, Failure):
             self._has_looked = True
-            objects = listed.unwrap().objects
-            # A former run's word to remove this node may be carried out late.
+            objects = listing.unwrap().objects
+            # A former run's delayed delete may remove this run's entry.
             self._is_listed = self._members.own.node in {
                 stored.name for stored in objects
             }
-            self._listed_nodes = max(self._listed_nodes, len(objects))
+            self._listed_count = max(self._listed_count, len(objects))
             found.update(_list_addresses(objects))
         return sorted(found - known, key=str)
 
 
 def _list_addresses(objects: Iterable[Stored]) -> Iterator[Address]:
-    """Return the addresses that nodes have listed."""
+    """Return the addresses of the listing nodes; skip malformed entries."""
     for stored in objects:
         try:
-            listed = msgspec.convert(stored.body, _Listed)
+            entry = msgspec.convert(stored.body, _PresenceEntry)
         except msgspec.ValidationError as error:
             log_warning(
                 'presence_unreadable', node=stored.name, error=str(error)
             )
             continue
-        yield Address(listed.host, listed.peer_port)
+        yield Address(entry.host, entry.peer_port)
