--- a/tests/lone_gossip.py
+++ b/tests/lone_gossip.py
@@ -1,4 +1,4 @@
-"""Membership of a node that knows of no other."""
+"""Membership of a node that knows no other node."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class LoneGossip:
-    """Knows its own node, and takes no word."""
+    """Stand-in for ``Gossip`` that knows only its own node."""
 
     def __init__(self, name: str = 'a') -> None:
         self.table = MembershipTable(make_record(name), 2.0)
 
-    def keep_streams(self, *_words: object) -> None:
-        """Open no stream."""
+    def keep_streams(self, *_args: object) -> None:
+        """Ignore the request."""
 
     def post(self, _message: object) -> None:
-        """Take no word."""
+        """Ignore the message."""
--- a/tests/test_box_probe.py
+++ b/tests/test_box_probe.py
@@ -1,4 +1,4 @@
-"""A box that does not answer is asked twice, and known as silent soon."""
+"""Box probes: a second probe is sent when the first is slow or fails."""
 
 from __future__ import annotations
 
@@ -22,79 +22,79 @@
 
 
 class _Orders(BoxOrders):
-    """Answers questions as it is told to, in their order."""
+    """Leaves each report request pending until the test completes it."""
 
     def __init__(self) -> None:
-        self.answers: list[asyncio.Future[BoxReport | None]] = []
-        self.given_up = 0
+        self.requests: list[asyncio.Future[BoxReport | None]] = []
+        self.cancelled = 0
 
     async def give(self, assignment: Assignment, fence: int) -> OrderResult:
-        raise AssertionError('no order is given here')
+        raise AssertionError('the probe must not send an order')
 
     async def read_report(self, box: FleetBox) -> BoxReport | None:
-        answer = asyncio.get_running_loop().create_future()
-        self.answers.append(answer)
+        report = asyncio.get_running_loop().create_future()
+        self.requests.append(report)
         try:
-            return await answer
+            return await report
         except asyncio.CancelledError:
-            self.given_up += 1
+            self.cancelled += 1
             raise
 
-    async def wait_asked(self, count: int) -> None:
-        while len(self.answers) < count:
+    async def wait_for_requests(self, count: int) -> None:
+        while len(self.requests) < count:
             await asyncio.sleep(0)
 
 
 @pytest.fixture(autouse=True)
-def _no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
+def _short_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(box_probe, 'SECOND_PROBE_DELAY_SECONDS', 0.005)
 
 
 @in_loop
-async def test_a_box_that_answers_is_asked_once(
+async def test_box_that_answers_in_time_is_probed_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(box_probe, 'SECOND_PROBE_DELAY_SECONDS', 30.0)
     orders = _Orders()
-    asking = asyncio.ensure_future(probe_box(orders, BOX))
-    await orders.wait_asked(1)
-    orders.answers[0].set_result(BoxReport(orders_begun=4))
-    assert await asking == BoxReport(orders_begun=4)
-    assert len(orders.answers) == 1
+    probing = asyncio.ensure_future(probe_box(orders, BOX))
+    await orders.wait_for_requests(1)
+    orders.requests[0].set_result(BoxReport(orders_begun=4))
+    assert await probing == BoxReport(orders_begun=4)
+    assert len(orders.requests) == 1
 
 
 @in_loop
-async def test_a_lost_question_costs_no_box() -> None:
+async def test_second_probe_replaces_a_lost_first_probe() -> None:
     orders = _Orders()
-    asking = asyncio.ensure_future(probe_box(orders, BOX))
-    await orders.wait_asked(2)
-    orders.answers[1].set_result(BoxReport(orders_begun=5))
-    assert await asking == BoxReport(orders_begun=5)
+    probing = asyncio.ensure_future(probe_box(orders, BOX))
+    await orders.wait_for_requests(2)
+    orders.requests[1].set_result(BoxReport(orders_begun=5))
+    assert await probing == BoxReport(orders_begun=5)
     await asyncio.sleep(0)
-    assert orders.given_up == 1
+    assert orders.cancelled == 1
 
 
 @in_loop
-async def test_a_box_is_silent_when_both_questions_are() -> None:
+async def test_box_is_silent_only_if_both_probes_fail() -> None:
     orders = _Orders()
-    asking = asyncio.ensure_future(probe_box(orders, BOX))
-    await orders.wait_asked(2)
-    orders.answers[0].set_result(None)
+    probing = asyncio.ensure_future(probe_box(orders, BOX))
+    await orders.wait_for_requests(2)
+    orders.requests[0].set_result(None)
     await asyncio.sleep(0)
-    assert not asking.done()
-    orders.answers[1].set_result(None)
-    assert await asking is None
+    assert not probing.done()
+    orders.requests[1].set_result(None)
+    assert await probing is None
 
 
 @in_loop
-async def test_a_question_that_fails_at_once_is_asked_again(
+async def test_probe_that_fails_at_once_is_repeated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(box_probe, 'SECOND_PROBE_DELAY_SECONDS', 30.0)
     orders = _Orders()
-    asking = asyncio.ensure_future(probe_box(orders, BOX))
-    await orders.wait_asked(1)
-    orders.answers[0].set_result(None)
-    await orders.wait_asked(2)
-    orders.answers[1].set_result(BoxReport())
-    assert await asking == BoxReport()
+    probing = asyncio.ensure_future(probe_box(orders, BOX))
+    await orders.wait_for_requests(1)
+    orders.requests[0].set_result(None)
+    await orders.wait_for_requests(2)
+    orders.requests[1].set_result(BoxReport())
+    assert await probing == BoxReport()
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -1,4 +1,4 @@
-"""A duty that is lost and taken again begins a new term of work."""
+"""A duty that is lost and acquired again starts a new term."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class _Store:
-    """One object, in a store that can be silent or lose an answer."""
+    """Store of one object that can be unresponsive or lose an answer."""
 
     def __init__(self) -> None:
         self.stored: Stored | None = None
         self.is_silent = False
-        self.loses_answer = False
+        self.loses_answers = False
 
     async def fetch(
         self,
@@ -52,27 +52,27 @@
         if expected != version:
             return Failure(PlatformFault.CONFLICT)
         self.stored = Stored(kind.value, name, version + 1, body)
-        if self.loses_answer:
+        if self.loses_answers:
             self.is_silent = True
             return Failure(PlatformFault.UNANSWERED)
         return Success(self.stored)
 
 
-class _NotedDuty(Duty):
-    """Notes the epochs under which it was taken up."""
+class _RecordingDuty(Duty):
+    """Records the epochs under which it started work."""
 
     def __init__(self, store: _Store, clock: HeldClock) -> None:
         super().__init__('forming', store, LoneGossip(), clock, TERM)
-        self.taken: list[int] = []
+        self.started_epochs: list[int] = []
 
     async def start_work(self) -> None:
-        self.taken.append(self.lease.state.epoch)
+        self.started_epochs.append(self.lease.state.epoch)
 
 
-def test_a_term_after_a_silent_store_has_an_epoch_of_its_own() -> None:
+def test_term_after_a_store_outage_has_a_new_epoch() -> None:
     async def work() -> None:
         store, clock = _Store(), HeldClock()
-        duty = _NotedDuty(store, clock)
+        duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
         store.is_silent = True
@@ -82,51 +82,58 @@
         store.is_silent = False
         await duty.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
-        assert duty.taken == [1, 2]
+        assert duty.started_epochs == [1, 2]
 
     asyncio.run(work())
 
 
-def test_a_lease_taken_anew_within_one_look_is_a_new_term() -> None:
+def test_lease_that_expires_and_is_acquired_in_one_tick_starts_a_new_term() -> (
+    None
+):
     async def work() -> None:
         store, clock = _Store(), HeldClock()
-        duty = _NotedDuty(store, clock)
+        duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
-        # The process stood still for longer than the term.
+        # The process is suspended for longer than the term.
         clock.now += 3 * TERM
         await duty.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
-        assert duty.taken == [1, 2]
+        assert duty.started_epochs == [1, 2]
 
     asyncio.run(work())
 
 
-def test_a_renewal_whose_answer_was_lost_keeps_no_lapsed_term() -> None:
+def test_renewal_whose_answer_was_lost_does_not_restore_an_expired_term() -> (
+    None
+):
     async def work() -> None:
         store, clock = _Store(), HeldClock()
-        duty = _NotedDuty(store, clock)
+        duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         clock.now += TERM / 2
-        store.loses_answer = True
+        store.loses_answers = True
         await duty.on_lease_tick(Duty.LeaseTick())
         clock.now += TERM
         await duty.on_lease_tick(Duty.LeaseTick())
         assert not duty.is_held()
-        store.loses_answer = False
+        store.loses_answers = False
         store.is_silent = False
         await duty.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
-        assert duty.taken == [1, 2]
+        assert duty.started_epochs == [1, 2]
 
     asyncio.run(work())
 
 
-def test_a_duty_that_was_given_back_is_taken_at_once() -> None:
-    """A holder that stops in good order; nobody waits for its term."""
+def test_released_duty_is_acquired_at_once() -> None:
+    """A holder that shuts down cleanly makes no candidate wait for a term."""
 
     async def work() -> None:
         store, clock = _Store(), HeldClock()
-        duty, other = _NotedDuty(store, clock), _NotedDuty(store, clock)
+        duty, other = (
+            _RecordingDuty(store, clock),
+            _RecordingDuty(store, clock),
+        )
         other.lease.state = LeaseState(NodeId('b'), Incarnation(1), TERM)
         await duty.on_lease_tick(Duty.LeaseTick())
         await other.on_lease_tick(Duty.LeaseTick())
@@ -136,7 +143,7 @@
         assert not duty.is_held()
         await other.on_lease_tick(Duty.LeaseTick())
         assert other.is_held()
-        assert other.taken == [2]
+        assert other.started_epochs == [2]
 
     asyncio.run(work())
 
@@ -145,47 +152,46 @@
     'body',
     [None, 'x', [1], {}, {'holder': 7}, {'holder': 'a', 'epoch': 'new'}],
 )
-def test_a_lease_that_another_writer_wrote_over_is_taken_in_a_later_term(
+def test_overwritten_lease_is_acquired_in_a_later_term(
     body: Any,
 ) -> None:
-    """Symptom: the duty was never held again, or its epochs began anew.
+    """An unreadable lease record must not block the duty or reset its epochs.
 
-    Sequence: another writer writes something else over the lease while a node
-    holds it.  The holder gives up and waits for a term, as it can't know who
-    holds it now; its next term has a higher epoch.  Cause: a body that was not
-    understood ended the look at the lease.
+    Another writer overwrites the lease while a node holds it.  The holder must
+    stop and wait for a term, since it can't know who holds the lease now, and
+    its next term must have a higher epoch.
     """
 
     async def work() -> None:
         store, clock = _Store(), HeldClock()
-        duty = _NotedDuty(store, clock)
+        duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         assert store.stored is not None
         version = store.stored.version + 1
         store.stored = Stored('lease', 'forming', version, body)
         clock.now += TERM / 2
-        for _look in range(2):
+        for _tick in range(2):
             await duty.on_lease_tick(Duty.LeaseTick())
             assert not duty.is_held()
         clock.now += TERM + 0.1
         await duty.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
-        assert duty.taken == [1, 2]
+        assert duty.started_epochs == [1, 2]
 
     asyncio.run(work())
 
 
-def test_the_epochs_of_groups_bound_the_next_term_from_below() -> None:
-    """A node that never read the lease must not number its groups lower."""
+def test_next_term_has_a_higher_epoch_than_the_listed_groups() -> None:
+    """A node that never read a valid lease must not reuse group epochs."""
 
     async def work() -> None:
         store, clock = _Store(), HeldClock()
         store.stored = Stored('lease', 'forming', 4, 'x')
-        duty = _NotedDuty(store, clock)
+        duty = _RecordingDuty(store, clock)
         duty.find_minimum_epoch = lambda: 17  # type: ignore[method-assign]
         await duty.on_lease_tick(Duty.LeaseTick())
         clock.now += TERM + 0.1
         await duty.on_lease_tick(Duty.LeaseTick())
-        assert duty.taken == [18]
+        assert duty.started_epochs == [18]
 
     asyncio.run(work())
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""A stream that falls silent is given up, and its peer dialled anew."""
+"""A stream that goes silent is closed and its peer is dialled again."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _Links:
-    """A stream to one peer that may be silent."""
+    """Stand-in for the links, with one peer whose stream may be silent."""
 
     def __init__(self) -> None:
         self.peers = {B}
@@ -24,7 +24,7 @@
         self.dialled: list[NodeId | None] = []
 
     def subscribe(self, *_args: object) -> None:
-        """Take no subscriber."""
+        """Ignore the subscription."""
 
     def list_peers(self) -> set[NodeId]:
         return set(self.peers)
@@ -32,7 +32,7 @@
     list_dialled = list_peers
 
     def broadcast(self, _message: Any) -> None:
-        """Send nothing."""
+        """Ignore the message."""
 
     send = close_dialled_except = broadcast
 
@@ -53,12 +53,12 @@
     return gossip, links, clock
 
 
-def test_a_silent_stream_is_closed_and_its_peer_dialled_anew(
+def test_silent_stream_is_closed_and_its_peer_dialled_again(
     monkeypatch: Any,
 ) -> None:
-    """Open connections may go silent for good while new ones work.
+    """A connection may stay silent forever while new ones would work.
 
-    The stream was kept: its peer was suspected and cleared again each second.
+    If its stream is kept, the peer alternates between suspect and live.
     """
     gossip, links, clock = make_gossip()
     monkeypatch.setattr(gossip, '_publish_changes', lambda *_args: None)
@@ -71,7 +71,7 @@
     assert links.dialled == [B]
 
 
-def test_a_stream_that_was_heard_is_kept(monkeypatch: Any) -> None:
+def test_stream_with_recent_messages_is_kept(monkeypatch: Any) -> None:
     gossip, links, clock = make_gossip()
     monkeypatch.setattr(gossip, '_publish_changes', lambda *_args: None)
     clock.now += TimingSettings().silence - 0.1
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: at most one holder at a time, whatever freezes or is lost."""
+"""Leases: at most one holder, despite suspended nodes and lost answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return LeaseState(NodeId(name), Incarnation(run), TERM)
 
 
-def test_absent_lease_is_taken_and_renewed() -> None:
+def test_missing_lease_is_acquired_and_renewed() -> None:
     state = make_state('a')
     assert state.choose_action(0) is LeaseAction.ACQUIRE
     record = state.make_next_record(LeaseAction.ACQUIRE, 'op')
@@ -27,7 +27,7 @@
     assert (renewed.epoch, renewed.beat) == (1, 1)
 
 
-def test_holder_stops_trusting_before_others_take_over() -> None:
+def test_holder_stops_trusting_its_lease_before_others_take_over() -> None:
     holder, other = make_state('a'), make_state('b')
     record = holder.make_next_record(LeaseAction.ACQUIRE, 'op')
     holder.confirm_write(record, sent_at=0, now=1)
@@ -38,7 +38,7 @@
     assert other.make_next_record(LeaseAction.ACQUIRE, 'x').epoch == 2
 
 
-def test_same_name_of_an_earlier_run_is_another_holder() -> None:
+def test_lease_of_a_former_run_of_the_node_is_acquired_at_once() -> None:
     state = make_state('a')
     earlier = LeaseRecord(NodeId('a'), Incarnation(0), 4)
     state.observe(earlier, 0)
@@ -47,16 +47,18 @@
     assert state.make_next_record(LeaseAction.ACQUIRE, 'op').epoch == 5
 
 
-def test_a_lease_of_another_node_is_waited_for_whatever_its_run() -> None:
+def test_lease_of_another_node_is_waited_for_whatever_its_incarnation() -> (
+    None
+):
     state = make_state('b')
     state.observe(LeaseRecord(NodeId('a'), Incarnation(7), 4), 0)
     assert state.choose_action(1) is LeaseAction.WAIT
-    # The clock was set back before the next run of that node began.
+    # The clock of that node was set back before its next run began.
     state.observe(LeaseRecord(NodeId('a'), Incarnation(6), 5), 1)
     assert state.choose_action(TERM + 0.5) is LeaseAction.WAIT
 
 
-def test_a_lease_that_lapsed_is_taken_anew_with_the_next_epoch() -> None:
+def test_expired_lease_is_acquired_again_with_the_next_epoch() -> None:
     state = make_state('a')
     state.confirm_write(
         state.make_next_record(LeaseAction.ACQUIRE, 'op'), 0, 0
@@ -67,7 +69,9 @@
     assert (record.epoch, record.beat) == (2, 0)
 
 
-def test_a_renewal_that_is_known_too_late_brings_no_term_back() -> None:
+def test_renewal_that_is_confirmed_too_late_does_not_restore_the_term() -> (
+    None
+):
     state = make_state('a')
     state.confirm_write(
         state.make_next_record(LeaseAction.ACQUIRE, 'op'), 0, 0
@@ -79,7 +83,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three contenders and a platform that loses and delays answers."""
+    """Three candidates and a platform that loses and delays answers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -99,14 +103,14 @@
         self.now += seconds
 
     @rule(which=st.integers(0, 2))
-    def look(self, which: int) -> None:
+    def read(self, which: int) -> None:
         self.states[which].observe(self.stored, self.now)
         self.seen[which] = self.version
 
     @rule(which=st.integers(0, 2), back=st.booleans())
     def restart(self, which: int, back: bool) -> None:
-        """A run ends; the node's next one starts and knows nothing."""
-        # Also lower ones: the clock may have been set back.
+        """End a run of a node and start the next one without state."""
+        # The number may decrease, as the clock may have been set back.
         self.runs[which] += -1 if back else 1
         self.states[which] = make_state('abc'[which], self.runs[which])
         self.seen[which] = 0
@@ -118,10 +122,10 @@
     )
     def act(self, which: int, outcome: str) -> None:
         state = self.states[which]
-        move = state.choose_action(self.now)
-        if move is LeaseAction.WAIT or self.seen[which] != self.version:
+        action = state.choose_action(self.now)
+        if action is LeaseAction.WAIT or self.seen[which] != self.version:
             return
-        record = state.make_next_record(move, f'{which}-{self.now}')
+        record = state.make_next_record(action, f'{which}-{self.now}')
         self.stored = record
         self.version += 1
         if outcome == 'answered':
@@ -144,11 +148,11 @@
         assert len(held) <= 1
 
     @invariant()
-    def each_term_has_an_epoch_of_its_own(self) -> None:
+    def each_term_has_its_own_epoch(self) -> None:
         held = next(
             (
-                (place, state.epoch)
-                for place, state in enumerate(self.states)
+                (which, state.epoch)
+                for which, state in enumerate(self.states)
                 if state.is_held(self.now)
             ),
             None,
@@ -159,7 +163,7 @@
         self.held = held
 
     @invariant()
-    def epochs_only_rise(self) -> None:
+    def epochs_never_decrease(self) -> None:
         epoch = self.stored.epoch if self.stored else 0
         assert epoch >= self.epoch
         self.epoch = epoch
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -193,7 +193,7 @@
         return [record for record in live if not record.lost_services] or live
 
     def can_hold(self) -> bool:
-        """Return whether this node reaches the boxes of all services."""
+        """Return whether this node has links to all services with engines."""
         return not any(
             self._links.is_partitioned(name)
             for name, _engine in self._outlook.index.list_engines()
--- a/waywell/membership/presence.py
+++ b/waywell/membership/presence.py
@@ -67,7 +67,7 @@
 
 
 class Presence:
-    """Lists this node in the platform's store and dials other listing nodes.
+    """Lists this node in the platform's store and dials other listed nodes.
 
     Parameters
     ----------
@@ -101,13 +101,13 @@
         self._seeds = seeds
         self._random = random
         self._first_dials = first_dials
-        self._has_looked = False
+        self._has_read_list = False
         self._listed_count = 0
         self._is_listed = False
         self._delay_seconds = 0.0
 
     async def run(self) -> None:
-        """Keep this node listing and keep dialling unknown nodes.
+        """Keep this node listed and keep dialling unknown nodes.
 
         Nodes that start at the same time may form separate clusters that do
         not know each other; the list shows the nodes a cluster lacks.
@@ -161,7 +161,7 @@
     def get_contacts(self) -> PeerContacts:
         """Return the progress of this node in contacting the others."""
         return PeerContacts(
-            self._has_looked,
+            self._has_read_list,
             self._links.count_pending_dials(),
             frozenset(self._links.list_peers()),
         )
@@ -172,7 +172,7 @@
 
     async def _dial_listed(self) -> None:
         """Read the list if due and dial nodes on it."""
-        if not self._has_looked:
+        if not self._has_read_list:
             self._dial_first(await self._find_unknown())
         elif self._may_read_list():
             self._dial_some(await self._find_unknown())
@@ -186,8 +186,9 @@
     def _may_read_list(self) -> bool:
         """Return whether this node reads the list now.
 
-        A node that is listing and has peers takes turns with the others: one
-        read finds the nodes unknown to the reader and to all nodes it knows.
+        Of the nodes that are listed and have peers, only a few read it at a
+        time: one read finds the nodes unknown to all nodes that know each
+        other.
         With 195 nodes and pages of 50 objects, a read by each node every 5 s
         made up 16 of 96 calls per second to the platform.
         """
@@ -240,7 +241,7 @@
         known = {
             Address(record.host, record.peer_port)
             for record in self._members.records
-            if self._has_looked or self._is_linked(record)
+            if self._has_read_list or self._is_linked(record)
         }
         found = {parse_address(seed) for seed in self._seeds}
         if self._links.list_peers():
@@ -248,7 +249,7 @@
             found.clear()
         listing = await self._platform.fetch_all(Kind.PRESENCE, False)
         if not isinstance(listing, Failure):
-            self._has_looked = True
+            self._has_read_list = True
             objects = listing.unwrap().objects
             # A former run's delayed delete may remove this run's entry.
             self._is_listed = self._members.own.node in {
@@ -260,7 +261,7 @@
 
 
 def _list_addresses(objects: Iterable[Stored]) -> Iterator[Address]:
-    """Return the addresses of the listing nodes; skip malformed entries."""
+    """Return the addresses of the listed nodes; skip malformed entries."""
     for stored in objects:
         try:
             entry = msgspec.convert(stored.body, _PresenceEntry)
