--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -157,9 +157,10 @@
 ) -> None:
     """An unreadable lease record must not block the duty or reset its epochs.
 
-    Another writer overwrites the lease while a node holds it.  The holder must
-    stop and wait for a term, since it can't know who holds the lease now, and
-    its next term must have a higher epoch.
+    Another writer overwrites the lease while a node holds it.  The decoding
+    error must not end the check of the lease: the holder must stop and wait
+    for a term, since it can't know who holds the lease now, and its next term
+    must have a higher epoch.
     """
 
     async def work() -> None:
--- a/tests/test_entry_partitions.py
+++ b/tests/test_entry_partitions.py
@@ -1,4 +1,4 @@
-"""Entry boxes that are cut from each other, and from the platform."""
+"""Entry boxes that are partitioned from each other and from the platform."""
 
 from __future__ import annotations
 
@@ -32,8 +32,10 @@
         relay.close()
 
 
-def start_parted(bench: Bench, relays: list[Relay], switch: str = '') -> None:
-    """Start entry boxes that reach each other through relays."""
+def start_with_relays(
+    bench: Bench, relays: list[Relay], switch: str = ''
+) -> None:
+    """Start entry boxes that reach each other only through relays."""
     for name, relay in zip(NAMES, relays, strict=True):
         ports = {'peer_port': relay.target, 'shown_peer_port': relay.port}
         bench.start_entry(name, timing=QUICK, node=ports, switch=switch)
@@ -48,7 +50,8 @@
         bench.wait_serving(name, 'llm-main', 1)
         bench.wait_serving(name, 'app-main', 1)
         wait_until(
-            lambda name=name: count_live(bench, name) == 3, 'the others'
+            lambda name=name: count_live(bench, name) == 3,
+            'the other entry boxes',
         )
 
 
@@ -67,15 +70,17 @@
     return answer.status, answer.headers.get('waywell-ran', '')
 
 
-def test_parts_meet_again_at_the_highest_version(
+def test_partitions_converge_to_the_highest_version(
     bench: Bench,
     relays: list[Relay],
 ) -> None:
-    start_parted(bench, relays)
+    start_with_relays(bench, relays)
     for relay in relays:
         relay.cut()
     for name in NAMES:
-        wait_until(lambda name=name: count_live(bench, name) == 1, 'the cut')
+        wait_until(
+            lambda name=name: count_live(bench, name) == 1, 'the partition'
+        )
     answer = bench.apply(NAMES[1], make_configuration(boxes_per_group=1))
     number = answer.read_json()['number']
     for name in NAMES:
@@ -84,7 +89,10 @@
     for relay in relays:
         relay.mend()
     for name in NAMES:
-        wait_until(lambda name=name: count_live(bench, name) == 3, 'the mend')
+        wait_until(
+            lambda name=name: count_live(bench, name) == 3,
+            'the end of the partition',
+        )
         wait_until(
             lambda name=name: read_number(bench, name) == number,
             f'{name} to have {number}',
@@ -92,12 +100,12 @@
     assert find_rollbacks(bench.read_history('history-*.jsonl')) == []
 
 
-def test_cut_from_everything_stops_what_checks_no_fence(
+def test_isolated_nodes_stop_serving_targets_without_fencing(
     bench: Bench,
     relays: list[Relay],
 ) -> None:
-    """Fenced targets are served on; the others after the term no more."""
-    start_parted(bench, relays)
+    """Fenced targets are still served; others only until the term ends."""
+    start_with_relays(bench, relays)
     bench.set_platform_faults(outage=True)
     for relay in relays:
         relay.cut()
@@ -116,12 +124,12 @@
         )
 
 
-def test_without_the_right_to_route_it_goes_on(
+def test_isolated_nodes_without_a_route_term_keep_serving(
     bench: Bench,
     relays: list[Relay],
 ) -> None:
-    """The proof above can fail."""
-    start_parted(bench, relays, switch='route_for_ever')
+    """Control for the test above: without the term limit it would fail."""
+    start_with_relays(bench, relays, switch='route_for_ever')
     bench.set_platform_faults(outage=True)
     for relay in relays:
         relay.cut()
@@ -137,21 +145,28 @@
     assert ask(bench, NAMES[0], 'app')[0] == 200
 
 
-def test_parts_that_started_apart_meet_by_the_platform(bench: Bench) -> None:
-    """Two pairs know only each other until the platform is back."""
+def test_separately_started_clusters_merge_through_the_platform(
+    bench: Bench,
+) -> None:
+    """Each of two pairs knows only itself until the platform is reachable."""
     bench.set_platform_faults(outage=True)
     ports = {name: reserve_port() for name in ('a1', 'a2', 'b1', 'b2')}
     for name, port in ports.items():
-        mate = name[0] + ('2' if name[1] == '1' else '1')
+        seed = name[0] + ('2' if name[1] == '1' else '1')
         bench.start_entry(
             name,
             hall=f'hall-{name[0]}',
             timing=QUICK,
             node={'peer_port': port},
-            top={'seeds': [f'127.0.0.1:{ports[mate]}']},
+            top={'seeds': [f'127.0.0.1:{ports[seed]}']},
         )
     for name in ports:
-        wait_until(lambda name=name: count_live(bench, name) == 2, 'the mate')
+        wait_until(
+            lambda name=name: count_live(bench, name) == 2,
+            'the other of the pair',
+        )
     bench.set_platform_faults(outage=False)
     for name in ports:
-        wait_until(lambda name=name: count_live(bench, name) == 4, 'the rest')
+        wait_until(
+            lambda name=name: count_live(bench, name) == 4, 'all entry boxes'
+        )
--- a/tests/test_lease_eras.py
+++ b/tests/test_lease_eras.py
@@ -1,9 +1,10 @@
-"""A lease in a store that comes back from an older copy has one holder.
+"""A lease has at most one holder when the store is restored from an old copy.
 
-A lease that the copy lacked was taken at once while its holder trusted it, and
-so was one that the copy showed as given back, or as held by a former run of the
-contender: two nodes gave orders to boxes.  A holder whose earlier term the copy
-showed went on under that term's epoch.
+A lease that is missing from the copy, or that the copy shows as released or as
+held by a former run of the candidate, may still be trusted by its holder.  A
+candidate that acquires it at once causes two nodes to send orders to boxes.  A
+holder that reads its own record of an earlier term from the copy must not
+continue under the epoch of that term.
 """
 
 from __future__ import annotations
@@ -53,9 +54,9 @@
         make_record('b', FORMER, run=7),
         make_record('b', FORMER),
     ],
-    ids=['missing', 'given_back', 'of_a_former_run', 'own'],
+    ids=['missing', 'released', 'of_a_former_run', 'own'],
 )
-def test_nobody_takes_a_lease_in_the_first_term_of_an_era(
+def test_no_lease_is_acquired_in_the_first_term_of_an_era(
     record: LeaseRecord | None,
 ) -> None:
     state = make_state('b')
@@ -67,14 +68,14 @@
     assert epoch == least + (EPOCHS_SKIPPED_PER_ERA if record else 1)
 
 
-def test_a_lease_that_was_given_back_in_this_era_is_taken_at_once() -> None:
+def test_lease_that_was_released_in_this_era_is_acquired_at_once() -> None:
     state = make_state('b')
     state.observe(make_record('', PRESENT), 10.0, PRESENT)
     assert state.choose_action(10.0) is LeaseAction.ACQUIRE
     assert state.make_next_record(LeaseAction.ACQUIRE, 'op').epoch > 4
 
 
-def test_epochs_rise_over_those_of_a_long_era() -> None:
+def test_new_era_has_higher_epochs_than_a_long_former_era() -> None:
     state = make_state('b')
     long_used = msgspec.structs.replace(make_record('a', FORMER), epoch=7000)
     state.observe(long_used, 10.0, PRESENT)
@@ -84,16 +85,14 @@
     )
 
 
-def test_nothing_is_waited_for_at_the_first_start() -> None:
+def test_first_start_acquires_the_lease_without_waiting() -> None:
     state = make_state('b')
     state.is_first_start = True
     state.observe(None, 10.0, PRESENT)
     assert state.choose_action(10.0) is LeaseAction.ACQUIRE
 
 
-def test_the_term_is_waited_for_again_where_the_store_goes_back_twice() -> (
-    None
-):
+def test_term_is_waited_for_again_if_the_store_is_restored_twice() -> None:
     state = make_state('b')
     state.observe(None, 10.0, FORMER)
     state.observe(None, 10.0 + TERM / 2, PRESENT)
@@ -101,15 +100,15 @@
     assert state.choose_action(10.1 + TERM * 1.5) is LeaseAction.ACQUIRE
 
 
-def test_a_record_that_was_seen_before_is_waited_for_anew() -> None:
-    """The holder has renewed since, and trusts what the copy lacks."""
+def test_record_seen_in_a_former_era_is_waited_for_again() -> None:
+    """The holder may trust a later renewal that the copy lacks."""
     state = make_state('b')
     state.observe(make_record('a', FORMER), 10.0, FORMER)
     state.observe(make_record('a', FORMER), 10.0 + TERM, PRESENT)
     assert state.choose_action(10.1 + TERM) is LeaseAction.WAIT
 
 
-def test_a_holder_renews_in_a_new_era_and_keeps_its_term() -> None:
+def test_holder_renews_in_a_new_era_and_keeps_its_term() -> None:
     state = make_state('a')
     state.observe(None, 10.0, FORMER)
     record = state.make_next_record(LeaseAction.ACQUIRE, 'op')
@@ -121,7 +120,7 @@
     assert (renewed.era, renewed.epoch) == (PRESENT, record.epoch)
 
 
-def test_no_term_goes_on_under_the_epoch_of_an_earlier_one() -> None:
+def test_term_does_not_continue_under_the_epoch_of_an_earlier_one() -> None:
     state = make_state('a')
     state.observe(make_record('', FORMER), 10.0, FORMER)
     first = state.make_next_record(LeaseAction.ACQUIRE, 'op')
@@ -133,7 +132,7 @@
 
 
 class _Store:
-    """One lease in a store that begins a new era with its next answer."""
+    """Store of one lease that may start a new era with its next answer."""
 
     def __init__(self) -> None:
         self.eras = EraTracker()
@@ -172,11 +171,11 @@
 
 
 @in_loop
-async def test_no_lease_is_written_by_a_version_of_a_former_era() -> None:
+async def test_no_lease_is_written_with_a_version_of_a_former_era() -> None:
     store, clock = _Store(), HeldClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
-    # A call of another task tells the era; the next look fails.
+    # The call of another actor reveals the era; the next read fails.
     store.eras.observe(PRESENT)
     store.is_silent = True
     assert not await tick(duty, clock, TERM + 1)
@@ -184,16 +183,16 @@
 
 
 @in_loop
-async def test_a_write_that_an_era_overtakes_is_looked_up() -> None:
+async def test_write_during_a_change_of_era_is_verified() -> None:
     store, clock = _Store(), HeldClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
-    # The store goes back while the write is under way.
+    # The store is restored while the write is in flight.
     store.next_era = PRESENT
     write = store.write
 
-    async def write_and_lose(*words: Any) -> Any:
-        answer = await write(*words)
+    async def write_and_lose(*args: Any) -> Any:
+        answer = await write(*args)
         body = msgspec.to_builtins(make_record('b', PRESENT))
         store.stored = Stored('lease', 'forming', 9, body)
         return answer
@@ -206,12 +205,12 @@
 
 
 @in_loop
-async def test_a_write_that_is_carried_out_in_a_later_era_is_none() -> None:
-    """Its version was given out again: another holder may trust its term."""
+async def test_write_that_is_applied_in_a_later_era_does_not_count() -> None:
+    """Its expected version was reused, so another holder may exist."""
     store, clock = _Store(), HeldClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
-    # The store goes back while the write is under way.
+    # The store is restored while the write is in flight.
     store.next_era = PRESENT
     assert not await tick(duty, clock, TERM + 1)
     assert store.writes == 1
@@ -219,7 +218,7 @@
 
 
 @in_loop
-async def test_a_holder_that_the_copy_lacks_waits_like_others() -> None:
+async def test_holder_whose_lease_the_copy_lacks_waits_for_a_term() -> None:
     store, clock = _Store(), HeldClock()
     duty = make_duty(store, clock)
     await tick(duty, clock)
@@ -235,7 +234,7 @@
 
 
 class _Write(NamedTuple):
-    """A write that was sent and not carried out yet."""
+    """A write that was sent and is not applied yet."""
 
     which: int
     run: int
@@ -245,21 +244,21 @@
 
 
 class _Content(NamedTuple):
-    """What the store holds."""
+    """Content of the store."""
 
     record: LeaseRecord | None
     revision: int
 
 
 class LeaseEraMachine(RuleBasedStateMachine):
-    """Three contenders; the store comes back from copies, writes come late."""
+    """Three candidates; the store is restored from copies, writes are delayed."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.era = StoreEra(1)
         self.content = _Content(None, 0)
-        # Revisions of the whole store; others write as well.
+        # Revision of the whole store, which other writers increase too.
         self.counter = 0
         self.copies = [(self.content, 0)]
         self.states = [make_state(name) for name in 'abc']
@@ -278,17 +277,17 @@
         self.copies.append((self.content, self.counter))
 
     @rule(back=st.integers(1, 3))
-    def go_back(self, back: int) -> None:
+    def restore(self, back: int) -> None:
         self.era = StoreEra(self.era + 1)
         self.copies = self.copies[: max(1, len(self.copies) - back + 1)]
         self.content, self.counter = self.copies[-1]
 
     @rule()
-    def write_elsewhere(self) -> None:
+    def write_other_object(self) -> None:
         self.counter += 1
 
     @rule(which=st.integers(0, 2))
-    def look(self, which: int) -> None:
+    def read(self, which: int) -> None:
         self.states[which].observe(self.content.record, self.now, self.era)
         self.seen[which] = (self.era, self.content.revision)
 
@@ -300,27 +299,27 @@
 
     @rule(which=st.integers(0, 2))
     def send(self, which: int) -> None:
-        """Send what the last look leads to; it may come at any time."""
+        """Send the write due after the last read; it is applied later."""
         state, (era, revision) = self.states[which], self.seen[which]
-        move = state.choose_action(self.now)
-        if era and move is not LeaseAction.WAIT:
+        action = state.choose_action(self.now)
+        if era and action is not LeaseAction.WAIT:
             run = self.runs[which]
             operation = f'op-{len(self.sent)}'
-            record = state.make_next_record(move, operation)
+            record = state.make_next_record(action, operation)
             self.sent[operation] = (which, run, self.now)
             self.writes.append(_Write(which, run, record, revision, self.now))
 
     @rule(which=st.integers(0, 2))
     def act(self, which: int) -> None:
-        """Look, and do at once what follows."""
-        self.look(which)
+        """Read the lease and apply the write that is due at once."""
+        self.read(which)
         sent = len(self.writes)
         self.send(which)
         if len(self.writes) > sent:
-            self.carry_out(is_answered=True, last=True)
+            self.apply_write(is_answered=True, last=True)
 
     @rule(is_answered=st.booleans(), last=st.booleans())
-    def carry_out(self, is_answered: bool, last: bool) -> None:
+    def apply_write(self, is_answered: bool, last: bool) -> None:
         if not self.writes:
             return
         write = self.writes.pop(-1 if last else 0)
@@ -330,7 +329,7 @@
         self.content = _Content(write.record, self.counter)
         which = write.which
         is_running = self.runs[which] == write.run
-        # An answer of another era than the write's confirms nothing.
+        # An answer from another era than that of the write confirms nothing.
         if is_answered and is_running and write.record.era == self.era:
             self.states[which].confirm_write(
                 write.record, write.sent_at, self.now
@@ -338,9 +337,9 @@
             self.seen[which] = (self.era, self.counter)
 
     @rule(which=st.integers(0, 2))
-    def settle(self, which: int) -> None:
-        """Look whether a write without an answer was carried out."""
-        self.look(which)
+    def verify_write(self, which: int) -> None:
+        """Check whether a write without an answer was applied."""
+        self.read(which)
         record = self.content.record
         if record is None or record.era != self.era:
             return
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Streams: of two with one peer, the one that lives is used."""
+"""Streams between entry boxes, and the choice between several to one peer."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 BEAT = Beat(1, 1, 1, 0)
 
 
-class HeldStream(PeerStream):
-    """Keeps what is sent."""
+class RecordingStream(PeerStream):
+    """Stream that records what is sent."""
 
     def __init__(self, listener: StreamListener) -> None:
         self.listener = listener
@@ -43,31 +43,31 @@
             self.listener.on_close('closed here')
 
     def count_beats(self) -> int:
-        """Return the messages but for the first, which says who sends."""
+        """Return the number of messages sent after the ``Hello``."""
         return len(self.sent) - 1
 
 
-class HeldTransport(PeerTransport):
-    """Opens streams that stand at once."""
+class RecordingTransport(PeerTransport):
+    """Transport whose streams are established at once."""
 
     def __init__(self) -> None:
-        self.dialled: list[HeldStream] = []
+        self.dialled: list[RecordingStream] = []
 
     def dial(
         self, host: str, port: int, listener: StreamListener
     ) -> PeerStream:
-        stream = HeldStream(listener)
+        stream = RecordingStream(listener)
         self.dialled.append(stream)
         return stream
 
 
 class Bench:
-    """Links of one node with streams to others."""
+    """Links of one node, with streams to other nodes."""
 
     def __init__(self) -> None:
-        self.transport = HeldTransport()
+        self.transport = RecordingTransport()
         self.links = PeerLinks(self.describe, self.transport)
-        self.actor = Actor('taker')
+        self.actor = Actor('subscriber')
         self.links.subscribe(
             self.actor, Beat, PeerLinks.Opened, PeerLinks.Unreachable
         )
@@ -75,25 +75,27 @@
     def describe(self) -> NodeRecord:
         return make_record('a')
 
-    def open(self, peer: str, *, dialled: bool = False) -> HeldStream:
-        """Open a stream to a peer that says who it is."""
+    def open(self, peer: str, *, dialled: bool = False) -> RecordingStream:
+        """Open a stream to a peer that identifies itself."""
         if dialled:
             self.links.dial(peer, 1)
             stream = self.transport.dialled[-1]
         else:
-            stream = HeldStream(self.links.make_listener())
+            stream = RecordingStream(self.links.make_listener())
         stream.listener.on_open(stream)
         stream.listener.on_message(Hello(make_record(peer)))
         return stream
 
-    def take_words(self) -> list[object]:
-        """Return what the subscribed task was told."""
+    def take_messages(self) -> list[object]:
+        """Return and clear the messages posted to the subscribed actor."""
         inbox = self.actor._inbox
         return [inbox.get_nowait() for _ in range(inbox.qsize())]
 
 
 @in_loop
-async def test_what_came_from_a_peer_goes_on_to_dialled_ones_only() -> None:
+async def test_forwarded_message_goes_to_dialled_peers_except_its_source() -> (
+    None
+):
     bench = Bench()
     dialled = [bench.open(name, dialled=True) for name in 'bc']
     accepted = bench.open('d')
@@ -103,7 +105,7 @@
 
 
 @in_loop
-async def test_stream_that_was_heard_last_is_used() -> None:
+async def test_stream_that_received_a_message_last_is_used() -> None:
     bench = Bench()
     dead = [bench.open('b') for _ in range(3)]
     other = bench.open('c')
@@ -119,68 +121,66 @@
 
 
 @in_loop
-async def test_each_side_says_who_it_is_and_messages_come_with_a_name() -> (
-    None
-):
+async def test_each_side_sends_hello_and_messages_carry_their_sender() -> None:
     bench = Bench()
     stream = bench.open('b')
     assert (
         msgspec.msgpack.decode(stream.sent[0], type=Hello).record.node == 'a'
     )
     stream.listener.on_message(BEAT)
-    opened, received = bench.take_words()
+    opened, received = bench.take_messages()
     assert isinstance(opened, PeerLinks.Opened)
     assert received == PeerLinks.Received(NodeId('b'), BEAT)
     assert bench.links.dump()['received'] == 1
 
 
 @in_loop
-async def test_stream_that_begins_otherwise_is_closed() -> None:
+async def test_stream_that_does_not_start_with_hello_is_closed() -> None:
     bench = Bench()
-    stream = HeldStream(bench.links.make_listener())
+    stream = RecordingStream(bench.links.make_listener())
     stream.listener.on_open(stream)
     stream.listener.on_message(BEAT)
     assert stream.is_closed
-    assert not bench.take_words()
+    assert not bench.take_messages()
 
 
 @in_loop
-async def test_stream_whose_peer_says_nothing_is_closed(
+async def test_stream_whose_peer_sends_no_hello_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr('waywell.membership.links.HELLO_TIMEOUT_SECONDS', 0)
     bench = Bench()
-    stream = HeldStream(bench.links.make_listener())
+    stream = RecordingStream(bench.links.make_listener())
     stream.listener.on_open(stream)
     await wait_until(lambda: stream.is_closed)
-    assert not bench.take_words()
+    assert not bench.take_messages()
 
 
 @in_loop
-async def test_end_of_a_dialled_stream_makes_its_peer_unreachable() -> None:
+async def test_end_of_a_dialled_stream_reports_its_peer_as_unreachable() -> (
+    None
+):
     bench = Bench()
     stream = bench.open('b', dialled=True)
-    bench.take_words()
+    bench.take_messages()
     bench.links.close_dialled_except(set())
     assert stream.is_closed
     assert bench.links.list_peers() == set()
-    assert bench.take_words() == [PeerLinks.Unreachable(NodeId('b'))]
+    assert bench.take_messages() == [PeerLinks.Unreachable(NodeId('b'))]
 
 
 @in_loop
-async def test_address_that_does_not_answer_makes_its_peer_unreachable() -> (
-    None
-):
+async def test_failed_dial_reports_its_peer_as_unreachable() -> None:
     bench = Bench()
     bench.links.dial('10.0.0.9', 1, NodeId('z'))
     bench.transport.dialled[-1].listener.on_close('refused')
-    assert bench.take_words() == [PeerLinks.Unreachable(NodeId('z'))]
+    assert bench.take_messages() == [PeerLinks.Unreachable(NodeId('z'))]
     bench.links.dial('10.0.0.9', 1, NodeId('z'))
     assert len(bench.transport.dialled) == 2
 
 
 @in_loop
-async def test_lost_peer_has_its_streams_closed() -> None:
+async def test_disconnect_closes_all_streams_to_a_peer() -> None:
     bench = Bench()
     streams = [bench.open('b'), bench.open('b')]
     bench.links.disconnect(NodeId('b'))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: every order of records leads to one view."""
+"""Membership: views converge in whatever order records arrive."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return MembershipTable(make_record(name, incarnation), SUSPICION)
 
 
-def test_suspect_becomes_lost_unless_it_answers() -> None:
+def test_suspect_becomes_lost_unless_it_refutes() -> None:
     table = make_table('a')
     table.merge(make_record('b'), 0)
     suspected = table.suspect(NodeId('b'), 1)
@@ -54,7 +54,7 @@
     assert len(table.list_live()) == 2
 
 
-def test_later_run_replaces_an_earlier() -> None:
+def test_record_of_a_later_run_replaces_an_earlier_one() -> None:
     table = make_table('a')
     table.merge(make_record('b'), 0)
     table.suspect(NodeId('b'), 0)
@@ -64,7 +64,7 @@
     assert table.find(NodeId('b')).incarnation == 2
 
 
-def test_run_that_began_by_a_clock_set_back_is_live_at_others() -> None:
+def test_run_with_a_lower_incarnation_after_a_clock_change_is_live() -> None:
     table = make_table('a')
     table.merge(make_record('b', 9000), 0)
     table.suspect(NodeId('b'), 0)
@@ -77,14 +77,14 @@
     assert restarted.own.incarnation == 9001
 
 
-def test_run_of_another_box_with_the_same_name_is_not_outdone() -> None:
+def test_incarnation_of_another_box_with_the_same_name_is_not_raised() -> None:
     other = msgspec.structs.replace(make_record('b', 9000), host='127.0.0.2')
     table = make_table('b', 5000)
     assert table.merge(other, 0) is None
     assert table.own.incarnation == 5000
 
 
-def test_leaving_node_stays_off_the_list_when_suspected() -> None:
+def test_leaving_node_is_not_listed_as_live_when_suspected() -> None:
     table = make_table('a')
     leaving = msgspec.structs.replace(
         make_record('b'),
@@ -96,7 +96,7 @@
     assert [record.node for record in table.list_live()] == ['a']
 
 
-def test_neighbours_reach_everyone() -> None:
+def test_streams_to_neighbours_connect_all_nodes() -> None:
     tables = {f'n{number}': make_table(f'n{number}') for number in range(40)}
     records = [make_record(name) for name in tables]
     reached = {'n0'}
@@ -111,22 +111,25 @@
     assert len(reached) == 40
 
 
-def _spread(tables: dict[str, MembershipTable], lost: set[str]) -> set[str]:
-    """Return the nodes that hear a word, passed on along dialled streams."""
-    heard, waiting = {'n0'}, ['n0']
+def _spread_message(
+    tables: dict[str, MembershipTable], lost: set[str]
+) -> set[str]:
+    """Return the nodes that a message from ``n0`` reaches on dialled streams."""
+    informed, waiting = {'n0'}, ['n0']
     while waiting:
         table = tables[waiting.pop()]
         for record in table.list_neighbours():
-            if record.node not in heard | lost:
-                heard.add(record.node)
+            if record.node not in informed | lost:
+                informed.add(record.node)
                 waiting.append(record.node)
-    return heard
+    return informed
 
 
-def test_most_streams_of_a_large_fleet_stay_in_their_halls() -> None:
-    """Load: 60 nodes in three halls; each word crosses between halls.
+def test_most_streams_of_a_large_fleet_stay_within_a_hall() -> None:
+    """Traffic between halls must be limited: at most one stream per node.
 
-    With three rings through all halls two of three streams did so.
+    With 60 nodes in three halls and three rings across all halls, two of three
+    streams lead to another hall.
     """
     records = [
         msgspec.structs.replace(
@@ -146,14 +149,14 @@
             crossing += record.hall != own.hall
     assert streams >= 2.5 * len(records)
     assert crossing <= len(records)
-    assert _spread(tables, set()) == set(tables)
-    # While a tenth of the nodes is gone a word misses only those all of whose
-    # predecessors are gone, until others dial them: one in a thousand.
+    assert _spread_message(tables, set()) == set(tables)
+    # With a tenth of the nodes lost, a message misses only nodes all of whose
+    # predecessors are lost, one in a thousand, until others dial them.
     lost = {f'n{number}' for number in range(7, 60, 10)}
-    assert len(set(tables) - lost - _spread(tables, lost)) <= 1
+    assert len(set(tables) - lost - _spread_message(tables, lost)) <= 1
 
 
-def test_nodes_of_small_halls_keep_rings_through_all_halls() -> None:
+def test_nodes_of_small_halls_use_rings_across_all_halls() -> None:
     own = msgspec.structs.replace(make_record('n0'), hall=HallName('h0'))
     table = MembershipTable(own, SUSPICION)
     for number in range(1, 9):
@@ -165,20 +168,22 @@
     assert len(table.list_neighbours()) >= 2
 
 
-def test_contenders_with_the_most_processor_go_first() -> None:
-    """Load: a duty that fills a small box, in a fleet with a few large ones."""
+def test_candidates_with_the_most_cores_are_ranked_first() -> None:
+    """A duty that saturates a small box must run on one of the large ones."""
     records = [make_record(f'n{number}') for number in range(30)]
     large = {'n7', 'n21'}
     records = [
-        msgspec.structs.replace(one, cores=2.15 if one.node in large else 0.52)
-        for one in records
+        msgspec.structs.replace(
+            record, cores=2.15 if record.node in large else 0.52
+        )
+        for record in records
     ]
     first = rank_candidates(records, 'duty', 3)
     assert set(first[:2]) == large
     assert rank_candidates(reversed(records), 'duty', 3) == first
 
 
-def test_contenders_are_few_and_the_same_everywhere() -> None:
+def test_candidates_are_few_and_independent_of_the_record_order() -> None:
     records = [make_record(f'n{number}') for number in range(30)]
     first = rank_candidates(records, 'duty', 3)
     assert rank_candidates(reversed(records), 'duty', 3) == first
@@ -186,13 +191,13 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Records cross in any order; nodes are suspected and restarted."""
+    """Records arrive in any order; nodes are suspected and restarted."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.tables = {name: make_table(name) for name in NAMES}
-        self.lives = dict.fromkeys(NAMES, 1)
+        self.runs = dict.fromkeys(NAMES, 1)
 
     @rule(
         source=st.sampled_from(NAMES),
@@ -221,11 +226,11 @@
 
     @rule(name=st.sampled_from(NAMES))
     def restart(self, name: str) -> None:
-        self.lives[name] += 1
-        self.tables[name] = make_table(name, self.lives[name])
+        self.runs[name] += 1
+        self.tables[name] = make_table(name, self.runs[name])
 
     def teardown(self) -> None:
-        """When all have heard all, the views are one and nobody is lost."""
+        """After a full exchange all views are equal and no node is lost."""
         for _ in range(4):
             for source in self.tables.values():
                 for sink in self.tables.values():
@@ -240,14 +245,14 @@
         assert len(digests) == 1
         for record in views[0]:
             assert record.state in {NodeState.LIVE, NodeState.LEAVING}
-            assert record.incarnation == self.lives[record.node]
+            assert record.incarnation == self.runs[record.node]
 
 
 TestMembershipMachine = MembershipMachine.TestCase
 
 
 @pytest.mark.parametrize('live', [1, 5, 90, 350])
-def test_a_lost_node_is_called_by_few_however_many_know(live: int) -> None:
+def test_number_of_nodes_that_dial_a_lost_node_is_bounded(live: int) -> None:
     draws = [(number + 0.5) / live for number in range(live)]
-    callers = sum(may_dial(live, draw) for draw in draws)
-    assert callers == min(live, EXPECTED_DIALERS)
+    dialers = sum(may_dial(live, draw) for draw in draws)
+    assert dialers == min(live, EXPECTED_DIALERS)
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -1,4 +1,4 @@
-"""A node stays on the platform's list whatever is carried out late."""
+"""Presence: nodes stay listed and find each other through the list."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _Store:
-    """Objects by name; anyone may remove one."""
+    """Store of objects by name, from which a test may remove any."""
 
     def __init__(self) -> None:
         self.objects: dict[str, Stored] = {}
@@ -46,13 +46,13 @@
         return Success(self.objects[name])
 
 
-def test_a_removal_that_was_carried_out_late_is_made_good(
+def test_entry_removed_by_a_delayed_delete_is_written_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A former run's word to remove the node takes effect after the new one's.
+    """A former run's delete may be applied after the new run's write.
 
-    A call without an answer may be carried out seconds later; the new run had
-    taken its object for written and never looked again.  Found by reading.
+    A call without an answer may be applied seconds later.  A node that never
+    checks its entry again would stay unlisted.
     """
     monkeypatch.setattr(presence_module, 'JOIN_INTERVAL_SECONDS', 0)
     monkeypatch.setattr(presence_module, 'LIST_CHECK_SECONDS', 0)
@@ -60,15 +60,15 @@
     async def work() -> None:
         store = _Store()
         table = MembershipTable(make_record('a'), 2.0)
-        links = SimpleNamespace(list_peers=set, dial=lambda *_words: None)
+        links = SimpleNamespace(list_peers=set, dial=lambda *_args: None)
         presence = Presence(store, table, links, (), Random(1))
         task = asyncio.create_task(presence.run())
         while store.listings < 1:
             await asyncio.sleep(0)
         assert set(store.objects) == {'a'}
         store.objects.clear()
-        seen = store.listings
-        while store.listings < seen + 3:
+        listings = store.listings
+        while store.listings < listings + 3:
             await asyncio.sleep(0)
         assert set(store.objects) == {'a'}
         task.cancel()
@@ -76,10 +76,11 @@
     asyncio.run(work())
 
 
-def test_few_of_many_nodes_look_at_the_list_at_a_time() -> None:
-    """Load: 195 nodes know each other; each looked each 5 s.
+def test_few_of_many_nodes_read_the_list_at_a_time() -> None:
+    """Reads of the list must not dominate the load on the platform.
 
-    With pages of 50 objects that was a sixth of all calls to the platform.
+    If each of 195 nodes reads it every 5 s in pages of 50 objects, the reads
+    are a sixth of all calls.
     """
     table = MembershipTable(make_record('n0'), 2.0)
     for number in range(1, 195):
@@ -87,8 +88,8 @@
     links = SimpleNamespace(list_peers=lambda: {'n1'})
     presence = Presence(_Store(), table, links, (), Random(1))
     presence._is_listed = True
-    looks = sum(presence._may_read_list() for _ in range(1950))
-    assert 40 <= looks <= 120
+    reads = sum(presence._may_read_list() for _ in range(1950))
+    assert 40 <= reads <= 120
     alone = Presence(
         _Store(), table, SimpleNamespace(list_peers=set), (), Random(1)
     )
@@ -96,11 +97,12 @@
     assert all(alone._may_read_list() for _ in range(100))
 
 
-def test_a_silent_platform_does_not_keep_a_node_that_stops() -> None:
-    """The store is silent while a node stops, at the end of its time.
+def test_unresponsive_platform_does_not_delay_the_exit_of_a_node() -> None:
+    """The store does not answer while a node stops.
 
-    Symptom: the process was ended by force, 0.6 s after its last answer was
-    whole.  Cause: it waited for the store to take its entry off the list.
+    A node that waits for the removal of its entry without a limit is killed at
+    the end of its stop time, although its last answer was complete 0.6 s
+    earlier.
     """
 
     class SilentStore(_Store):
@@ -117,13 +119,13 @@
 
 
 @pytest.mark.parametrize('body', [None, 'x', [1], {}, {'host': 7}])
-def test_what_another_writer_listed_hides_no_node(
+def test_malformed_entries_do_not_hide_other_nodes(
     monkeypatch: pytest.MonkeyPatch, body: Any
 ) -> None:
-    """Symptom: a node called nobody that it did not know, for good.
+    """A malformed entry must not stop a node from dialling unknown nodes.
 
-    Sequence: something that is no node stands on the list, also under the
-    node's own name.  Cause: each object was taken for a node's.
+    Another writer has put objects of another form on the list, one of them
+    under the node's own name.
     """
     monkeypatch.setattr(presence_module, 'JOIN_INTERVAL_SECONDS', 0)
 
@@ -134,16 +136,16 @@
         address = {'host': '10.0.0.9', 'peer_port': 7400}
         store.objects['b'] = Stored('presence', 'b', 4, address)
         table = MembershipTable(make_record('a'), 2.0)
-        called: set[tuple[str, int]] = set()
+        dialled: set[tuple[str, int]] = set()
         links = SimpleNamespace(
-            list_peers=set, dial=lambda *words: called.add(words)
+            list_peers=set, dial=lambda *address: dialled.add(address)
         )
         presence = Presence(store, table, links, (), Random(1))
         task = asyncio.create_task(presence.run())
-        while not called:
+        while not dialled:
             await asyncio.sleep(0)
             assert not task.done()
-        assert called == {('10.0.0.9', 7400)}
+        assert dialled == {('10.0.0.9', 7400)}
         assert store.objects['a'].body['host']
         task.cancel()
 
--- a/tests/test_stale_lease_reads.py
+++ b/tests/test_stale_lease_reads.py
@@ -1,18 +1,11 @@
-"""A duty whose holder was killed is taken over though cheap answers are old.
-
-Symptom: 8.0 s without a holder, in which nothing was done for the groups that
-lost a box: of 33 and 94 groups 11 and 62 were left when the next one took up
-its work.  Sequence: the holder's process was killed, and ran again 0.6 s later
-without the duty; two of the three contenders had run all the while.  Cause:
-contenders looked at the lease by answers that may be seconds old, and saw the
-killed holder's renewals for as long as the answers were behind; the term
-counted from the last of them.
-
-Log lines that settled it; answers were up to 6 s behind::
-
-     5.75  front-hall-port-2 killed, at its first renewal of the second
-     6.36  front-hall-port-2 listening
-    13.76  front-hall-port-1 duty_taken duty=forming epoch=2
+"""A duty whose holder was killed is taken over despite stale cached reads.
+
+The holder's process is killed and restarts 0.6 s later without the duty, while
+two other candidates keep running.  Cached reads of the lease lag by up to 6 s,
+so they show renewals of the killed holder long after its end.  Candidates that
+measure the term from the last such renewal leave the duty without a holder for
+8.0 s, in which groups that lose a box are not repaired: of 33 and 94 groups,
+11 and 62 were left when the next holder started.
 """
 
 from __future__ import annotations
@@ -35,16 +28,16 @@
 
 TERM = 2.0
 LAG = 6.0
-"""Seconds by which cheap answers are behind."""
+"""Seconds by which cached reads lag behind."""
 
 HOLDER = NodeId('holder')
 
 
 class _LaggingStore:
-    """One object with its history; cheap answers show it as it was."""
+    """Store of one object with its history; cached reads show a past state."""
 
     def __init__(self, clock: HeldClock) -> None:
-        self.fresh_looks = 0
+        self.fresh_reads = 0
         self.lag = LAG
         self._clock = clock
         self._history: list[tuple[float, Stored]] = []
@@ -63,7 +56,7 @@
     async def fetch(
         self, _kind: Kind, _name: str, fresh: bool = True
     ) -> Result[Stored | None, PlatformFault]:
-        self.fresh_looks += fresh
+        self.fresh_reads += fresh
         until = self._clock.now - (0.0 if fresh else self.lag)
         shown = [stored for at, stored in self._history if at <= until]
         return Success(shown[-1] if shown else None)
@@ -78,7 +71,7 @@
 
 
 class Bench:
-    """A contender, and a holder that renewed its lease until just now."""
+    """A candidate, and a holder that renewed its lease until just now."""
 
     def __init__(self) -> None:
         self.clock = HeldClock()
@@ -93,51 +86,55 @@
         self.see_holder(1)
 
     def see_holder(self, incarnation: int) -> None:
-        """Let the contender's view show a run of the holder."""
+        """Let the candidate's membership view show a run of the holder."""
         record = make_record(HOLDER, incarnation)
         self.gossip.table.merge(record, self.clock.now)
 
     def suspect_holder(self) -> None:
         self.gossip.table.suspect(HOLDER, self.clock.now)
 
-    async def count_seconds(self) -> float:
-        """Return the seconds until the contender holds the duty."""
-        began_at = self.clock.now
+    async def measure_takeover_seconds(self) -> float:
+        """Return the seconds until the candidate holds the duty."""
+        started_at = self.clock.now
         while not self.duty.is_held():
             await self.duty.on_lease_tick(Duty.LeaseTick())
             self.clock.now += TERM / TICKS_PER_TERM
-            assert self.clock.now < began_at + 60
-        return self.clock.now - began_at
+            assert self.clock.now < started_at + 60
+        return self.clock.now - started_at
 
 
 @in_loop
-async def test_the_duty_of_a_holder_that_runs_anew_is_taken_within_a_term() -> (
-    None
-):
+async def test_duty_of_a_restarted_holder_is_acquired_within_a_term() -> None:
     bench = Bench()
     bench.see_holder(2)
-    assert await bench.count_seconds() <= TERM + 3 * TERM / TICKS_PER_TERM
+    assert (
+        await bench.measure_takeover_seconds()
+        <= TERM + 3 * TERM / TICKS_PER_TERM
+    )
 
 
 @in_loop
-async def test_the_duty_of_a_suspected_holder_is_taken_within_a_term() -> None:
+async def test_duty_of_a_suspected_holder_is_acquired_within_a_term() -> None:
     bench = Bench()
     bench.suspect_holder()
-    assert await bench.count_seconds() <= TERM + 3 * TERM / TICKS_PER_TERM
+    assert (
+        await bench.measure_takeover_seconds()
+        <= TERM + 3 * TERM / TICKS_PER_TERM
+    )
 
 
 @in_loop
-async def test_cheap_answers_are_enough_while_the_holder_runs() -> None:
+async def test_cached_reads_suffice_while_the_holder_runs() -> None:
     bench = Bench()
     for _ in range(TICKS_PER_TERM):
         await bench.duty.on_lease_tick(Duty.LeaseTick())
-    assert not bench.store.fresh_looks
+    assert not bench.store.fresh_reads
     assert not bench.duty.is_held()
 
 
 @in_loop
-async def test_an_older_answer_is_no_sign_of_life() -> None:
-    """Answers that are behind by now more, now less show no renewal."""
+async def test_older_read_is_no_sign_of_life() -> None:
+    """Reads whose lag varies must not be mistaken for renewals."""
     bench = Bench()
     bench.store.lag = 0.0
     await bench.duty.on_lease_tick(Duty.LeaseTick())
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -1,7 +1,7 @@
-"""A store that comes back from a copy some seconds old.
+"""A store is restored from a copy that is some seconds old.
 
-Its revisions go back and are given out again, so what a node has read since
-the copy is of another history.  Nodes compared bare revisions and took each
+Its revisions decrease and are reused, so what a node has read since the copy
+belongs to another history.  A node that compares bare revisions would take any
 later answer for a later state.
 """
 
@@ -30,13 +30,13 @@
 TERM = 2.0
 
 SEEN_SECONDS = 6.0
-"""For a node to see a change of the store: many of its looks."""
+"""Time limit for a node to see a change of the store; many of its polls."""
 
 WRITTEN_SINCE = 500
-"""Changes since the copy, more than come again within a test."""
+"""Changes since the copy; more than a test repeats after the restore."""
 
 REQUESTS = 8
-"""Of which some would go to a replica that is one of two."""
+"""Enough requests for some to go to each of two replicas."""
 
 
 def read_status(front: Front, node: Process) -> Any:
@@ -60,30 +60,30 @@
     return node
 
 
-def go_back_and_wait(
+def restore_and_wait(
     front: Front,
     node: Process,
     copy: StoreCopy,
-    *again: tuple[str, str, Any],
+    *objects: tuple[str, str, Any],
 ) -> None:
-    """Let the store come back; wait until a node has read all of it."""
+    """Restore the store; wait until a node has read all of it."""
     for number in range(WRITTEN_SINCE):
         front.store.put('others', f'o{number}', {})
     wait_until(
         lambda: (
             read_revision(front, node, 'fleet') > copy.revision + WRITTEN_SINCE
         ),
-        'a look that the copy lacks',
+        'a read newer than the copy',
     )
     seen = {**front.servers['m1'].entry, 'slots': 7}
-    front.store.go_back(copy, ('servers', 'm1', seen), *again)
+    front.store.go_back(copy, ('servers', 'm1', seen), *objects)
     wait_until(
         lambda: read_boxes(front, node)['m1']['places'] == 7,
-        'a look after the return',
+        'a read after the restore',
     )
 
 
-def test_what_is_written_again_is_seen_though_its_revision_was_given_before(
+def test_change_with_a_reused_revision_is_seen(
     front: Front,
 ) -> None:
     node = start(front)
@@ -92,44 +92,44 @@
         front.store.put('others', f'o{number}', {})
     wait_until(
         lambda: read_revision(front, node, 'routes') > copy.revision,
-        'a look after the copy',
+        'a read after the copy',
     )
     later = make_manifest(2, tenants=[{'name': 'new', 'api_keys': [KEY]}])
-    again = [('others', f'o{number}', {}) for number in range(400)]
-    front.store.go_back(copy, ('config', 'main', later), *again)
+    objects = [('others', f'o{number}', {}) for number in range(400)]
+    front.store.go_back(copy, ('config', 'main', later), *objects)
     wait_until(
         lambda: read_status(front, node)['routes_version'] == 2,
-        'the version that was written after the return',
+        'the version that was written after the restore',
         SEEN_SECONDS,
     )
 
 
-def test_status_and_log_tell_that_the_store_came_back(front: Front) -> None:
+def test_status_and_log_report_the_restored_store(front: Front) -> None:
     node = start(front)
     assert read_status(front, node)['store_era_since'] is None
-    go_back_and_wait(front, node, front.store.take_copy())
+    restore_and_wait(front, node, front.store.take_copy())
     status = read_status(front, node)
     assert (status['store_era'], status['store_era_changes']) == (2, 1)
     assert status['store_era_since'] is not None
     lines = node.log.read_text().splitlines()
-    changes = [one for one in lines if 'event=store_era_changed ' in one]
+    changes = [line for line in lines if 'event=store_era_changed ' in line]
     assert len(changes) == 1
     assert 'former=1 era=2 dropped="revisions,lease_term"' in changes[0]
     assert 'boxes_kept=' in changes[0]
 
 
-def test_an_earlier_entry_ends_no_life(front: Front) -> None:
+def test_outdated_entry_does_not_end_the_life_of_a_box(front: Front) -> None:
     node = start(front)
     front.servers.pop('a2').crash()
     wait_until(
-        lambda: 'a2' not in read_boxes(front, node), 'one replica that is left'
+        lambda: 'a2' not in read_boxes(front, node), 'one remaining replica'
     )
     copy = front.store.take_copy()
     server = front.servers['a1']
     server.restart()
     wait_until(
         lambda: read_boxes(front, node)['a1']['incarnation'] == 2,
-        'the new life',
+        'the new incarnation',
     )
     server.goes_on.clear()
     answers = []
@@ -138,15 +138,17 @@
     )
     caller.start()
     wait_until(lambda: bool(server.runs), 'the request')
-    go_back_and_wait(front, node, copy)
-    # The box goes on, and writes its entry again a moment later.
+    restore_and_wait(front, node, copy)
+    # The box keeps running and writes its entry again a moment later.
     server.write_entry()
     server.goes_on.set()
     caller.join()
     assert answers == [200]
 
 
-def test_a_word_of_leaving_is_not_taken_back(front: Front) -> None:
+def test_outdated_entry_does_not_revoke_that_a_box_is_leaving(
+    front: Front,
+) -> None:
     node = start(front)
     copy = front.store.take_copy()
     leaving = front.servers['a1']
@@ -154,15 +156,15 @@
     leaving.write_entry()
     wait_until(
         lambda: read_boxes(front, node)['a1']['leaving'],
-        'the word of leaving',
+        'the leaving entry',
     )
-    go_back_and_wait(front, node, copy)
+    restore_and_wait(front, node, copy)
     for _request in range(REQUESTS):
         assert front.ask(node, '/stock/1')[0] == 200
     assert not leaving.arrivals
 
 
-def test_boxes_that_the_copy_lacks_are_kept_until_they_write_again(
+def test_boxes_missing_from_the_copy_are_kept_until_they_write_again(
     tmp_path: Path,
 ) -> None:
     front = Front(tmp_path)
@@ -171,15 +173,15 @@
     try:
         node = start(front)
         manifest = ('config', 'main', make_manifest())
-        go_back_and_wait(front, node, copy, manifest)
+        restore_and_wait(front, node, copy, manifest)
         for _request in range(REQUESTS):
             assert front.ask(node, '/stock/1')[0] == 200
     finally:
         front.close()
 
 
-class _Lease:
-    """The lease in a store that can come back without it."""
+class _LeaseStore:
+    """Store of one lease that can be restored without it."""
 
     def __init__(self) -> None:
         self.stored: Stored | None = None
@@ -198,9 +200,9 @@
 
 
 @in_loop
-async def test_a_lease_that_the_copy_lacks_has_one_holder() -> None:
+async def test_lease_missing_from_the_copy_has_one_holder() -> None:
     clock = HeldClock()
-    store = _Lease()
+    store = _LeaseStore()
     first, second = (
         Duty('forming', store, LoneGossip(name), clock, TERM)
         for name in ('a', 'b')
