--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -189,7 +189,7 @@
         store, clock = _Store(), HeldClock()
         store.stored = Stored('lease', 'forming', 4, 'x')
         duty = _RecordingDuty(store, clock)
-        duty.find_minimum_epoch = lambda: 17  # type: ignore[method-assign]
+        duty.find_highest_used_epoch = lambda: 17  # type: ignore[method-assign]
         await duty.on_lease_tick(Duty.LeaseTick())
         clock.now += TERM + 0.1
         await duty.on_lease_tick(Duty.LeaseTick())
--- a/tests/test_entry_partitions.py
+++ b/tests/test_entry_partitions.py
@@ -65,7 +65,7 @@
     return int(answer.read_json()['number'])
 
 
-def ask(bench: Bench, name: str, service: str) -> tuple[int, str]:
+def send_request(bench: Bench, name: str, service: str) -> tuple[int, str]:
     answer = bench.get_caller(name).call(f'/services/{service}/x')
     return answer.status, answer.headers.get('waywell-ran', '')
 
@@ -84,8 +84,8 @@
     answer = bench.apply(NAMES[1], make_configuration(boxes_per_group=1))
     number = answer.read_json()['number']
     for name in NAMES:
-        assert ask(bench, name, 'llm')[0] == 200
-        assert ask(bench, name, 'app')[0] == 200
+        assert send_request(bench, name, 'llm')[0] == 200
+        assert send_request(bench, name, 'app')[0] == 200
     for relay in relays:
         relay.mend()
     for name in NAMES:
@@ -111,15 +111,17 @@
         relay.cut()
     for name in NAMES:
         wait_until(
-            lambda name=name: ask(bench, name, 'app') == (503, 'not_run'),
+            lambda name=name: (
+                send_request(bench, name, 'app') == (503, 'not_run')
+            ),
             f'{name} to stop serving unfenced targets',
         )
-        assert ask(bench, name, 'llm')[0] == 200
+        assert send_request(bench, name, 'llm')[0] == 200
     for relay in relays:
         relay.mend()
     for name in NAMES:
         wait_until(
-            lambda name=name: ask(bench, name, 'app')[0] == 200,
+            lambda name=name: send_request(bench, name, 'app')[0] == 200,
             f'{name} to serve again, with the platform still down',
         )
 
@@ -142,7 +144,7 @@
         'the term to pass',
     )
     assert count_live(bench, NAMES[0]) == 1
-    assert ask(bench, NAMES[0], 'app')[0] == 200
+    assert send_request(bench, NAMES[0], 'app')[0] == 200
 
 
 def test_separately_started_clusters_merge_through_the_platform(
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -49,7 +49,7 @@
     table.merge(make_record('b'), 0.0)
     links, clock = _Links(), HeldClock()
     gossip = Gossip(table, links, clock, TimingSettings())  # type: ignore[arg-type]
-    gossip._heard_at[B] = clock.now
+    gossip._received_at[B] = clock.now
     return gossip, links, clock
 
 
--- a/waywell/duties/duty.py
+++ b/waywell/duties/duty.py
@@ -261,9 +261,8 @@
         """Return whether this node performs the duty now.
 
         A lease that expires and is acquired again between two checks begins a
-        new term, which must not use state of the previous one.  It
-        counts only from the check that calls ``start_work``, which resets that
-        state.
+        new term, which must not use state of the previous one.  It counts only
+        from the check that calls ``start_work``, which resets that state.
         """
         return self.lease.is_held() and self._active_epoch == self.epoch
 
@@ -292,7 +291,7 @@
         """Return whether this node is able to perform the duty."""
         return True
 
-    def find_minimum_epoch(self) -> int:
+    def find_highest_used_epoch(self) -> int:
         """Return the highest epoch known to have been used."""
         return 0
 
@@ -311,7 +310,7 @@
         if self.lease.is_held() and not self.can_hold():
             await self.release()
         elif self.is_candidate() or self.lease.is_held():
-            self.lease.state.raise_minimum_epoch(self.find_minimum_epoch())
+            self.lease.state.record_used_epoch(self.find_highest_used_epoch())
             await self.lease.update()
         epoch = self.epoch if self.lease.is_held() else None
         if epoch == self._active_epoch:
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -183,8 +183,8 @@
             outlook, self._start_probe, sources.count_requests
         )
         self._box_count = 0
-        self._counted_at = 0.0
-        self._outdated_at = float('-inf')
+        self._box_count_since = 0.0
+        self._term_abandoned_at = float('-inf')
         self._planning: asyncio.Task[object] | None = None
 
     def list_eligible(self) -> list[NodeRecord]:
@@ -199,7 +199,7 @@
             for name, _engine in self._outlook.index.list_engines()
         )
 
-    def find_minimum_epoch(self) -> int:
+    def find_highest_used_epoch(self) -> int:
         """Return the lease epoch of the latest listed group.
 
         If the lease record was overwritten, this is the only source of it.
@@ -329,12 +329,12 @@
         count = len(self._outlook.fleet.boxes)
         if count != self._box_count:
             self._box_count = count
-            self._counted_at = now
+            self._box_count_since = now
         if self._outlook.get_boxes_age(now) > MAX_BOX_LIST_AGE_SECONDS:
             return False
         if any(box.standing for box in self._outlook.fleet.boxes.values()):
             return True
-        return now - self._counted_at >= SETTLE_SECONDS
+        return now - self._box_count_since >= SETTLE_SECONDS
 
     def _get_memory(self, service: ServiceName) -> FormingMemory:
         memory = self._memories.get(service)
@@ -370,8 +370,8 @@
         The lease is then acquired again with a higher epoch, so that boxes
         accept this node's orders again.
         """
-        if now - self._outdated_at > MIN_NEW_TERM_INTERVAL_SECONDS:
-            self._outdated_at = now
+        if now - self._term_abandoned_at > MIN_NEW_TERM_INTERVAL_SECONDS:
+            self._term_abandoned_at = now
             log_warning('term_outdated', duty=self.name, epoch=self.epoch)
             self.lease.state.abandon_term()
 
--- a/waywell/duties/lease.py
+++ b/waywell/duties/lease.py
@@ -9,9 +9,10 @@
 wait for a lease held by that run.  Other nodes must wait: if a clock was set
 back, the newer of two runs may have the lower incarnation.
 
-Each term has its own epoch.  A holder whose lease has expired acquires it with
-the next epoch, even if no other node held it in between.  State discarded at
-the end of one term therefore never shares an epoch with that of the next.
+Each term has its own epoch.  A holder that no longer trusts its lease acquires
+it with the next epoch, even if no other node held it in between.  State
+discarded at the end of one term therefore never shares an epoch with that of
+the next.
 
 A store restored from an older copy may lack the lease of a holder that still
 trusts it.  After a new era begins, a candidate therefore waits for a full
@@ -115,7 +116,7 @@
         self._era = UNSEEN_ERA
         self._has_seen_record = False
         self._seen_at = 0.0
-        self._minimum_epoch = 0
+        self._highest_used_epoch = 0
         self._held_from = float('-inf')
         self._term_epoch = 0
 
@@ -124,9 +125,9 @@
         """Return the epoch of the last record seen; 0 if there is none."""
         return self.record.epoch if self.record else 0
 
-    def raise_minimum_epoch(self, epoch: int) -> None:
+    def record_used_epoch(self, epoch: int) -> None:
         """Require the next term to have a higher epoch than a used one."""
-        self._minimum_epoch = max(self._minimum_epoch, epoch)
+        self._highest_used_epoch = max(self._highest_used_epoch, epoch)
 
     def observe(
         self,
@@ -148,7 +149,7 @@
         era = self._era if era is None else era
         if record == self.record and era == self._era:
             return
-        self.raise_minimum_epoch(self.epoch)
+        self.record_used_epoch(self.epoch)
         self.record = record
         self._has_seen_record |= record is not None
         self._era = era
@@ -235,7 +236,7 @@
 
     def _choose_holder_action(self, now: float) -> LeaseAction:
         """Return the action due for a lease whose record names this run."""
-        if not self.is_held(now) or self._minimum_epoch > self.epoch:
+        if not self.is_held(now) or self._highest_used_epoch > self.epoch:
             return LeaseAction.ACQUIRE
         is_due = now >= self._held_from + self._term * RENEWAL_TERM_FRACTION
         if is_due or not self._is_current_era():
@@ -264,7 +265,7 @@
 
     def _choose_epoch(self) -> int:
         """Return an epoch above all that were or may have been used."""
-        used = max(self.epoch, self._minimum_epoch)
+        used = max(self.epoch, self._highest_used_epoch)
         if not is_told(self._era):
             return used + 1
         # If the copy lacks the lease, only the era separates the terms.
--- a/waywell/membership/gossip.py
+++ b/waywell/membership/gossip.py
@@ -103,7 +103,7 @@
         self._clock = clock
         self._timing = timing
         self._random = Random(table.own.incarnation)
-        self._heard_at: dict[NodeId, float] = {}
+        self._received_at: dict[NodeId, float] = {}
         self._mismatches: dict[NodeId, int] = {}
         self._beats = 0
         self._reached_at = -math.inf
@@ -190,7 +190,7 @@
         """Send all records to a new peer."""
         now = self._clock.read()
         record = opened.record
-        self._heard_at[record.node] = now
+        self._received_at[record.node] = now
         self._merge([record], record.node)
         self._links.send(record.node, Records(self.table.records, whole=True))
 
@@ -199,7 +199,7 @@
         node = unreachable.node
         if node in self._links.list_peers():
             return
-        if self._heard_at.pop(node, None) is not None:
+        if self._received_at.pop(node, None) is not None:
             # First loss of the stream: dial again before suspecting the peer.
             self._dial_neighbours(self._clock.read())
             return
@@ -232,7 +232,7 @@
 
     def _process_beat(self, node: NodeId, beat: Beat) -> None:
         now = self._clock.read()
-        self._heard_at[node] = now
+        self._received_at[node] = now
         self._reached_at = max(self._reached_at, now - beat.platform_age)
         if beat.digest == self.table.digest:
             self._mismatches.pop(node, None)
@@ -254,8 +254,8 @@
 
     def _suspect_silent(self, now: float) -> None:
         for node in self._links.list_dialled():
-            heard_at = self._heard_at.setdefault(node, now)
-            if now - heard_at >= self._timing.silence:
+            received_at = self._received_at.setdefault(node, now)
+            if now - received_at >= self._timing.silence:
                 # A stream may stay silent forever while a new one would work.
                 self._links.disconnect(node)
                 self._suspect(node)
@@ -332,4 +332,4 @@
         if record.state is NodeState.LOST:
             log_event('node_lost', node=record.node)
             self._links.disconnect(record.node)
-            self._heard_at.pop(record.node, None)
+            self._received_at.pop(record.node, None)
--- a/waywell/membership/links.py
+++ b/waywell/membership/links.py
@@ -51,7 +51,7 @@
         self.address = address
         self.expected = expected
         self.peer: NodeId | None = None
-        self.heard_at = 0.0
+        self.received_at = 0.0
         self.sent = 0
         self.received = 0
         self._owner = owner
@@ -75,7 +75,7 @@
         self._owner.send_hello(self)
 
     def on_message(self, message: Any) -> None:
-        self.heard_at = asyncio.get_running_loop().time()
+        self.received_at = asyncio.get_running_loop().time()
         if self.peer is None:
             self._handle_hello(message)
             return
@@ -268,7 +268,7 @@
         There can be two streams, one opened by each side, and the peer may
         have abandoned one of them without this side noticing.
         """
-        return max(self._links[node], key=_get_heard_at)
+        return max(self._links[node], key=_get_received_at)
 
     def _send_to(self, message: Any, nodes: set[NodeId]) -> None:
         packed = pack(message)
@@ -286,8 +286,8 @@
             actor.post(message)
 
 
-def _get_heard_at(link: _Link) -> float:
-    return link.heard_at
+def _get_received_at(link: _Link) -> float:
+    return link.received_at
 
 
 def _close_unknown(link: _Link) -> None:
