--- a/tests/lone_quarantine.py
+++ b/tests/lone_quarantine.py
@@ -29,11 +29,11 @@
         """Return that no peer is connected."""
         return False
 
-    def spread(self, message: Any) -> None:
+    def broadcast(self, message: Any) -> None:
         """Record a message to all peers."""
         self.broadcasts.append(message)
 
-    def pass_on(self, message: Any, _source: NodeId) -> None:
+    def forward(self, message: Any, _source: NodeId) -> None:
         """Record a message that is forwarded."""
         self.forwarded.append(message)
 
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -34,11 +34,11 @@
     def subscribe(self, *_kinds: object) -> None:
         """Ignore a subscription."""
 
-    def spread(self, message: object, skip: NodeId | None = None) -> None:
+    def broadcast(self, message: object, skip: NodeId | None = None) -> None:
         self.messages.append(message)
         self.skipped_nodes.append(skip)
 
-    def pass_on(self, message: object, source: NodeId) -> None:
+    def forward(self, message: object, source: NodeId) -> None:
         self.messages.append(message)
         self.skipped_nodes.append(source)
 
--- a/tests/test_readiness_gate.py
+++ b/tests/test_readiness_gate.py
@@ -33,14 +33,14 @@
     version: int = 1,
     latest: int = 1,
     is_first_start: bool = False,
-    has_looked: bool = True,
-    open_calls: int = 0,
+    has_read_list: bool = True,
+    pending_dials: int = 0,
 ) -> StartupState:
     return StartupState(
         version=version,
         latest_version=latest,
         is_first_start=is_first_start,
-        contacts=PeerContacts(has_looked, open_calls, frozenset(peers)),
+        contacts=PeerContacts(has_read_list, pending_dials, frozenset(peers)),
     )
 
 
@@ -54,7 +54,7 @@
 def test_single_node_serves_once_it_has_routes_and_the_node_list() -> None:
     gate = ReadinessGate(is_strict=True)
     assert not is_open(gate, make_state(version=0, latest=0))
-    assert not is_open(gate, make_state(has_looked=False))
+    assert not is_open(gate, make_state(has_read_list=False))
     assert is_open(gate, make_state())
 
 
@@ -64,7 +64,9 @@
 
 def test_gate_opens_at_once_at_the_first_start_of_the_system() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert is_open(gate, make_state(B, is_first_start=True, has_looked=False))
+    assert is_open(
+        gate, make_state(B, is_first_start=True, has_read_list=False)
+    )
 
 
 def test_gate_stays_closed_until_the_latest_version_is_in_force() -> None:
@@ -79,7 +81,7 @@
 def test_same_version_at_one_serving_peer_opens_the_gate() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=True)
-    assert is_open(gate, make_state(B, C, open_calls=3))
+    assert is_open(gate, make_state(B, C, pending_dials=3))
 
 
 def test_gate_opens_once_all_starting_peers_have_answered() -> None:
@@ -87,14 +89,14 @@
     gate.record_answer(B, is_ready=False)
     assert not is_open(gate, make_state(B, C))
     gate.record_answer(C, is_ready=False)
-    assert not is_open(gate, make_state(B, C, open_calls=1))
+    assert not is_open(gate, make_state(B, C, pending_dials=1))
     assert is_open(gate, make_state(B, C))
 
 
 def test_silent_peers_delay_the_gate_until_the_timeout() -> None:
     gate = ReadinessGate(is_strict=True)
     assert not is_open(gate, make_state(version=0, latest=0), NOW - 50)
-    silent = make_state(B, open_calls=1)
+    silent = make_state(B, pending_dials=1)
     assert not is_open(gate, silent)
     assert not is_open(gate, silent, NOW + PEER_ANSWER_TIMEOUT - 0.01)
     assert is_open(gate, silent, NOW + PEER_ANSWER_TIMEOUT)
@@ -104,7 +106,7 @@
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
     gate.record_answer(C, is_ready=False)
-    most_start = make_state(B, C, D, open_calls=1)
+    most_start = make_state(B, C, D, pending_dials=1)
     assert not is_open(gate, most_start)
     assert not is_open(gate, most_start, NOW + RESTART_TIMEOUT - 0.01)
     assert is_open(gate, most_start, NOW + RESTART_TIMEOUT)
@@ -113,7 +115,7 @@
 def test_half_of_the_peers_starting_is_not_a_restart_of_all() -> None:
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
-    half = make_state(B, C, open_calls=1)
+    half = make_state(B, C, pending_dials=1)
     assert not is_open(gate, half)
     assert not is_open(gate, half, NOW + PEER_ANSWER_TIMEOUT - 0.01)
 
@@ -122,14 +124,14 @@
     gate = ReadinessGate(is_strict=True)
     gate.record_answer(B, is_ready=False)
     gate.record_answer(C, is_ready=False)
-    behind = make_state(B, C, D, latest=2, open_calls=1)
+    behind = make_state(B, C, D, latest=2, pending_dials=1)
     assert not is_open(gate, behind)
     assert not is_open(gate, behind, NOW + RESTART_TIMEOUT)
 
 
 def test_missing_node_list_delays_the_gate_until_the_timeout() -> None:
     gate = ReadinessGate(is_strict=True)
-    unknown = make_state(has_looked=False)
+    unknown = make_state(has_read_list=False)
     assert not is_open(gate, unknown)
     assert not is_open(gate, unknown, NOW + NODE_LIST_TIMEOUT - 0.01)
     assert is_open(gate, unknown, NOW + NODE_LIST_TIMEOUT)
@@ -137,9 +139,9 @@
 
 def test_peers_have_their_full_timeout_after_a_late_node_list() -> None:
     gate = ReadinessGate(is_strict=True)
-    assert not is_open(gate, make_state(has_looked=False))
+    assert not is_open(gate, make_state(has_read_list=False))
     called_at = NOW + PEER_ANSWER_TIMEOUT
-    silent = make_state(B, open_calls=1)
+    silent = make_state(B, pending_dials=1)
     assert not is_open(gate, silent, called_at)
     assert not is_open(gate, silent, called_at + PEER_ANSWER_TIMEOUT - 0.01)
     assert is_open(gate, silent, called_at + PEER_ANSWER_TIMEOUT)
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -92,8 +92,8 @@
         table.merge(make_record(f'n{number}'), 0.0)
     links = SimpleNamespace(list_peers=lambda: {'n1'}, dial=lambda *_: None)
     presence = Presence(store, table, links, (), Random(1))  # type: ignore[arg-type]
-    eras.listen(presence.list_again)
-    presence._may_look = lambda: False  # type: ignore[method-assign]
+    eras.listen(presence.schedule_rewrite)
+    presence._may_read_list = lambda: False  # type: ignore[method-assign]
     task = asyncio.create_task(presence.run())
     await wait_until(lambda: 'n0' in store.objects)
     restore_empty(store, eras)
--- a/waywell/duties/box_questions.py
+++ b/waywell/duties/box_probe.py
@@ -1,4 +1,4 @@
-"""Questions to boxes for a sign of life."""
+"""Liveness probes of boxes."""
 
 from __future__ import annotations
 
@@ -10,39 +10,41 @@
     from waywell.version.box_report import BoxReport
     from waywell.version.fleet import FleetBox
 
-ASK_BESIDE_SECONDS = 0.1
-"""Until a box is asked a second time beside the first: one packet may be lost,
-and a group with a lost box stands still until that is known.  One question
-after the other took 0.6 s in place of 0.4 s."""
+SECOND_PROBE_DELAY_SECONDS = 0.1
+"""Delay before a second probe is sent in parallel with the first.
 
+A single lost packet must not delay the result, since a group with a lost box
+is stalled until the loss is detected.  With sequential probes detection took
+0.6 s instead of 0.4 s."""
 
-async def ask_box(orders: BoxOrders, box: FleetBox) -> BoxReport | None:
-    """Ask a box how it is, a second time where it does not answer at once.
+
+async def probe_box(orders: BoxOrders, box: FleetBox) -> BoxReport | None:
+    """Request a box's report, with a second request if the first is slow.
 
     Returns
     -------
     BoxReport or None
-        What it told first; ``None`` when neither question was answered.
+        The first report received; ``None`` when both requests failed.
     """
     first = asyncio.ensure_future(orders.read_report(box))
     try:
-        await asyncio.wait({first}, timeout=ASK_BESIDE_SECONDS)
+        await asyncio.wait({first}, timeout=SECOND_PROBE_DELAY_SECONDS)
         if first.done():
             return first.result() or await orders.read_report(box)
-        return await _ask_beside(first, orders, box)
+        return await _probe_in_parallel(first, orders, box)
     finally:
         first.cancel()
 
 
-async def _ask_beside(
+async def _probe_in_parallel(
     first: asyncio.Future[BoxReport | None],
     orders: BoxOrders,
     box: FleetBox,
 ) -> BoxReport | None:
     second = asyncio.ensure_future(orders.read_report(box))
     try:
-        for answered in asyncio.as_completed((first, second)):
-            report = await answered
+        for completed in asyncio.as_completed((first, second)):
+            report = await completed
             if report is not None:
                 return report
     finally:
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -1,4 +1,4 @@
-"""The duty of forming groups: one node plans and gives the orders."""
+"""Duty of forming groups: one node plans and sends the orders to boxes."""
 
 from __future__ import annotations
 
@@ -9,10 +9,14 @@
 
 import attrs
 
-from waywell.duties.box_questions import ask_box
-from waywell.duties.box_survey import BoxSurvey
+from waywell.duties.box_monitor import BoxMonitor
+from waywell.duties.box_probe import probe_box
 from waywell.duties.duty import Duty
-from waywell.duties.forming_log import log_backoffs, log_groups, log_order
+from waywell.duties.forming_log import (
+    log_group_counts,
+    log_load_backoffs,
+    log_order,
+)
 from waywell.ids import GroupId, ModelName, ServiceName
 from waywell.process.actor import Message
 from waywell.request.paths import DirectPaths, ReplicaPaths
@@ -46,111 +50,113 @@
     from waywell.process.clock import Clock
 
 PLAN_SECONDS = 0.15
-"""Between two plans: a tenth of the time in which a group is patched."""
+"""Interval between plans: a tenth of the time that it takes to patch a
+group."""
 
-OLDEST_LIST = 2.0
-"""Seconds after which a box list is too old to give orders by."""
+MAX_BOX_LIST_AGE_SECONDS = 2.0
+"""Age beyond which the box list is too old to base orders on it."""
 
-EPOCHS_A_TERM = 1_000_000
-"""Epochs that one holder has; the next one's are higher."""
+EPOCHS_PER_TERM = 1_000_000
+"""Group epochs reserved for each term of the lease, so that groups of a later
+term have higher epochs."""
 
-OUTDATED_SECONDS = 10.0
-"""Between two terms that are given up because a box has seen a later one: each
-new term forgets what the holder has learned."""
+MIN_NEW_TERM_INTERVAL_SECONDS = 10.0
+"""Minimum interval between terms that are abandoned because a box has seen a
+later one: each new term discards what the holder has learned."""
 
 SETTLE_SECONDS = 1.5
-"""For which the list of a service must have been the same before the first
-groups are formed, so that whole domains are there."""
+"""Seconds for which the number of boxes must be unchanged before the first
+groups are formed, so that whole domains are listed."""
 
 
 @attrs.frozen
 class FormingSources:
-    """What a holder of the duty knows of requests and of its own links."""
+    """Sources of demand, request counts and link state at this node."""
 
     read_demand: Callable[[float], Mapping[ModelName, float]]
-    """Returns the places that callers take, by model."""
+    """Returns the number of places that callers occupy, by model."""
 
     count_requests: Callable[[BoxLife], int]
-    """Returns the requests in flight at a box, of all nodes."""
+    """Returns the number of requests in flight at a box, from all nodes."""
 
     links: ReplicaPaths = attrs.Factory(DirectPaths)
-    """This node's links to boxes."""
+    """Reachability of the boxes from this node."""
 
 
 class FormingDuty(Duty):
-    """Plans groups and gives the orders while it holds the lease.
+    """Plans groups and sends orders to boxes while it holds the lease.
 
     Parameters
     ----------
     platform
-        The platform, for the lease.
+        Client of the platform's store, which keeps the lease.
     gossip
         Membership.
     clock
-        Where the time is read.
+        Time source.
     cluster
-        Routes and boxes in force.
+        Routes and box list in force.
     orders
-        Calls to boxes.
+        Client of the boxes, for orders and reports.
     term
         Term of the lease, in seconds.
     sources
-        What this node knows of requests and of its own links.
+        Request counts, demand and link state at this node.
     """
 
     class PlanTick(Message, frozen=True):
-        """A plan is due."""
+        """A planning pass is due."""
 
-    class Doubted(Message, frozen=True):
-        """A node hears nothing of a group any more."""
+    class GroupDoubted(Message, frozen=True):
+        """A node no longer receives anything from a group."""
 
         group: GroupId
-        """The group."""
+        """Group that is doubted."""
 
-    class Heard(Message, frozen=True):
-        """A doubted group goes on."""
+    class DoubtCleared(Message, frozen=True):
+        """A doubted group has resumed."""
 
         group: GroupId
-        """The group."""
+        """Group whose doubt is withdrawn."""
 
-    class Probed(Message, frozen=True):
-        """A box was asked for a sign of life."""
+    class BoxProbed(Message, frozen=True):
+        """A probe of a box has ended."""
 
         box: FleetBox
-        """The box."""
+        """Box as it was listed when the probe was sent."""
 
         report: BoxReport | None
-        """What it told; ``None`` where nothing came."""
+        """Report of the box; ``None`` if it did not answer."""
 
         is_conclusive: bool = True
-        """Whether the lack of a report speaks against the box."""
+        """Whether a missing report is evidence against the box."""
 
-    class Ordered(Message, frozen=True):
-        """A box has answered an order, or has not."""
+    class OrderCompleted(Message, frozen=True):
+        """An order has been answered or has failed."""
 
         assignment: Assignment
-        """The order."""
+        """Order and the box that it was sent to."""
 
         result: OrderResult
-        """What came of it."""
+        """Answer of the box, or the kind of failure."""
 
         epoch: int
-        """Epoch of the lease under which it was planned."""
+        """Epoch of the lease under which the order was planned."""
 
-    class NotFormed(Message, frozen=True):
-        """No join of a new group was sent, as a box does not fit."""
+    class GroupNotFormed(Message, frozen=True):
+        """A new group was given up before any join, as boxes are unfit."""
 
         service: ServiceName
-        """Service of its boxes."""
+        """Service of the group's boxes."""
 
         group: GroupId
-        """The group."""
+        """Group that was planned."""
 
         unfit: tuple[BoxLife, ...]
-        """The boxes that do not fit."""
+        """Boxes that can't join the group."""
 
         epoch: int
-        """Epoch of the lease under which it was planned."""
+        """Epoch of the lease under which the group was planned."""
 
     def __init__(
         self,
@@ -173,80 +179,80 @@
         self._memories: dict[ServiceName, FormingMemory] = {}
         self._summaries: dict[ServiceName, FormingSummary] = {}
         self.loads = LoadHistory()
-        self._survey = BoxSurvey(
-            cluster, self._begin_probe, sources.count_requests
+        self._monitor = BoxMonitor(
+            cluster, self._start_probe, sources.count_requests
         )
         self._box_count = 0
-        self._counted_at = 0.0
-        self._outdated_at = float('-inf')
+        self._box_count_since = 0.0
+        self._term_abandoned_at = float('-inf')
         self._planning: asyncio.Task[object] | None = None
 
     def list_eligible(self) -> list[NodeRecord]:
-        """Return the nodes that reach boxes, where any does."""
+        """Return the nodes with links to all services, or all if none has."""
         live = super().list_eligible()
-        return [one for one in live if not one.lost_services] or live
+        return [record for record in live if not record.lost_services] or live
 
-    def may_hold(self) -> bool:
-        """Answer whether this node reaches the boxes that form groups."""
+    def can_hold(self) -> bool:
+        """Return whether this node has links to all services with engines."""
         return not any(
             self._links.is_partitioned(name)
             for name, _engine in self._cluster.index.list_engines()
         )
 
-    def find_least_epoch(self) -> int:
-        """Return the term of the latest group that is listed.
+    def find_highest_used_epoch(self) -> int:
+        """Return the lease epoch of the latest listed group.
 
-        Where the lease was written over, nothing else tells it.
+        If the lease record was overwritten, this is the only source of it.
         """
-        return self._cluster.fleet.find_latest_epoch() // EPOCHS_A_TERM
+        return self._cluster.fleet.find_latest_epoch() // EPOCHS_PER_TERM
 
-    async def take_up(self) -> None:
-        """Forget what an earlier term knew; begin to plan."""
+    async def start_work(self) -> None:
+        """Discard the state of earlier terms and start planning."""
         self._memories.clear()
         self.loads.forget_attempts()
         self._planning = self.repeat(PLAN_SECONDS, self.PlanTick())
 
-    def lay_down(self) -> None:
-        """Plan no more."""
+    def stop_work(self) -> None:
+        """Stop planning."""
         if self._planning is not None:
             self._planning.cancel()
 
     def on_plan_tick(self, _tick: PlanTick) -> None:
-        """Plan for each service, and give the orders."""
+        """Plan the groups of each service and send the orders."""
         now = self.clock.read()
         if not self.is_held() or not self._may_plan(now):
             return
-        if not self.may_hold():
+        if not self.can_hold():
             return
         for name, engine in self._cluster.index.list_engines():
             memory = self._get_memory(name)
-            self._survey.ask_troubled(memory, now)
-            self._survey.ask_kept(memory, now)
+            self._monitor.probe_failing(memory, now)
+            self._monitor.probe_unlisted(memory, now)
             view = FormingView(
                 name,
                 engine,
-                self._list_present(name, memory),
+                self._list_live(name, memory),
                 self._read_demand(now),
                 self._cluster.retained_boxes,
             )
             planner = FormingPlanner(view, memory, now)
-            self._send(planner.plan())
-            self._note_summary(name, planner.summary, view)
-            log_backoffs(name, memory.load_failures.pop_backoffs())
+            self._send_orders(planner.plan())
+            self._log_summary(name, planner.summary, view)
+            log_load_backoffs(name, memory.load_failures.pop_backoffs())
 
-    def on_ordered(self, ordered: Ordered) -> None:
-        """Note what came of an order of this term of work."""
-        if not self._is_of_this_term(ordered.epoch):
+    def on_order_completed(self, ordered: OrderCompleted) -> None:
+        """Record the result of an order of the current term."""
+        if not self._is_current_term(ordered.epoch):
             return
         now = self.clock.read()
         memory = self._get_memory(ordered.assignment.box.service)
         memory.record_result(ordered.assignment, ordered.result, now)
         if ordered.result is OrderResult.OUTDATED:
-            self._begin_later_term(now)
+            self._start_later_term(now)
 
-    def on_not_formed(self, not_formed: NotFormed) -> None:
-        """Give up a group of this term of work whose boxes do not fit."""
-        if not self._is_of_this_term(not_formed.epoch):
+    def on_group_not_formed(self, not_formed: GroupNotFormed) -> None:
+        """Give up a planned group of the current term with unfit boxes."""
+        if not self._is_current_term(not_formed.epoch):
             return
         log_warning(
             'group_not_formed',
@@ -257,28 +263,28 @@
             not_formed.group, not_formed.unfit, self.clock.read()
         )
 
-    def on_doubted(self, doubted: Doubted) -> None:
-        """Ask the members of a doubted group for a sign of life."""
+    def on_group_doubted(self, doubted: GroupDoubted) -> None:
+        """Probe the members of a doubted group."""
         group = self._cluster.fleet.groups.get(doubted.group)
         if not self.is_held() or group is None:
             return
-        self._survey.note_doubt(group, self.clock.read())
+        self._monitor.record_doubt(group, self.clock.read())
 
-    def on_heard(self, heard: Heard) -> None:
-        """Take in that a doubted group goes on."""
-        self._survey.note_heard(heard.group)
+    def on_doubt_cleared(self, cleared: DoubtCleared) -> None:
+        """Withdraw the doubt about a group."""
+        self._monitor.clear_doubt(cleared.group)
 
-    def on_probed(self, probed: Probed) -> None:
-        """Count a life of a box as lost, or as back."""
+    def on_box_probed(self, probed: BoxProbed) -> None:
+        """Record the result of a probe."""
         if not probed.is_conclusive:
-            self._survey.give_up(probed.box)
+            self._monitor.discard_probe(probed.box)
             return
         memory = self._get_memory(probed.box.service)
         now = self.clock.read()
-        self._survey.take(memory, probed.box, probed.report, now)
+        self._monitor.record_result(memory, probed.box, probed.report, now)
 
     def dump(self) -> dict[str, object]:
-        """Return the duty as plain values."""
+        """Return the state of the duty as plain values."""
         return {
             **super().dump(),
             'services': {
@@ -292,12 +298,12 @@
             },
         }
 
-    def _list_present(
+    def _list_live(
         self,
         service: ServiceName,
         memory: FormingMemory,
     ) -> Fleet:
-        """Return the boxes of a service that give signs of life."""
+        """Return the listed boxes of a service that are not lost."""
         return Fleet(
             {
                 name: box
@@ -306,35 +312,35 @@
             },
         )
 
-    def _begin_probe(self, box: FleetBox) -> None:
+    def _start_probe(self, box: FleetBox) -> None:
         self.spawn(self._probe(box))
 
     async def _probe(self, box: FleetBox) -> BoxReport | None:
-        """Ask a box for a sign of life; note and return what it told."""
-        report = await ask_box(self._orders, box)
+        """Probe a box; post the result to this actor and return the report."""
+        report = await probe_box(self._orders, box)
         is_conclusive = report is not None
         if not is_conclusive:
             is_conclusive = await self._links.verify(box.service)
-        self.post(self.Probed(box, report, is_conclusive))
+        self.post(self.BoxProbed(box, report, is_conclusive))
         return report
 
     def _may_plan(self, now: float) -> bool:
-        """Answer whether the box list is new enough and has settled."""
+        """Return whether the box list is recent and its size is stable."""
         count = len(self._cluster.fleet.boxes)
         if count != self._box_count:
             self._box_count = count
-            self._counted_at = now
-        if self._cluster.get_boxes_age(now) > OLDEST_LIST:
+            self._box_count_since = now
+        if self._cluster.get_boxes_age(now) > MAX_BOX_LIST_AGE_SECONDS:
             return False
         if any(box.standing for box in self._cluster.fleet.boxes.values()):
             return True
-        return now - self._counted_at >= SETTLE_SECONDS
+        return now - self._box_count_since >= SETTLE_SECONDS
 
     def _get_memory(self, service: ServiceName) -> FormingMemory:
         memory = self._memories.get(service)
         if memory is None:
             memory = FormingMemory(
-                next_epoch=self.epoch * EPOCHS_A_TERM + 1,
+                next_epoch=self.epoch * EPOCHS_PER_TERM + 1,
                 last_models=self._cluster.last_models,
                 lives=self._cluster.lives,
                 load_failures=self.loads.get(service),
@@ -342,72 +348,77 @@
             self._memories[service] = memory
         return memory
 
-    def _note_summary(
+    def _log_summary(
         self,
         service: ServiceName,
         summary: FormingSummary,
         view: FormingView,
     ) -> None:
-        """Log how the groups stand when that has changed."""
+        """Log the group counts of a service if they have changed."""
         if self._summaries.get(service) == summary:
             return
         self._summaries[service] = summary
-        log_groups(summary, view)
+        log_group_counts(summary, view)
 
-    def _is_of_this_term(self, epoch: int) -> bool:
-        """Answer whether a plan was made in the present term of work."""
+    def _is_current_term(self, epoch: int) -> bool:
+        """Return whether a plan was made in the current term."""
         return self.is_held() and epoch == self.epoch
 
-    def _begin_later_term(self, now: float) -> None:
-        """Take the lease anew: a box has had orders of a later term.
+    def _start_later_term(self, now: float) -> None:
+        """Abandon the term, as a box has received orders of a later one.
 
-        Epochs of the next term are higher, so its orders count again.
+        The lease is then acquired again with a higher epoch, so that boxes
+        accept this node's orders again.
         """
-        if now - self._outdated_at > OUTDATED_SECONDS:
-            self._outdated_at = now
+        if now - self._term_abandoned_at > MIN_NEW_TERM_INTERVAL_SECONDS:
+            self._term_abandoned_at = now
             log_warning('term_outdated', duty=self.name, epoch=self.epoch)
-            self.lease.state.distrust()
+            self.lease.state.abandon_term()
 
-    def _send(self, assignments: list[Assignment]) -> None:
-        """Give the orders of a plan; boxes are asked before they join."""
+    def _send_orders(self, assignments: list[Assignment]) -> None:
+        """Send the orders of a plan; probe the boxes of a new group first."""
         joins: dict[GroupId, list[Assignment]] = defaultdict(list)
         for assignment in assignments:
             if isinstance(assignment.order, Join):
                 joins[assignment.order.group].append(assignment)
             else:
-                self.spawn(self._give(assignment, self.epoch))
+                self.spawn(self._send_order(assignment, self.epoch))
         for group, members in joins.items():
-            self.spawn(self._form(group, tuple(members), self.epoch))
+            self.spawn(self._form_group(group, tuple(members), self.epoch))
 
-    async def _form(
+    async def _form_group(
         self,
         group: GroupId,
         joins: tuple[Assignment, ...],
         epoch: int,
     ) -> None:
-        """Ask the boxes of a new group; give the joins if all of them fit."""
-        told = await asyncio.gather(*(self._probe(join.box) for join in joins))
+        """Probe the boxes of a new group; send the joins if all are fit."""
+        probed = await asyncio.gather(
+            *(self._probe(join.box) for join in joins)
+        )
         reports = {
             join.box.life: report
-            for join, report in zip(joins, told, strict=True)
+            for join, report in zip(joins, probed, strict=True)
             if report is not None
         }
         check = check_joins(joins, reports)
         if check.unfit:
             service = joins[0].box.service
-            self.post(self.NotFormed(service, group, check.unfit, epoch))
+            self.post(self.GroupNotFormed(service, group, check.unfit, epoch))
             return
         await asyncio.gather(
-            *(self._give(join, epoch) for join in check.joins)
+            *(self._send_order(join, epoch) for join in check.joins)
         )
 
-    async def _give(self, assignment: Assignment, epoch: int) -> None:
-        if not self._is_of_this_term(epoch):
+    async def _send_order(self, assignment: Assignment, epoch: int) -> None:
+        if not self._is_current_term(epoch):
             return
         if self._cluster.fleet.has_restarted(assignment.box):
             log_order(assignment, OrderResult.ENDED)
-            self.post(self.Ordered(assignment, OrderResult.ENDED, epoch))
+            self.post(
+                self.OrderCompleted(assignment, OrderResult.ENDED, epoch)
+            )
             return
         result = await self._orders.give(assignment, epoch)
         log_order(assignment, result)
-        self.post(self.Ordered(assignment, result, epoch))
+        self.post(self.OrderCompleted(assignment, result, epoch))
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -133,7 +133,7 @@
             replica.key.incarnation,
         )
         log_event('doubt_raised', group=replica.group, box=replica.key.box)
-        self._links.spread(doubt)
+        self._links.broadcast(doubt)
         self._open_doubt(replica.key, replica.group, now)
 
     def on_received(self, received: PeerLinks.Received) -> None:
@@ -142,13 +142,13 @@
         key = ReplicaKey(message.box, message.epoch, message.incarnation)
         if isinstance(message, ReplicaHeard):
             if key in self._open_doubts:
-                self._links.pass_on(message, received.node)
+                self._links.forward(message, received.node)
                 self._close_doubt(key, message.group)
             return
         now = self._clock.read()
         if not self._is_new(key, now):
             return
-        self._links.pass_on(message, received.node)
+        self._links.forward(message, received.node)
         is_accepted = now - self._book.get(key).heard_at > RECENT_SECONDS
         log_event(
             'doubt_received',
@@ -190,7 +190,7 @@
             return
         if self._book.get(key).event_at > doubted_at:
             log_event('doubt_taken_back', group=group, box=key.box)
-            self._links.spread(
+            self._links.broadcast(
                 ReplicaHeard(group, key.box, key.epoch, key.incarnation),
             )
             self._close_doubt(key, group)
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -183,7 +183,7 @@
             if self._parts.health.add_evidence(evidence, now)
         )
         if news:
-            self._parts.links.spread(HealthNews(news), skip=received.node)
+            self._parts.links.broadcast(HealthNews(news), skip=received.node)
 
     def dump(self) -> dict[str, object]:
         """Return the evidence against groups as plain values."""
@@ -210,7 +210,7 @@
             )
         news = self._parts.loads.take_news()
         if news:
-            self._parts.links.spread(LoadNews(news))
+            self._parts.links.broadcast(LoadNews(news))
 
     def _select_groups(self) -> list[Group]:
         table = self._parts.gossip.table
@@ -242,7 +242,7 @@
         )
         news = tuple(evidence for evidence in probed if evidence is not None)
         if news:
-            self._parts.links.spread(HealthNews(news))
+            self._parts.links.broadcast(HealthNews(news))
 
     async def _probe_group(self, group: Group) -> Evidence | None:
         answers = await asyncio.gather(
--- a/waywell/knowledge/readiness_gate.py
+++ b/waywell/knowledge/readiness_gate.py
@@ -100,7 +100,7 @@
         if self.is_open or not state.version:
             return
         self._routes_since = min(self._routes_since, now)
-        if state.contacts.has_looked:
+        if state.contacts.has_read_list:
             self._called_at = min(self._called_at, now)
         reason = self._find_reason(state, now)
         if reason is None:
@@ -128,7 +128,7 @@
         if any(self._answered.values()):
             return GateReason.READY_PEER
         contacts = state.contacts
-        if contacts.has_looked and not contacts.open_calls:
+        if contacts.has_read_list and not contacts.pending_dials:
             if not contacts.peers:
                 return GateReason.NO_PEERS
             if contacts.peers <= self._answered.keys():
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -187,7 +187,7 @@
                 log_event(
                     'request_cleared', **describe_trait(trait), ends=crashes
                 )
-                self._links.spread(RequestCleared(trait))
+                self._links.broadcast(RequestCleared(trait))
         self._publish_hold_changes(holds, 'own')
 
     def on_opened(self, opened: PeerLinks.Opened) -> None:
@@ -213,7 +213,7 @@
         for part in _split_message(message):
             self._clear_served(part, received.node)
             if self._apply_message(part):
-                self._links.pass_on(part, received.node)
+                self._links.forward(part, received.node)
         self._publish_hold_changes(holds, received.node)
 
     def add_stored_hold(
@@ -225,7 +225,7 @@
         holds = self.history.holds
         if self.history.add_reported_hold(trait, hold):
             message = _encode_hold(trait, hold, self._clock.read())
-            self._links.spread(message)
+            self._links.broadcast(message)
         self._publish_hold_changes(holds, 'platform')
 
     def count(self) -> dict[str, float]:
@@ -307,7 +307,7 @@
             requests=count_requests(runs),
             most=max(self.history.count_crashes(trait) for trait in runs),
         )
-        self._links.spread(_encode_crash(self._exclude_served(crash), now))
+        self._links.broadcast(_encode_crash(self._exclude_served(crash), now))
         self._remember_witnessed(runs)
         self._publish_hold_changes(holds, 'own')
 
