--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 from waywell.ids import Epoch, HallName, NodeId
 from waywell.request.placement import ReplicaChooser
 from waywell.request.replica_table import MAX_BACKOFF_SECONDS, ReplicaTable
-from waywell.request.shared_loads import REPORT_TTL_SECONDS, SharedLoads
+from waywell.request.shared_loads import REPORT_LIFETIME_SECONDS, SharedLoads
 from waywell.version.fleet import Replica, ReplicaKey
 
 LOADS = SharedLoads()
@@ -82,7 +82,7 @@
     loads = SharedLoads()
     loads.update(NodeId('n2'), {make_life('a'): 3}, 1.0)
     loads.update(
-        NodeId('n3'), {make_life('a'): 1}, 1.0 + REPORT_TTL_SECONDS * 1.1
+        NodeId('n3'), {make_life('a'): 1}, 1.0 + REPORT_LIFETIME_SECONDS * 1.1
     )
     assert loads.get(make_life('a')) == 1
 
--- a/tests/test_reported_limits.py
+++ b/tests/test_reported_limits.py
@@ -10,7 +10,7 @@
 from waywell.ids import BoxId, Incarnation
 from waywell.limits.reported_limits import (
     MAX_REPORTS,
-    REPORT_TTL_SECONDS,
+    REPORT_LIFETIME_SECONDS,
     LimitReport,
     ReportedLimits,
 )
@@ -118,6 +118,6 @@
         life = BoxLife(BoxId(f'b{number}'), Incarnation(1))
         limits.record(life, LimitReport(1.0, number, number, number), 'own')
     assert len(limits.list_reports()) == MAX_REPORTS
-    limits.forget_old(MAX_REPORTS + 5 + REPORT_TTL_SECONDS)
+    limits.forget_old(MAX_REPORTS + 5 + REPORT_LIFETIME_SECONDS)
     assert not limits.list_reports()
     assert math.isinf(limits.get(LIFE))
--- a/tests/test_shared_loads.py
+++ b/tests/test_shared_loads.py
@@ -9,7 +9,7 @@
 
 from tests.boxes import make_life
 from waywell.ids import BoxId, NodeId
-from waywell.request.shared_loads import REPORT_TTL_SECONDS, SharedLoads
+from waywell.request.shared_loads import REPORT_LIFETIME_SECONDS, SharedLoads
 
 NODES = st.sampled_from([NodeId(name) for name in 'abcd'])
 LOADS = st.dictionaries(
@@ -33,7 +33,7 @@
         fresh = {
             name: reported
             for name, (reported, at) in reports.items()
-            if now - at <= REPORT_TTL_SECONDS
+            if now - at <= REPORT_LIFETIME_SECONDS
         }
         total: Counter[BoxId] = Counter()
         others: Counter[BoxId] = Counter()
--- a/waywell/limits/reported_limits.py
+++ b/waywell/limits/reported_limits.py
@@ -23,7 +23,7 @@
     from waywell.version.fleet import BoxLife
     from waywell.version.life_tracker import EndedLife
 
-REPORT_TTL_SECONDS = 600.0
+REPORT_LIFETIME_SECONDS = 600.0
 """Seconds after which a limit that no answer has confirmed is forgotten.  A
 replica that gets no request in that time is treated as unlimited again."""
 
@@ -147,7 +147,7 @@
     def forget_old(self, now: float) -> None:
         """Forget the reports that have not been confirmed for too long."""
         for life, report in tuple(self._reports.items()):
-            if now - report.received_at > REPORT_TTL_SECONDS:
+            if now - report.received_at > REPORT_LIFETIME_SECONDS:
                 self._reports.pop(life)
 
     def dump(self, now: float) -> dict[str, dict[str, float]]:
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -36,7 +36,7 @@
     NO_GROUP_RETRY_SECONDS,
     RequestClaims,
 )
-from waywell.request.retry import MAX_ATTEMPTS, RetryBudget
+from waywell.request.retry import ATTEMPT_LIMIT, RetryBudget
 from waywell.request.retry_after import compute_retry_after
 from waywell.request.routing import (
     Choice,
@@ -315,7 +315,7 @@
 
     async def _attempt_all(self, work: PendingRequest) -> bool:
         """Make attempts until one is answered; return whether completely."""
-        for attempt in range(MAX_ATTEMPTS):
+        for attempt in range(ATTEMPT_LIMIT):
             self._check_links(work)
             choice, permit = await self._choose_with_permit(work)
             answer = await self._attempt(work, choice, permit)
@@ -584,7 +584,7 @@
         fault: DispatchFault,
         attempt: int,
     ) -> bool:
-        if attempt + 1 >= MAX_ATTEMPTS or fault in _FINAL_FAULTS:
+        if attempt + 1 >= ATTEMPT_LIMIT or fault in _FINAL_FAULTS:
             return False
         if work.may_have_run and not work.facts.repeatable:
             return False
--- a/waywell/request/retry.py
+++ b/waywell/request/retry.py
@@ -8,7 +8,7 @@
 MAX_BALANCE = 5.0
 """Maximum number of retries that an account can accumulate."""
 
-MAX_ATTEMPTS = 3
+ATTEMPT_LIMIT = 3
 """Maximum number of attempts at one request, including the first."""
 
 
--- a/waywell/request/shared_loads.py
+++ b/waywell/request/shared_loads.py
@@ -15,7 +15,7 @@
 
     from waywell.ids import NodeId
 
-REPORT_TTL_SECONDS = 1.2
+REPORT_LIFETIME_SECONDS = 1.2
 """Seconds for which a node's report is used, about the length of a stream."""
 
 
@@ -42,7 +42,7 @@
         """Replace a node's report and remove the reports that have expired."""
         self._remove_report(node)
         for other, report in tuple(self._reports.items()):
-            if now - report.at > REPORT_TTL_SECONDS:
+            if now - report.at > REPORT_LIFETIME_SECONDS:
                 self._remove_report(other)
         self._reports[node] = _Report(loads, now)
         self._total.update(loads)
