--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -9,7 +9,7 @@
 from tests.boxes import make_box
 from tests.held_clock import HeldClock
 from tests.loops import in_loop
-from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
+from waywell.connection.peer import ReplicaAlive, ReplicaSuspected
 from waywell.health.doubts import (
     LISTEN_LOOKS,
     LISTEN_SECONDS,
@@ -73,7 +73,7 @@
             act()
 
     def receive(self, doubt: str, node: str = 'n2') -> None:
-        word = ReplicaDoubt(doubt, REPLICA.group, BOX.box, Epoch(7))
+        word = ReplicaSuspected(doubt, REPLICA.group, BOX.box, Epoch(7))
         self.doubts.on_received(PeerLinks.Received(NodeId(node), word))
 
 
@@ -127,13 +127,13 @@
     bench.pass_time(LISTEN_SECONDS)
     assert bench.book.get(REPLICA.key).rests_until == 0
     assert bench.heard == [REPLICA.group]
-    assert isinstance(bench.links.words[-1], ReplicaHeard)
+    assert isinstance(bench.links.words[-1], ReplicaAlive)
 
 
 def test_another_nodes_word_that_it_goes_on_ends_the_rest_here() -> None:
     bench = Bench()
     bench.receive('d1')
-    word = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
+    word = ReplicaAlive(REPLICA.group, BOX.box, Epoch(7))
     for node in ('n2', 'n3'):
         bench.doubts.on_received(PeerLinks.Received(NodeId(node), word))
     assert bench.book.get(REPLICA.key).rests_until == 0
@@ -154,7 +154,7 @@
 def test_a_doubt_after_it_was_taken_back_counts_again() -> None:
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
-    word = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
+    word = ReplicaAlive(REPLICA.group, BOX.box, Epoch(7))
     bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), word))
     bench.pass_time(REPEAT_SECONDS * 1.1)
     bench.receive('d2')
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -7,7 +7,7 @@
 from tests.boxes import make_box, make_fleet
 from tests.held_clock import HeldClock
 from tests.test_membership import make_record
-from waywell.connection.peer import FeedAnswer, FeedAsk
+from waywell.connection.peer import FeedAnswer, FeedRequest
 from waywell.ids import HallName, NodeId
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.feed import Feed
@@ -84,14 +84,14 @@
             read_after,
         )
 
-    def ask(self) -> FeedAsk:
+    def ask(self) -> FeedRequest:
         self.links.sent.clear()
         self.feed.on_tick(Feed.Tick())
         asks = [ask for node, ask in self.links.sent if node == 'b']
         assert len(asks) == 1
         return asks[0]
 
-    def answer(self, ask: FeedAsk, **changes: object) -> None:
+    def answer(self, ask: FeedRequest, **changes: object) -> None:
         answer = FeedAnswer(
             ask=ask.ask,
             version=7,
@@ -264,7 +264,7 @@
 def test_boxes_and_loads_are_sent_only_on_request() -> None:
     harness = FeedHarness(hall=OTHER_HALL)
     harness.cluster.apply_fleet(make_fleet(make_box('x')), harness.clock.now)
-    ask = FeedAsk(1, 0, 0, 0, hall=OTHER_HALL, wants_boxes=False)
+    ask = FeedRequest(1, 0, 0, 0, hall=OTHER_HALL, wants_boxes=False)
     harness.feed.on_received(PeerLinks.Received(NodeId('b'), ask))
     ask_for_boxes = msgspec.structs.replace(ask, wants_boxes=True)
     harness.feed.on_received(PeerLinks.Received(NodeId('b'), ask_for_boxes))
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -17,10 +17,10 @@
     FrameStream,
     FrameTransport,
 )
-from waywell.connection.peer import Beat, FeedAsk
+from waywell.connection.peer import FeedRequest, Heartbeat
 from waywell.connection.peer_stream import PeerStream, StreamListener, pack
 
-WIRE: Any = Union[Beat, FeedAsk]  # noqa: UP007
+WIRE: Any = Union[Heartbeat, FeedRequest]  # noqa: UP007
 
 
 class Taker(StreamListener):
@@ -85,7 +85,7 @@
 def test_messages_come_whole_and_in_order_however_they_are_cut(
     numbers: list[int], cuts: list[int]
 ) -> None:
-    messages = [Beat(number, 0, 0, 0.5) for number in numbers]
+    messages = [Heartbeat(number, 0, 0, 0.5) for number in numbers]
     rest = b''.join(frame(message) for message in messages)
     stream, taker, _wire = open_held()
     while rest:
@@ -102,7 +102,7 @@
     stream.data_received(len(raw).to_bytes(LENGTH_BYTES, 'big') + raw)
     good = bool(taker.messages)
     assert wire.is_aborted is not good
-    stream.data_received(frame(Beat(1, 1, 1, 0)))
+    stream.data_received(frame(Heartbeat(1, 1, 1, 0)))
     assert len(taker.messages) == 2 * good
 
 
@@ -116,13 +116,13 @@
 
 def test_peer_that_does_not_read_loses_its_stream() -> None:
     stream, _taker, wire = open_held()
-    stream.send(pack(Beat(1, 1, 1, 0)))
-    assert wire.written == frame(Beat(1, 1, 1, 0))
+    stream.send(pack(Heartbeat(1, 1, 1, 0)))
+    assert wire.written == frame(Heartbeat(1, 1, 1, 0))
     wire.waiting = MOST_FRAME_BYTES
-    stream.send(pack(Beat(2, 1, 1, 0)))
+    stream.send(pack(Heartbeat(2, 1, 1, 0)))
     assert wire.is_aborted
-    stream.send(pack(Beat(3, 1, 1, 0)))
-    assert wire.written == frame(Beat(1, 1, 1, 0))
+    stream.send(pack(Heartbeat(3, 1, 1, 0)))
+    assert wire.written == frame(Heartbeat(1, 1, 1, 0))
 
 
 @in_loop
@@ -131,8 +131,8 @@
     port = await transport.listen('127.0.0.1', 0, lambda: taken)
     stream = transport.dial('127.0.0.1', port, dialled)
     await wait_until(lambda: bool(dialled.streams and taken.streams))
-    large = FeedAsk(1, 2, 3, 4, hall='h' * 300_000)
-    for message in (Beat(1, 2, 3, 0.5), large, Beat(2, 2, 3, 0.5)):
+    large = FeedRequest(1, 2, 3, 4, hall='h' * 300_000)
+    for message in (Heartbeat(1, 2, 3, 0.5), large, Heartbeat(2, 2, 3, 0.5)):
         stream.send(pack(message))
         taken.streams[0].send(pack(message))
     await wait_until(lambda: len(taken.messages) + len(dialled.messages) == 6)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,7 +10,7 @@
 
 from tests.loops import in_loop, wait_until
 from tests.test_membership import make_record
-from waywell.connection.peer import Beat, Hello
+from waywell.connection.peer import Heartbeat, Hello
 from waywell.connection.peer_stream import (
     PeerStream,
     PeerTransport,
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from waywell.membership.membership import NodeRecord
 
-BEAT = Beat(1, 1, 1, 0)
+BEAT = Heartbeat(1, 1, 1, 0)
 
 
 class HeldStream(PeerStream):
@@ -69,7 +69,7 @@
         self.links = PeerLinks(self.describe, self.transport)
         self.actor = Actor('taker')
         self.links.subscribe(
-            self.actor, Beat, PeerLinks.Opened, PeerLinks.Unreachable
+            self.actor, Heartbeat, PeerLinks.Opened, PeerLinks.Unreachable
         )
 
     def describe(self) -> NodeRecord:
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -16,9 +16,9 @@
 from waywell.connection.named_limit import NO_LIMIT
 from waywell.connection.peer import (
     KnownLimits,
-    LimitTold,
-    TurnAnswer,
-    TurnAsk,
+    LimitNotice,
+    PermitAnswer,
+    PermitRequest,
 )
 from waywell.ids import BoxId, HallName, Incarnation, NodeId
 from waywell.limits.rate_limiter import PERMIT_SECONDS, STARTUP_SECONDS
@@ -50,9 +50,9 @@
 
 def make_report(
     limit: float | None, sent_age: float, heard_age: float
-) -> LimitTold:
+) -> LimitNotice:
     """Return a report of another node, with ages in seconds."""
-    return LimitTold(
+    return LimitNotice(
         LIFE.box, LIFE.incarnation, HALL, limit, sent_age, heard_age, 9.0
     )
 
@@ -171,12 +171,12 @@
 def test_an_issuer_learns_the_limit_from_a_request_and_answers(
     limiter: LoneRateLimiter,
 ) -> None:
-    receive(limiter, TurnAsk(7, make_report(1.0, 0.1, 0.0), 0))
+    receive(limiter, PermitRequest(7, make_report(1.0, 0.1, 0.0), 0))
     assert limiter.get_limit(LIFE) == 1.0
     answers = [
         message
         for _node, message in limiter.noted.sent
-        if isinstance(message, TurnAnswer)
+        if isinstance(message, PermitAnswer)
     ]
     assert [answer.ask for answer in answers] == [7]
 
@@ -190,7 +190,7 @@
     asked = [message for _node, message in limiter.noted.sent]
     assert len(asked) == 2
     assert not limiter.may_ask(LIFE, 0, limiter._clock.read())
-    receive(limiter, TurnAnswer(asked[0].ask, 1, 0.0))
+    receive(limiter, PermitAnswer(asked[0].ask, 1, 0.0))
     assert limiter.may_ask(LIFE, 0, limiter._clock.read())
     assert acquire(limiter) is not None
 
--- a/tests/test_readiness_gate.py
+++ b/tests/test_readiness_gate.py
@@ -7,7 +7,7 @@
 from tests.test_feed import FeedHarness
 from tests.test_membership import make_record
 from waywell.codes import Code, Refusal
-from waywell.connection.peer import FeedAsk
+from waywell.connection.peer import FeedRequest
 from waywell.ids import NodeId
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.knowledge.readiness_gate import (
@@ -191,8 +191,10 @@
     assert not list_asks(harness)
 
 
-def list_asks(harness: FeedHarness) -> list[FeedAsk]:
+def list_asks(harness: FeedHarness) -> list[FeedRequest]:
     """Return the queries that were sent."""
     return [
-        ask for _node, ask in harness.links.sent if isinstance(ask, FeedAsk)
+        ask
+        for _node, ask in harness.links.sent
+        if isinstance(ask, FeedRequest)
     ]
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from waywell.bench.figures import fit_slope, write_figures
-from waywell.connection.entry_peer import LoadNews
+from waywell.connection.entry_peer import LoadUpdate
 from waywell.health.health import HealthTable
 from waywell.health.prober import pick_probed
 from waywell.ids import (
@@ -287,7 +287,7 @@
 def measure_report() -> dict[str, Any]:
     """Measure one report of a load on the wire."""
     reports = [(GroupId(f'main.{number}.0'), 4, 17) for number in range(100)]
-    raw = msgspec.msgpack.encode(LoadNews(tuple(reports)))
+    raw = msgspec.msgpack.encode(LoadUpdate(tuple(reports)))
     return {'reports': len(reports), 'bytes_a_report': len(raw) / len(reports)}
 
 
--- a/waywell/connection/entry_peer.py
+++ b/waywell/connection/entry_peer.py
@@ -10,7 +10,9 @@
 from waywell.version.document import Change, Document, DocumentKind
 
 
-class DocumentNews(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class DocumentUpdate(
+    msgspec.Struct, frozen=True, tag='DocumentNews', array_like=True
+):
     """A document's new version, as a change or whole."""
 
     kind: DocumentKind
@@ -23,7 +25,9 @@
     """The whole version."""
 
 
-class DocumentWanted(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class DocumentRequest(
+    msgspec.Struct, frozen=True, tag='DocumentWanted', array_like=True
+):
     """A request for a document's version in force."""
 
     kind: DocumentKind
@@ -33,21 +37,25 @@
     """Version that the sender has."""
 
 
-class HealthNews(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class HealthUpdate(
+    msgspec.Struct, frozen=True, tag='HealthNews', array_like=True
+):
     """Words of probers about groups."""
 
     words: tuple[Evidence, ...]
     """Words that are news."""
 
 
-class LoadNews(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class LoadUpdate(msgspec.Struct, frozen=True, tag='LoadNews', array_like=True):
     """Requests in flight at groups, as their probers saw them."""
 
     loads: tuple[tuple[GroupId, int, int], ...]
     """Group, sequence of the word, requests in flight."""
 
 
-class ClaimAsk(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class ClaimRequest(
+    msgspec.Struct, frozen=True, tag='ClaimAsk', array_like=True
+):
     """May the asker run this request?"""
 
     account: str
--- a/waywell/connection/grpc_peer.py
+++ b/waywell/connection/grpc_peer.py
@@ -16,26 +16,26 @@
 
 from waywell.connection.entry_peer import (
     ClaimAnswer,
-    ClaimAsk,
-    DocumentNews,
-    DocumentWanted,
-    HealthNews,
-    LoadNews,
+    ClaimRequest,
+    DocumentRequest,
+    DocumentUpdate,
+    HealthUpdate,
+    LoadUpdate,
 )
 from waywell.connection.peer import (
-    Beat,
+    Heartbeat,
     Hello,
     KnownCrashes,
     KnownLimits,
-    LimitTold,
+    LimitNotice,
+    MembershipRecords,
+    PermitAnswer,
+    PermitRequest,
     ReachabilityQuery,
     ReachabilityReport,
-    Records,
     ReplicaEnded,
     RequestCleared,
     RequestHeld,
-    TurnAnswer,
-    TurnAsk,
 )
 from waywell.connection.peer_stream import (
     PeerStream,
@@ -58,20 +58,20 @@
 
 EntryWire = Union[  # noqa: UP007 - evaluated by the decoder
     Hello,
-    Beat,
-    Records,
-    DocumentNews,
-    DocumentWanted,
-    HealthNews,
-    LoadNews,
+    Heartbeat,
+    MembershipRecords,
+    DocumentUpdate,
+    DocumentRequest,
+    HealthUpdate,
+    LoadUpdate,
     ReplicaEnded,
     RequestHeld,
     RequestCleared,
     KnownCrashes,
-    LimitTold,
+    LimitNotice,
     KnownLimits,
-    TurnAsk,
-    TurnAnswer,
+    PermitRequest,
+    PermitAnswer,
     ReachabilityQuery,
     ReachabilityReport,
 ]
@@ -80,7 +80,7 @@
 ExchangeHandler = Callable[[Any], Awaitable[None]]
 """Serves one stream of a peer."""
 
-ClaimHandler = Callable[[ClaimAsk], ClaimAnswer]
+ClaimHandler = Callable[[ClaimRequest], ClaimAnswer]
 """Answers a question about a request id."""
 
 
@@ -121,7 +121,7 @@
             CLAIM_PATH: Handler(
                 self._answer_claim,
                 Cardinality.UNARY_UNARY,
-                ClaimAsk,
+                ClaimRequest,
                 ClaimAnswer,
             ),
         }
@@ -221,9 +221,11 @@
     return Channel(host, port, codec=MsgpackCodec())
 
 
-async def ask_claim(channel: Channel, ask: ClaimAsk, seconds: float) -> Any:
+async def ask_claim(
+    channel: Channel, ask: ClaimRequest, seconds: float
+) -> Any:
     """Return the home's answer to a question about a request id."""
-    method = UnaryUnaryMethod(channel, CLAIM_PATH, ClaimAsk, ClaimAnswer)
+    method = UnaryUnaryMethod(channel, CLAIM_PATH, ClaimRequest, ClaimAnswer)
     return await method(ask, timeout=seconds)
 
 
--- a/waywell/connection/peer.py
+++ b/waywell/connection/peer.py
@@ -31,7 +31,7 @@
     """The sender."""
 
 
-class Beat(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class Heartbeat(msgspec.Struct, frozen=True, tag='Beat', array_like=True):
     """Liveness, with what the receiver may have missed."""
 
     configuration: int
@@ -47,7 +47,9 @@
     """Seconds since a node is known to have reached the platform."""
 
 
-class Records(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class MembershipRecords(
+    msgspec.Struct, frozen=True, tag='Records', array_like=True
+):
     """Membership records that changed, or all of them."""
 
     records: tuple[NodeRecord, ...]
@@ -57,7 +59,9 @@
     """Whether these are all, so that the receiver answers with its own."""
 
 
-class ReplicaDoubt(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class ReplicaSuspected(
+    msgspec.Struct, frozen=True, tag='ReplicaDoubt', array_like=True
+):
     """A replica from which nothing comes any more although it has work."""
 
     doubt: str
@@ -76,7 +80,9 @@
     """Incarnation of that box."""
 
 
-class ReplicaHeard(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class ReplicaAlive(
+    msgspec.Struct, frozen=True, tag='ReplicaHeard', array_like=True
+):
     """A replica that was doubted goes on."""
 
     group: GroupId
@@ -167,7 +173,9 @@
     """Incarnation of that box."""
 
 
-class LimitTold(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class LimitNotice(
+    msgspec.Struct, frozen=True, tag='LimitTold', array_like=True
+):
     """What an answer of a replica said of its limit."""
 
     box: BoxId
@@ -195,24 +203,28 @@
 class KnownLimits(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """All limits that the sender knows, for a peer that may lack them."""
 
-    words: tuple[LimitTold, ...]
+    words: tuple[LimitNotice, ...]
     """Limits, and those that have ended not long ago."""
 
 
-class TurnAsk(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class PermitRequest(
+    msgspec.Struct, frozen=True, tag='TurnAsk', array_like=True
+):
     """May the sender send a request to a replica that has a limit?"""
 
     ask: int
     """Number of the question."""
 
-    told: LimitTold
+    told: LimitNotice
     """The limit, as the sender knows it."""
 
     rank: int
     """Urgency of the request, 0 first."""
 
 
-class TurnAnswer(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class PermitAnswer(
+    msgspec.Struct, frozen=True, tag='TurnAnswer', array_like=True
+):
     """A dealer's answer."""
 
     ask: int
@@ -249,7 +261,7 @@
     """Boxes that took a connection of the answerer."""
 
 
-class FeedAsk(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class FeedRequest(msgspec.Struct, frozen=True, tag='FeedAsk', array_like=True):
     """What do you know of routes and boxes, and how old is it?"""
 
     ask: int
@@ -330,19 +342,19 @@
 
 FrontWire = Union[  # noqa: UP007 - evaluated by the decoder
     Hello,
-    Beat,
-    Records,
-    ReplicaDoubt,
-    ReplicaHeard,
+    Heartbeat,
+    MembershipRecords,
+    ReplicaSuspected,
+    ReplicaAlive,
     ReplicaEnded,
     RequestHeld,
     RequestCleared,
     KnownCrashes,
-    LimitTold,
+    LimitNotice,
     KnownLimits,
-    TurnAsk,
-    TurnAnswer,
-    FeedAsk,
+    PermitRequest,
+    PermitAnswer,
+    FeedRequest,
     FeedAnswer,
     ReachabilityQuery,
     ReachabilityReport,
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -16,7 +16,7 @@
 
 import attrs
 
-from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
+from waywell.connection.peer import ReplicaAlive, ReplicaSuspected
 from waywell.ids import GroupId
 from waywell.process.actor import Actor
 from waywell.request.paths import LinkCheck, trust_links
@@ -100,7 +100,7 @@
         self._call_later = call_later
         self._raised_at: dict[ReplicaKey, float] = {}
         self._open: set[ReplicaKey] = set()
-        links.subscribe(self, ReplicaDoubt, ReplicaHeard)
+        links.subscribe(self, ReplicaSuspected, ReplicaAlive)
 
     def note_silence(self, replica: Replica) -> None:
         """Raise a doubt, unless this node's own links are lost.
@@ -119,7 +119,7 @@
         now = self._clock.read()
         if not self._is_news(replica.key, now):
             return
-        word = ReplicaDoubt(
+        word = ReplicaSuspected(
             secrets.token_hex(4),
             replica.group,
             replica.key.box,
@@ -134,7 +134,7 @@
         """Take in another node's word and pass it on."""
         word = received.message
         key = ReplicaKey(word.box, word.epoch, word.incarnation)
-        if isinstance(word, ReplicaHeard):
+        if isinstance(word, ReplicaAlive):
             if key in self._open:
                 self._links.pass_on(word, received.node)
                 self._end(key, word.group)
@@ -183,7 +183,7 @@
         if self._book.get(key).event_at > doubted_at:
             log_event('doubt_taken_back', group=group, box=key.box)
             self._links.spread(
-                ReplicaHeard(group, key.box, key.epoch, key.incarnation),
+                ReplicaAlive(group, key.box, key.epoch, key.incarnation),
             )
             self._end(key, group)
         elif looks > 1:
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from waywell.connection.entry_peer import HealthNews, LoadNews
+from waywell.connection.entry_peer import HealthUpdate, LoadUpdate
 from waywell.connection.target import Target
 from waywell.health.health import Evidence, HealthTable, Verdict
 from waywell.ids import ServiceName
@@ -159,7 +159,7 @@
         self._round: asyncio.Task[None] | None = None
         self._picked: list[Group] = []
         self._picked_for: tuple[int, int] = (-1, -1)
-        parts.links.subscribe(self, HealthNews, LoadNews)
+        parts.links.subscribe(self, HealthUpdate, LoadUpdate)
 
     def on_probe_tick(self, _tick: ProbeTick) -> None:
         """Begin a round of probes, unless one is still under way.
@@ -173,7 +173,7 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Take in words and loads; pass on what is news."""
         message = received.message
-        if isinstance(message, LoadNews):
+        if isinstance(message, LoadUpdate):
             self._parts.loads.hear(message.loads)
             return
         now = self._parts.clock.read()
@@ -183,7 +183,7 @@
             if self._parts.health.hear(word, now)
         )
         if news:
-            self._parts.links.spread(HealthNews(news), skip=received.node)
+            self._parts.links.spread(HealthUpdate(news), skip=received.node)
 
     def dump(self) -> dict[str, object]:
         """Return the words against groups as plain values."""
@@ -208,7 +208,7 @@
             await self._probe_some(groups[start : start + GROUPS_AT_ONCE])
         news = self._parts.loads.take_news()
         if news:
-            self._parts.links.spread(LoadNews(news))
+            self._parts.links.spread(LoadUpdate(news))
 
     def _pick_groups(self) -> list[Group]:
         table = self._parts.gossip.table
@@ -242,7 +242,7 @@
         )
         words = tuple(word for word in verdicts if word is not None)
         if words:
-            self._parts.links.spread(HealthNews(words))
+            self._parts.links.spread(HealthUpdate(words))
 
     async def _probe_group(self, group: Group) -> Evidence | None:
         answers = await asyncio.gather(
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from waywell.connection.peer import BoxLoad, FeedAnswer, FeedAsk
+from waywell.connection.peer import BoxLoad, FeedAnswer, FeedRequest
 from waywell.ids import NodeId
 from waywell.knowledge.box_list_history import BoxListHistory
 from waywell.knowledge.readers import HallReaders
@@ -132,7 +132,7 @@
         self._may_request_boxes = False
         self._newer_since = 0.0
         self.newer_version = 0
-        links.subscribe(self, PeerLinks.Opened, FeedAsk, FeedAnswer)
+        links.subscribe(self, PeerLinks.Opened, FeedRequest, FeedAnswer)
 
     def start(self) -> None:
         """Start sending queries at regular intervals."""
@@ -191,7 +191,7 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Answer a query, or apply an answer."""
         self._cluster.eras.observe_peer(received.message.era)
-        if isinstance(received.message, FeedAsk):
+        if isinstance(received.message, FeedRequest):
             self._answer(received.node, received.message)
         else:
             self._apply_answer(received.node, received.message)
@@ -255,7 +255,7 @@
         self._open_asks[self._serial] = _OpenAsk(now, base, wants_boxes)
         while len(self._open_asks) > MAX_OPEN_ASKS:
             self._open_asks.popitem(last=False)
-        ask = FeedAsk(
+        ask = FeedRequest(
             self._serial,
             self._cluster.index.table.version,
             base.run,
@@ -268,7 +268,7 @@
         )
         self._links.send(peer, ask)
 
-    def _answer(self, peer: NodeId, ask: FeedAsk) -> None:
+    def _answer(self, peer: NodeId, ask: FeedRequest) -> None:
         now = self._clock.read()
         self._record_loads(peer, ask, now)
         self._box_lists.add(self._cluster.fleet, self._cluster.fleet_serial)
@@ -277,7 +277,7 @@
     def _make_answer(
         self,
         peer: NodeId,
-        ask: FeedAsk,
+        ask: FeedRequest,
         now: float,
     ) -> FeedAnswer:
         """Return the answer to a query, with routes and boxes if requested."""
@@ -301,7 +301,7 @@
         self,
         answer: FeedAnswer,
         peer: NodeId,
-        ask: FeedAsk,
+        ask: FeedRequest,
     ) -> FeedAnswer:
         """Return the answer with boxes and requests in flight added.
 
@@ -321,7 +321,9 @@
             loads=self._list_loads_except(peer),
         )
 
-    def _record_loads(self, peer: NodeId, ask: FeedAsk, now: float) -> None:
+    def _record_loads(
+        self, peer: NodeId, ask: FeedRequest, now: float
+    ) -> None:
         if ask.loads is None:
             return
         if ask.hall == self._own_record.hall:
--- a/waywell/limits/permit_requests.py
+++ b/waywell/limits/permit_requests.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from waywell.connection.peer import LimitTold, TurnAnswer, TurnAsk
+from waywell.connection.peer import LimitNotice, PermitAnswer, PermitRequest
 from waywell.limits.permit_bucket import MIN_RETRY_SECONDS, PermitGrant
 from waywell.telemetry.events import log_event
 from waywell.version.fleet import BoxLife
@@ -76,7 +76,7 @@
     async def ask(
         self,
         issuer: NodeId,
-        told: LimitTold,
+        told: LimitNotice,
         rank: int,
         now: float,
     ) -> PermitGrant:
@@ -100,7 +100,7 @@
         self._pending[self._serial] = _PendingRequest(life, now, answer)
         while len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
-        self._links.send(issuer, TurnAsk(self._serial, told, rank))
+        self._links.send(issuer, PermitRequest(self._serial, told, rank))
         try:
             async with asyncio.timeout(ANSWER_SECONDS):
                 return await answer
@@ -109,7 +109,7 @@
             log_event('dealer_silent', node=issuer, box=told.box)
             return PermitGrant(retry_after=MIN_RETRY_SECONDS)
 
-    def handle_answer(self, answer: TurnAnswer) -> LatePermits | None:
+    def handle_answer(self, answer: PermitAnswer) -> LatePermits | None:
         """Complete the answered request.
 
         Returns
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -14,9 +14,9 @@
 from waywell.connection.named_limit import NO_LIMIT
 from waywell.connection.peer import (
     KnownLimits,
-    LimitTold,
-    TurnAnswer,
-    TurnAsk,
+    LimitNotice,
+    PermitAnswer,
+    PermitRequest,
 )
 from waywell.limits.issuer_assignment import IssuerAssignment, make_view
 from waywell.limits.permit_bucket import (
@@ -109,10 +109,10 @@
         links.subscribe(
             self,
             PeerLinks.Opened,
-            LimitTold,
+            LimitNotice,
             KnownLimits,
-            TurnAsk,
-            TurnAnswer,
+            PermitRequest,
+            PermitAnswer,
         )
 
     def refresh(self, now: float) -> None:
@@ -233,9 +233,9 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Handle a message of a peer: a report, a request or an answer."""
         message = received.message
-        if isinstance(message, TurnAsk):
+        if isinstance(message, PermitRequest):
             self._answer_request(received.node, message)
-        elif isinstance(message, TurnAnswer):
+        elif isinstance(message, PermitAnswer):
             self._handle_answer(message)
         elif isinstance(message, KnownLimits):
             for told in message.words:
@@ -312,16 +312,16 @@
         told = _make_message(life, report, now)
         return await self._permit_requests.ask(issuer, told, rank, now)
 
-    def _answer_request(self, node: NodeId, ask: TurnAsk) -> None:
+    def _answer_request(self, node: NodeId, ask: PermitRequest) -> None:
         self._handle_report(ask.told, node)
         life = BoxLife(ask.told.box, ask.told.incarnation)
         grant = self._issuer.grant(life, ask.rank, self._clock.read())
-        answer = TurnAnswer(
+        answer = PermitAnswer(
             ask.ask, grant.permits, round(grant.retry_after, 3)
         )
         self._links.send(node, answer)
 
-    def _handle_answer(self, answer: TurnAnswer) -> None:
+    def _handle_answer(self, answer: PermitAnswer) -> None:
         """Complete a permit request; hold late permits for the next one."""
         late = self._permit_requests.handle_answer(answer)
         if late is not None and late.permits:
@@ -330,7 +330,7 @@
             )
             self._retry_at.pop(late.life, None)
 
-    def _handle_report(self, told: LimitTold, sender: NodeId) -> None:
+    def _handle_report(self, told: LimitNotice, sender: NodeId) -> None:
         """Record a peer's report; reply if this node has a newer one."""
         now = self._clock.read()
         life = BoxLife(told.box, told.incarnation)
@@ -363,9 +363,11 @@
         )
 
 
-def _make_message(life: BoxLife, report: LimitReport, now: float) -> LimitTold:
+def _make_message(
+    life: BoxLife, report: LimitReport, now: float
+) -> LimitNotice:
     """Return a report as a message, with ages instead of local times."""
-    return LimitTold(
+    return LimitNotice(
         life.box,
         life.incarnation,
         report.hall,
@@ -376,7 +378,7 @@
     )
 
 
-def _read_message(told: LimitTold, now: float) -> LimitReport:
+def _read_message(told: LimitNotice, now: float) -> LimitReport:
     return LimitReport(
         NO_LIMIT if told.limit is None else told.limit,
         now - told.sent_age,
--- a/waywell/membership/gossip.py
+++ b/waywell/membership/gossip.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from waywell.connection.peer import Beat, Records
+from waywell.connection.peer import Heartbeat, MembershipRecords
 from waywell.ids import ServiceName
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import (
@@ -114,8 +114,8 @@
             self,
             PeerLinks.Opened,
             PeerLinks.Unreachable,
-            Beat,
-            Records,
+            Heartbeat,
+            MembershipRecords,
         )
 
     def watch_changes(self, watcher: Callable[[NodeRecord], None]) -> None:
@@ -168,7 +168,7 @@
                 record for record, source in pending if source != peer
             )
             if news:
-                self._links.send(peer, Records(news))
+                self._links.send(peer, MembershipRecords(news))
 
     def on_advance(self, advance: Advance) -> None:
         """Spread this node's own change."""
@@ -192,7 +192,9 @@
         record = opened.record
         self._heard_at[record.node] = now
         self._merge([record], record.node)
-        self._links.send(record.node, Records(self.table.records, whole=True))
+        self._links.send(
+            record.node, MembershipRecords(self.table.records, whole=True)
+        )
 
     def on_unreachable(self, unreachable: PeerLinks.Unreachable) -> None:
         """Suspect a neighbour whose stream broke and can't be dialled."""
@@ -208,7 +210,7 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Take in a beat or records."""
         message = received.message
-        if isinstance(message, Records):
+        if isinstance(message, MembershipRecords):
             self._merge(message.records, received.node)
             if message.whole:
                 self._send_missing(received.node, message.records)
@@ -230,7 +232,7 @@
             ),
         }
 
-    def _take_beat(self, node: NodeId, beat: Beat) -> None:
+    def _take_beat(self, node: NodeId, beat: Heartbeat) -> None:
         now = self._clock.read()
         self._heard_at[node] = now
         self._reached_at = max(self._reached_at, now - beat.platform_age)
@@ -240,11 +242,11 @@
         count = self._differs.get(node, 0) + 1
         self._differs[node] = count % DIGEST_BEATS
         if count >= DIGEST_BEATS:
-            whole = Records(self.table.records, whole=True)
+            whole = MembershipRecords(self.table.records, whole=True)
             self._links.send(node, whole)
 
     def _send_beat(self, now: float) -> None:
-        beat = Beat(
+        beat = Heartbeat(
             self.numbers.configuration,
             self.numbers.roster,
             self.table.digest,
@@ -309,7 +311,7 @@
             if known.get(record.node, (-1, 0, 0)) < record.rank
         )
         if missing:
-            self._links.send(node, Records(missing))
+            self._links.send(node, MembershipRecords(missing))
 
     def _report(
         self,
--- a/waywell/process/claims.py
+++ b/waywell/process/claims.py
@@ -9,7 +9,7 @@
 
 from returns.result import Failure
 
-from waywell.connection.entry_peer import ClaimAnswer, ClaimAsk
+from waywell.connection.entry_peer import ClaimAnswer, ClaimRequest
 from waywell.connection.grpc_peer import ask_claim, open_channel
 from waywell.connection.platform import Kind, PlatformFault
 from waywell.duties.duty import make_operation
@@ -74,7 +74,7 @@
         self._clock = clock
         self._telling: set[asyncio.Task[ClaimState | None]] = set()
 
-    def answer(self, ask: ClaimAsk) -> ClaimAnswer:
+    def answer(self, ask: ClaimRequest) -> ClaimAnswer:
         """Answer another entry box about an id that has its home here."""
         key = ClaimKey(ask.account, ask.request_id)
         if ask.settle is not None:
@@ -119,7 +119,7 @@
         settle: ClaimState | None,
     ) -> ClaimState | None:
         own = self._members.own
-        ask = ClaimAsk(
+        ask = ClaimRequest(
             key.account,
             key.request_id,
             own.node,
@@ -137,7 +137,7 @@
         return await _ask_home(home, ask)
 
 
-async def _ask_home(home: NodeRecord, ask: ClaimAsk) -> ClaimState | None:
+async def _ask_home(home: NodeRecord, ask: ClaimRequest) -> ClaimState | None:
     channel = open_channel(home.host, home.peer_port)
     try:
         answer = await ask_claim(channel, ask, ASK_SECONDS)
--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -5,8 +5,8 @@
 import math
 from typing import TYPE_CHECKING
 
-from waywell.connection.entry_peer import DocumentNews, DocumentWanted
-from waywell.connection.peer import Beat
+from waywell.connection.entry_peer import DocumentRequest, DocumentUpdate
+from waywell.connection.peer import Heartbeat
 from waywell.membership.gossip import Numbers
 from waywell.process.actor import Actor, Message
 from waywell.telemetry.events import log_event, log_warning
@@ -106,7 +106,7 @@
         self._clock = clock
         self._asked_at: dict[DocumentKind, float] = {}
         self._watchers: list[Callable[[DocumentKind], None]] = []
-        links.subscribe(self, Beat, DocumentNews, DocumentWanted)
+        links.subscribe(self, Heartbeat, DocumentUpdate, DocumentRequest)
 
     def watch_changes(self, watcher: Callable[[DocumentKind], None]) -> None:
         """Call a watcher with the kind of each newly adopted document."""
@@ -145,9 +145,9 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Take in what a peer says of documents."""
         message = received.message
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             self._compare(received.node, message)
-        elif isinstance(message, DocumentNews):
+        elif isinstance(message, DocumentUpdate):
             self._take_news(received.node, message)
         else:
             self._answer(received.node, message)
@@ -163,7 +163,7 @@
             for kind, ledger in self.in_force.ledgers.items()
         }
 
-    def _compare(self, node: NodeId, beat: Beat) -> None:
+    def _compare(self, node: NodeId, beat: Heartbeat) -> None:
         numbers = self.in_force.numbers
         if beat.configuration > numbers.configuration:
             self._ask(node, DocumentKind.CONFIGURATION, numbers.configuration)
@@ -177,17 +177,17 @@
         if now - asked_at < ASK_SECONDS:
             return
         self._asked_at[kind] = now
-        self._links.send(node, DocumentWanted(kind, have))
+        self._links.send(node, DocumentRequest(kind, have))
 
-    def _answer(self, node: NodeId, wanted: DocumentWanted) -> None:
+    def _answer(self, node: NodeId, wanted: DocumentRequest) -> None:
         offered = self.in_force.ledgers[wanted.kind].make_update(wanted.have)
         if isinstance(offered, Change):
-            news = DocumentNews(wanted.kind, change=offered)
+            news = DocumentUpdate(wanted.kind, change=offered)
         else:
-            news = DocumentNews(wanted.kind, document=offered)
+            news = DocumentUpdate(wanted.kind, document=offered)
         self._links.send(node, news)
 
-    def _take_news(self, node: NodeId, news: DocumentNews) -> None:
+    def _take_news(self, node: NodeId, news: DocumentUpdate) -> None:
         ledger = self.in_force.ledgers[news.kind]
         if news.document is not None:
             self.adopt(news.kind, news.document, node)
@@ -211,6 +211,6 @@
         self._asked_at.pop(kind, None)
         log_event('document_adopted', kind=kind.value, number=document.number)
         change = compare_documents(before, document)
-        self._links.spread(DocumentNews(kind, change=change), skip=source)
+        self._links.spread(DocumentUpdate(kind, change=change), skip=source)
         for watcher in self._watchers:
             watcher(kind)
