--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -93,10 +93,10 @@
 
     def answer(self, ask: FeedRequest, **changes: object) -> None:
         answer = FeedAnswer(
-            ask=ask.ask,
+            number=ask.number,
             version=7,
             routes_age=0.5,
-            run=1,
+            incarnation=1,
             serial=3,
             boxes_age=0.4,
             is_whole=True,
@@ -158,7 +158,7 @@
     assert set(harness.cluster.fleet.boxes) == {'y', 'z'}
     # The peer has restarted: its changes apply to a list unknown here.
     harness.clock.now += 0.3
-    harness.answer(harness.ask(), run=2, is_whole=False, gone=('y',))
+    harness.answer(harness.ask(), incarnation=2, is_whole=False, gone=('y',))
     assert set(harness.cluster.fleet.boxes) == {'y', 'z'}
 
 
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -178,7 +178,7 @@
         for _node, message in limiter.noted.sent
         if isinstance(message, PermitAnswer)
     ]
-    assert [answer.ask for answer in answers] == [7]
+    assert [answer.number for answer in answers] == [7]
 
 
 def test_a_silent_issuer_times_out_and_its_late_permit_is_used(
@@ -190,7 +190,7 @@
     asked = [message for _node, message in limiter.noted.sent]
     assert len(asked) == 2
     assert not limiter.may_ask(LIFE, 0, limiter._clock.read())
-    receive(limiter, PermitAnswer(asked[0].ask, 1, 0.0))
+    receive(limiter, PermitAnswer(asked[0].number, 1, 0.0))
     assert limiter.may_ask(LIFE, 0, limiter._clock.read())
     assert acquire(limiter) is not None
 
--- a/waywell/bench/feed.py
+++ b/waywell/bench/feed.py
@@ -82,10 +82,10 @@
     """Return what a reader answers, with loads of all heads."""
     heads = [group.members[0] for group in fleet.groups.values()]
     return FeedAnswer(
-        ask=1,
+        number=1,
         version=7,
         routes_age=0.5,
-        run=1796215502028,
+        incarnation=1796215502028,
         serial=12,
         boxes_age=0.3,
         is_whole=is_whole,
--- a/waywell/connection/entry_peer.py
+++ b/waywell/connection/entry_peer.py
@@ -33,7 +33,7 @@
     kind: DocumentKind
     """Which document."""
 
-    have: int
+    known_version: int
     """Version that the sender has."""
 
 
@@ -42,7 +42,7 @@
 ):
     """Words of probers about groups."""
 
-    words: tuple[Evidence, ...]
+    evidence: tuple[Evidence, ...]
     """Words that are news."""
 
 
@@ -70,7 +70,7 @@
     holder_incarnation: int
     """Its incarnation."""
 
-    settle: ClaimState | None = None
+    final_state: ClaimState | None = None
     """How a run that was granted before has ended."""
 
 
--- a/waywell/connection/grpc_peer.py
+++ b/waywell/connection/grpc_peer.py
@@ -53,10 +53,10 @@
 CLAIM_PATH = '/waywell.Peer/Claim'
 """The question to the home of a request id."""
 
-MOST_QUEUED = 2000
+MAX_QUEUED_MESSAGES = 2000
 """Messages waiting for one peer before its stream is given up."""
 
-EntryWire = Union[  # noqa: UP007 - evaluated by the decoder
+EntryMessage = Union[  # noqa: UP007 - evaluated by the decoder
     Hello,
     Heartbeat,
     MembershipRecords,
@@ -115,8 +115,8 @@
             EXCHANGE_PATH: Handler(
                 self._exchange,
                 Cardinality.STREAM_STREAM,
-                EntryWire,
-                EntryWire,
+                EntryMessage,
+                EntryMessage,
             ),
             CLAIM_PATH: Handler(
                 self._answer_claim,
@@ -148,7 +148,7 @@
 
     def send(self, packed: msgspec.Raw) -> None:
         """Put a message into the queue."""
-        if self._outgoing.qsize() >= MOST_QUEUED:
+        if self._outgoing.qsize() >= MAX_QUEUED_MESSAGES:
             self.close()
             return
         self._outgoing.put_nowait(packed)
@@ -221,7 +221,7 @@
     return Channel(host, port, codec=MsgpackCodec())
 
 
-async def ask_claim(
+async def request_claim(
     channel: Channel, ask: ClaimRequest, seconds: float
 ) -> Any:
     """Return the home's answer to a question about a request id."""
@@ -231,7 +231,7 @@
 
 async def _run_dialled(stream: GrpcStream, host: str, port: int) -> None:
     # grpclib wants a class where the codec takes any type.
-    wire: Any = EntryWire
+    wire: Any = EntryMessage
     channel = open_channel(host, port)
     exchange = StreamStreamMethod(channel, EXCHANGE_PATH, wire, wire)
     try:
--- a/waywell/connection/peer.py
+++ b/waywell/connection/peer.py
@@ -55,7 +55,7 @@
     records: tuple[NodeRecord, ...]
     """Records."""
 
-    whole: bool = False
+    is_complete: bool = False
     """Whether these are all, so that the receiver answers with its own."""
 
 
@@ -64,7 +64,7 @@
 ):
     """A replica from which nothing comes any more although it has work."""
 
-    doubt: str
+    suspicion_id: str
     """Id of the doubt, so that it is passed on once."""
 
     group: GroupId
@@ -193,17 +193,17 @@
     sent_age: float
     """Seconds since the request left."""
 
-    heard_age: float
+    received_age: float
     """Seconds since the answer came."""
 
-    named_age: float
+    limited_age: float
     """Seconds since the replica was first heard to have a limit."""
 
 
 class KnownLimits(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """All limits that the sender knows, for a peer that may lack them."""
 
-    words: tuple[LimitNotice, ...]
+    notices: tuple[LimitNotice, ...]
     """Limits, and those that have ended not long ago."""
 
 
@@ -212,10 +212,10 @@
 ):
     """May the sender send a request to a replica that has a limit?"""
 
-    ask: int
+    number: int
     """Number of the question."""
 
-    told: LimitNotice
+    notice: LimitNotice
     """The limit, as the sender knows it."""
 
     rank: int
@@ -227,13 +227,13 @@
 ):
     """A dealer's answer."""
 
-    ask: int
+    number: int
     """Number of the question."""
 
-    turns: int
+    permits: int
     """Requests that may be sent; 0 for a refusal."""
 
-    wait: float
+    retry_after: float
     """Seconds after which it is worth asking again."""
 
 
@@ -264,13 +264,13 @@
 class FeedRequest(msgspec.Struct, frozen=True, tag='FeedAsk', array_like=True):
     """What do you know of routes and boxes, and how old is it?"""
 
-    ask: int
+    number: int
     """Number of the question at the asker."""
 
     version: int
     """Version of the routes that the asker has."""
 
-    run: int
+    incarnation: int
     """Incarnation whose box list the asker holds; 0 for none."""
 
     serial: int
@@ -302,7 +302,7 @@
 class FeedAnswer(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """What a node knows, and how old it is."""
 
-    ask: int
+    number: int
     """Number of the question."""
 
     version: int
@@ -311,7 +311,7 @@
     routes_age: float
     """Seconds since that version was known to be the newest."""
 
-    run: int
+    incarnation: int
     """Incarnation of the answerer."""
 
     serial: int
@@ -340,7 +340,7 @@
     """Era of the platform's store, as the answerer knows it."""
 
 
-FrontWire = Union[  # noqa: UP007 - evaluated by the decoder
+FrontMessage = Union[  # noqa: UP007 - evaluated by the decoder
     Hello,
     Heartbeat,
     MembershipRecords,
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -179,7 +179,7 @@
         now = self._parts.clock.read()
         news = tuple(
             word
-            for word in message.words
+            for word in message.evidence
             if self._parts.health.hear(word, now)
         )
         if news:
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -283,10 +283,10 @@
         """Return the answer to a query, with routes and boxes if requested."""
         table = self._cluster.index.table
         answer = FeedAnswer(
-            ask=ask.ask,
+            number=ask.number,
             version=table.version,
             routes_age=_bound_age(self._cluster.get_routes_age(now)),
-            run=self._incarnation,
+            incarnation=self._incarnation,
             serial=self._cluster.fleet_serial,
             boxes_age=_bound_age(self._cluster.get_boxes_age(now)),
             is_whole=False,
@@ -309,7 +309,8 @@
         here, else as a full list.
         """
         is_kept = (
-            ask.run == self._incarnation and ask.serial in self._box_lists
+            ask.incarnation == self._incarnation
+            and ask.serial in self._box_lists
         )
         base = ask.serial if is_kept else None
         delta = self._box_lists.find_delta(base)
@@ -337,7 +338,7 @@
         return _encode_loads(loads)
 
     def _apply_answer(self, peer: NodeId, answer: FeedAnswer) -> None:
-        open_ask = self._open_asks.pop(answer.ask, None)
+        open_ask = self._open_asks.pop(answer.number, None)
         if open_ask is None:
             return
         self._apply_routes(peer, answer, open_ask.at)
@@ -401,12 +402,14 @@
     ) -> None:
         """Apply a peer's box list, or its changes to the list held here."""
         base = open_ask.base
-        if not answer.is_whole and base.run != answer.run:
+        if not answer.is_whole and base.run != answer.incarnation:
             return
         fleet = base.fleet
         if answer.is_whole or answer.boxes or answer.gone:
             fleet = _apply_box_changes(base.fleet, answer)
-        self._peer_list = _PeerBoxList(peer, answer.run, answer.serial, fleet)
+        self._peer_list = _PeerBoxList(
+            peer, answer.incarnation, answer.serial, fleet
+        )
         seen_at = open_ask.at - answer.boxes_age
         self._cluster.update_fleet(fleet, seen_at, self._clock.read())
 
--- a/waywell/limits/permit_requests.py
+++ b/waywell/limits/permit_requests.py
@@ -117,13 +117,15 @@
         LatePermits or None
             The permits, if their request has timed out.
         """
-        pending = self._pending.pop(answer.ask, None)
+        pending = self._pending.pop(answer.number, None)
         if pending is None:
             return None
         if not pending.answer.done():
-            pending.answer.set_result(PermitGrant(answer.turns, answer.wait))
+            pending.answer.set_result(
+                PermitGrant(answer.permits, answer.retry_after)
+            )
             return None
-        return LatePermits(pending.life, answer.turns, pending.requested_at)
+        return LatePermits(pending.life, answer.permits, pending.requested_at)
 
     def forget_old(self, now: float) -> None:
         """Forget the timeouts after which an issuer may be asked again."""
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -238,7 +238,7 @@
         elif isinstance(message, PermitAnswer):
             self._handle_answer(message)
         elif isinstance(message, KnownLimits):
-            for told in message.words:
+            for told in message.notices:
                 self._handle_report(told, received.node)
         else:
             self._handle_report(message, received.node)
@@ -313,11 +313,11 @@
         return await self._permit_requests.ask(issuer, told, rank, now)
 
     def _answer_request(self, node: NodeId, ask: PermitRequest) -> None:
-        self._handle_report(ask.told, node)
-        life = BoxLife(ask.told.box, ask.told.incarnation)
+        self._handle_report(ask.notice, node)
+        life = BoxLife(ask.notice.box, ask.notice.incarnation)
         grant = self._issuer.grant(life, ask.rank, self._clock.read())
         answer = PermitAnswer(
-            ask.ask, grant.permits, round(grant.retry_after, 3)
+            ask.number, grant.permits, round(grant.retry_after, 3)
         )
         self._links.send(node, answer)
 
@@ -382,7 +382,7 @@
     return LimitReport(
         NO_LIMIT if told.limit is None else told.limit,
         now - told.sent_age,
-        now - told.heard_age,
-        now - told.named_age,
+        now - told.received_age,
+        now - told.limited_age,
         told.hall,
     )
--- a/waywell/membership/gossip.py
+++ b/waywell/membership/gossip.py
@@ -193,7 +193,8 @@
         self._heard_at[record.node] = now
         self._merge([record], record.node)
         self._links.send(
-            record.node, MembershipRecords(self.table.records, whole=True)
+            record.node,
+            MembershipRecords(self.table.records, is_complete=True),
         )
 
     def on_unreachable(self, unreachable: PeerLinks.Unreachable) -> None:
@@ -212,7 +213,7 @@
         message = received.message
         if isinstance(message, MembershipRecords):
             self._merge(message.records, received.node)
-            if message.whole:
+            if message.is_complete:
                 self._send_missing(received.node, message.records)
             return
         self._take_beat(received.node, message)
@@ -242,7 +243,7 @@
         count = self._differs.get(node, 0) + 1
         self._differs[node] = count % DIGEST_BEATS
         if count >= DIGEST_BEATS:
-            whole = MembershipRecords(self.table.records, whole=True)
+            whole = MembershipRecords(self.table.records, is_complete=True)
             self._links.send(node, whole)
 
     def _send_beat(self, now: float) -> None:
--- a/waywell/process/claims.py
+++ b/waywell/process/claims.py
@@ -10,7 +10,7 @@
 from returns.result import Failure
 
 from waywell.connection.entry_peer import ClaimAnswer, ClaimRequest
-from waywell.connection.grpc_peer import ask_claim, open_channel
+from waywell.connection.grpc_peer import open_channel, request_claim
 from waywell.connection.platform import Kind, PlatformFault
 from waywell.duties.duty import make_operation
 from waywell.membership.membership import NodeState
@@ -77,9 +77,9 @@
     def answer(self, ask: ClaimRequest) -> ClaimAnswer:
         """Answer another entry box about an id that has its home here."""
         key = ClaimKey(ask.account, ask.request_id)
-        if ask.settle is not None:
-            self.table.settle(key, ask.settle)
-            return ClaimAnswer(ask.settle)
+        if ask.final_state is not None:
+            self.table.settle(key, ask.final_state)
+            return ClaimAnswer(ask.final_state)
         state = self.table.claim(
             key,
             ask.holder,
@@ -140,7 +140,7 @@
 async def _ask_home(home: NodeRecord, ask: ClaimRequest) -> ClaimState | None:
     channel = open_channel(home.host, home.peer_port)
     try:
-        answer = await ask_claim(channel, ask, ASK_SECONDS)
+        answer = await request_claim(channel, ask, ASK_SECONDS)
     except Exception:
         return None
     finally:
--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -180,7 +180,9 @@
         self._links.send(node, DocumentRequest(kind, have))
 
     def _answer(self, node: NodeId, wanted: DocumentRequest) -> None:
-        offered = self.in_force.ledgers[wanted.kind].make_update(wanted.have)
+        offered = self.in_force.ledgers[wanted.kind].make_update(
+            wanted.known_version
+        )
         if isinstance(offered, Change):
             news = DocumentUpdate(wanted.kind, change=offered)
         else:
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -10,7 +10,7 @@
 from waywell.codes import Code, Ran
 from waywell.connection.frames import FrameTransport
 from waywell.connection.front import FrontBackend, FrontRequest
-from waywell.connection.peer import FrontWire
+from waywell.connection.peer import FrontMessage
 from waywell.duties.forming import FormingDuty, FormingSources
 from waywell.health.doubts import DoubtListeners, Doubts
 from waywell.health.node_paths import ListedBoxes, make_node_paths
@@ -120,7 +120,7 @@
         self._tended_serial = 0
         self._random = Random(self.incarnation)
         self._helpers: set[asyncio.Task[None]] = set()
-        self._transport = FrameTransport(FrontWire)
+        self._transport = FrameTransport(FrontMessage)
         self._ports = FrontPorts(
             settings.node, self._make_handlers(), self._transport
         )
