--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -16,7 +16,7 @@
 from waywell.codes import Refusal
 from waywell.connection.body_end import BodyEnd, BodyOutcome
 from waywell.connection.exchange import SendFault
-from waywell.connection.forwarding import FORWARDED_HEADER, ForwardMark
+from waywell.connection.forwarding import FORWARDED_HEADER, ForwardingHeader
 from waywell.ids import (
     BoxId,
     HallName,
@@ -80,7 +80,7 @@
         return ()
 
     def make_forward_headers(
-        self, _ask: Ask, mark: ForwardMark, *_words: object
+        self, _ask: Ask, mark: ForwardingHeader, *_words: object
     ) -> tuple:
         return ((FORWARDED_HEADER.encode(), mark.encode().encode()),)
 
@@ -195,7 +195,7 @@
 
     async def begin(
         self,
-        forwarded: ForwardMark | None = None,
+        forwarded: ForwardingHeader | None = None,
         resume_after: int | None = None,
     ) -> asyncio.Task:
         ask = Ask(
--- a/tests/holder.py
+++ b/tests/holder.py
@@ -74,7 +74,7 @@
         self.in_flight: list[InFlightOrder] = []
         self.changes_behind = 0
 
-    async def give(self, assignment: Assignment, fence: int) -> OrderResult:
+    async def send(self, assignment: Assignment, fence: int) -> OrderResult:
         name = assignment.box.box
         replica = self.sim_fleet.replicas[name]
         answer = asyncio.get_running_loop().create_future()
--- a/tests/test_box_questions.py
+++ b/tests/test_box_questions.py
@@ -28,7 +28,7 @@
         self.answers: list[asyncio.Future[BoxReport | None]] = []
         self.given_up = 0
 
-    async def give(self, assignment: Assignment, fence: int) -> OrderResult:
+    async def send(self, assignment: Assignment, fence: int) -> OrderResult:
         raise AssertionError('no order is given here')
 
     async def read_report(self, box: FleetBox) -> BoxReport | None:
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -13,9 +13,9 @@
 from waywell.connection.exchange import SendFault
 from waywell.connection.forwarding import (
     FORWARDED_HEADER,
-    ForwardMark,
+    ForwardingHeader,
     PeerRefusal,
-    read_forward_mark,
+    parse_forwarding_header,
     read_refusal,
 )
 from waywell.ids import ServiceName
@@ -158,7 +158,7 @@
 
 def test_a_forwarded_request_goes_to_no_second_peer(lost: Stage) -> None:
     async def play() -> None:
-        await lost.begin(ForwardMark('x', 2))
+        await lost.begin(ForwardingHeader('x', 2))
         assert lost.refusal is not None
         assert lost.refusal.code is Code.NODE_PARTITIONED
         assert lost.refusal.ran is Ran.NOT_RUN
@@ -171,7 +171,7 @@
     stage: Stage,
 ) -> None:
     async def play() -> None:
-        await stage.begin(ForwardMark('x', 1))
+        await stage.begin(ForwardingHeader('x', 1))
         await stage.pass_time(3.0)
         assert len(stage.attempts) == 1
 
@@ -182,7 +182,7 @@
     stage: Stage,
 ) -> None:
     async def play() -> None:
-        await stage.begin(ForwardMark('x', 1))
+        await stage.begin(ForwardingHeader('x', 1))
         assert LLM not in stage.budget._counts  # noqa: SLF001
         await stage.begin()
         assert len(stage.budget._counts[LLM].requests) == 1  # noqa: SLF001
@@ -231,9 +231,9 @@
         (b'X-Own', b'kept'),
     )
     ask = wire.read_ask('POST', '/notes/1', headers, b'body')
-    sent = wire.make_forward_headers(ask, ForwardMark('own', 3), 2.5, 4)
+    sent = wire.make_forward_headers(ask, ForwardingHeader('own', 3), 2.5, 4)
     again = wire.read_ask('POST', '/notes/1', sent, b'body')
-    assert again.forwarded == ForwardMark('own', 3)
+    assert again.forwarded == ForwardingHeader('own', 3)
     assert (again.host, again.attempt) == ('shop.example', 'a1')
     assert (again.key, again.seconds, again.resume_after) == ('secret', 2.5, 4)
     names = [name.lower() for name, _text in again.headers]
@@ -243,7 +243,7 @@
 
 @pytest.mark.parametrize('text', ['', 'own', ';2', 'own;x', 'own;-1'])
 def test_a_mark_that_is_no_mark_is_none(text: str) -> None:
-    assert read_forward_mark(text) is None
+    assert parse_forwarding_header(text) is None
 
 
 def test_only_a_refusal_of_a_node_is_read_as_one() -> None:
--- a/tests/test_permit_issuer.py
+++ b/tests/test_permit_issuer.py
@@ -19,7 +19,7 @@
 
 from tests.limits import WINDOW_SECONDS, count_allowed, count_most
 from waywell.bench.turn_fleet import HALL, LIFE, TurnFleet, TurnNode
-from waywell.connection.named_limit import NO_LIMIT
+from waywell.connection.limit_header import NO_LIMIT
 from waywell.ids import HallName, Incarnation, NodeId
 from waywell.limits.issuer_assignment import (
     ISSUERS_PER_REPLICA,
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -13,7 +13,7 @@
 from tests.test_membership import make_record
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
-from waywell.connection.named_limit import NO_LIMIT
+from waywell.connection.limit_header import NO_LIMIT
 from waywell.connection.peer import (
     KnownLimits,
     LimitNotice,
--- a/tests/test_reported_limits.py
+++ b/tests/test_reported_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from waywell.connection.named_limit import NO_LIMIT, read_limit
+from waywell.connection.limit_header import NO_LIMIT, read_limit
 from waywell.ids import BoxId, Incarnation
 from waywell.limits.reported_limits import (
     MAX_REPORTS,
--- a/tests/test_server_orders.py
+++ b/tests/test_server_orders.py
@@ -39,7 +39,7 @@
         return _Calls(outcome)
 
     monkeypatch.setattr(server_orders, '_make_calls', make_calls)
-    return asyncio.run(ServerOrders().give(LEAVE, 3))
+    return asyncio.run(ServerOrders().send(LEAVE, 3))
 
 
 @pytest.mark.parametrize('fault', list(PlatformFault))
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -12,7 +12,7 @@
 from waywell.connection.http_calls import CallAnswer, HttpCalls
 from waywell.connection.platform import Kind, PlatformFault
 from waywell.connection.store_era import (
-    UNTOLD_ERA,
+    UNREPORTED_ERA,
     EraChange,
     EraTracker,
     StoreEra,
@@ -74,7 +74,7 @@
     store.list((PAGE, '0'))
     store.list((PAGE, text))
     store.list((PAGE, '0'))
-    assert [change.era for change in store.changes] == [UNTOLD_ERA, 0]
+    assert [change.era for change in store.changes] == [UNREPORTED_ERA, 0]
 
 
 def test_a_call_that_is_turned_away_tells_no_era(store: Store) -> None:
@@ -91,7 +91,7 @@
 
 def test_a_peer_tells_higher_eras_only(store: Store) -> None:
     store.list((PAGE, '3'))
-    for era in (UNTOLD_ERA, StoreEra(2), StoreEra(3)):
+    for era in (UNREPORTED_ERA, StoreEra(2), StoreEra(3)):
         store.eras.observe_peer(era)
     assert not store.changes
     store.eras.observe_peer(StoreEra(5))
--- a/waywell/connection/box_orders.py
+++ b/waywell/connection/box_orders.py
@@ -15,7 +15,7 @@
     """Gives orders and asks boxes; another protocol is another subclass."""
 
     @abc.abstractmethod
-    async def give(self, assignment: Assignment, fence: int) -> OrderResult:
+    async def send(self, assignment: Assignment, fence: int) -> OrderResult:
         """Give an order to a box and return what came of it.
 
         Parameters
--- a/waywell/connection/forwarding.py
+++ b/waywell/connection/forwarding.py
@@ -26,11 +26,11 @@
 RETRY_HEADER = 'retry-after'
 """Seconds after which a refused caller may come back."""
 
-FORWARDED_BYTES = 512
+FORWARDING_HEADER_BYTES = 512
 """Bytes that a forwarded request's head may have beyond a caller's."""
 
 
-class ForwardMark(msgspec.Struct, frozen=True):
+class ForwardingHeader(msgspec.Struct, frozen=True):
     """What an entry box says of a request that it forwards."""
 
     node: str
@@ -57,12 +57,12 @@
     """Seconds after which the caller may come back, where it is told."""
 
 
-def read_forward_mark(text: str) -> ForwardMark | None:
+def parse_forwarding_header(text: str) -> ForwardingHeader | None:
     """Return what the header of a forwarded request says."""
     node, _, sends = text.partition(';')
     if not node or not sends.isdecimal():
         return None
-    return ForwardMark(node, max(1, int(sends)))
+    return ForwardingHeader(node, max(1, int(sends)))
 
 
 def read_refusal(headers: RawHeaders) -> PeerRefusal | None:
--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -19,7 +19,7 @@
 )
 from waywell.connection.forwarding import (
     CODE_HEADER,
-    FORWARDED_BYTES,
+    FORWARDING_HEADER_BYTES,
     RAN_HEADER,
 )
 from waywell.connection.wire import Wire
@@ -203,7 +203,7 @@
         limits = self.site.backend.get_limits()
         self._idle_limit = limits.idle_seconds
         self.timeOut = limits.idle_seconds
-        self.totalHeadersSize = limits.header_bytes + FORWARDED_BYTES
+        self.totalHeadersSize = limits.header_bytes + FORWARDING_HEADER_BYTES
         super().connectionMade()
 
     def requestDone(self, request: Any) -> None:  # noqa: N802
--- a/waywell/connection/http_target.py
+++ b/waywell/connection/http_target.py
@@ -31,8 +31,8 @@
 )
 from waywell.connection.deferreds import await_deferred
 from waywell.connection.hop_headers import HOP_HEADERS
-from waywell.connection.named_limit import LIMIT_HEADER, read_limit
-from waywell.connection.retry_after import REST_HEADER, read_rest
+from waywell.connection.limit_header import LIMIT_HEADER, read_limit
+from waywell.connection.retry_after import RETRY_AFTER_HEADER, read_retry_after
 from waywell.connection.target import (
     EPOCH_HEADER,
     FENCE_HEADER,
@@ -128,8 +128,8 @@
         ]
         self.length = response.length
         self.load = self._read_load()
-        rests = response.headers.getRawHeaders(REST_HEADER, [''])
-        self.rest_seconds = read_rest(self.status, rests[0])
+        rests = response.headers.getRawHeaders(RETRY_AFTER_HEADER, [''])
+        self.rest_seconds = read_retry_after(self.status, rests[0])
         limits = response.headers.getRawHeaders(LIMIT_HEADER, [None])
         self.limit = read_limit(limits[0])
 
@@ -190,7 +190,9 @@
         if not may_send():
             return Failure(DispatchFault.TOO_LATE)
         endpoint = self._make_endpoint(dispatch.member, may_send)
-        requested = self._make_agent(endpoint, dispatch.fresh).request(
+        requested = self._make_agent(
+            endpoint, dispatch.needs_new_connection
+        ).request(
             dispatch.method.encode(),
             _make_url(dispatch.member, dispatch.path),
             _make_headers(dispatch),
@@ -223,7 +225,7 @@
         if response.code == HTTPStatus.CONFLICT:
             return OrderOutcome.FENCED
         taken = response.code < HTTPStatus.MULTIPLE_CHOICES
-        return OrderOutcome.TAKEN if taken else OrderOutcome.UNKNOWN
+        return OrderOutcome.ACCEPTED if taken else OrderOutcome.UNKNOWN
 
     async def probe(
         self,
--- a/waywell/connection/peer.py
+++ b/waywell/connection/peer.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from waywell.connection.store_era import UNTOLD_ERA, StoreEra
+from waywell.connection.store_era import UNREPORTED_ERA, StoreEra
 from waywell.ids import (
     BoxId,
     DomainName,
@@ -291,7 +291,7 @@
     platform has its own, and whole lists were half of all bytes between
     halls."""
 
-    era: StoreEra = UNTOLD_ERA
+    era: StoreEra = UNREPORTED_ERA
     """Era of the platform's store, as the asker knows it."""
 
     def wants_newer(self, version: int) -> bool:
@@ -336,7 +336,7 @@
     """Requests in flight of all nodes that the answerer knows of but those
     that the asker has told."""
 
-    era: StoreEra = UNTOLD_ERA
+    era: StoreEra = UNREPORTED_ERA
     """Era of the platform's store, as the answerer knows it."""
 
 
--- a/waywell/connection/retry_after.py
+++ b/waywell/connection/retry_after.py
@@ -5,7 +5,7 @@
 import math
 from http import HTTPStatus
 
-REST_HEADER = 'retry-after'
+RETRY_AFTER_HEADER = 'retry-after'
 """HTTP header with the seconds; a date is not used between boxes."""
 
 _RESTING_STATUSES = frozenset(
@@ -14,7 +14,7 @@
 """Answers that may ask for rest; on others the header means something else."""
 
 
-def read_rest(status: int, text: str) -> float:
+def read_retry_after(status: int, text: str) -> float:
     """Return the seconds of rest that an answer asks for.
 
     Parameters
--- a/waywell/connection/store_era.py
+++ b/waywell/connection/store_era.py
@@ -18,16 +18,16 @@
 StoreEra = NewType('StoreEra', int)
 """Number of an era; rises each time the store comes back from a copy."""
 
-UNTOLD_ERA = StoreEra(-1)
+UNREPORTED_ERA = StoreEra(-1)
 """Era of answers that tell none; neither older nor newer than any other."""
 
 UNSEEN_ERA = StoreEra(-2)
 """Era before the first answer."""
 
 
-def is_told(era: int) -> bool:
+def is_reported(era: int) -> bool:
     """Return whether an era was told by the store."""
-    return era > UNTOLD_ERA
+    return era > UNREPORTED_ERA
 
 
 class Revision(msgspec.Struct, frozen=True):
@@ -91,7 +91,7 @@
         """
         if era == self.current:
             return True
-        if is_told(era) and era < self.current:
+        if is_reported(era) and era < self.current:
             log_warning('store_answer_outdated', era=era, current=self.current)
             return False
         change = EraChange(self.current, era)
@@ -102,7 +102,7 @@
 
     def observe_peer(self, era: StoreEra) -> None:
         """Record the era that another node knows, where it knows one."""
-        if is_told(era) and era > self.current:
+        if is_reported(era) and era > self.current:
             self.observe(era)
 
     def _notify(self, change: EraChange) -> None:
--- a/waywell/connection/target.py
+++ b/waywell/connection/target.py
@@ -54,7 +54,7 @@
     RESTING = 'resting'
     """The target asked for rest while the request connected; not sent."""
 
-    NO_TURN = 'no_turn'
+    NO_PERMIT = 'no_turn'
     """The target named a limit while the request connected; not sent."""
 
     FENCED = 'fenced'
@@ -88,7 +88,7 @@
     priority: int
     """Priority of the client account."""
 
-    fresh: bool
+    needs_new_connection: bool
     """Whether it must go out on a connection of its own."""
 
 
@@ -169,7 +169,7 @@
 class OrderOutcome(enum.Enum):
     """What came of an order."""
 
-    TAKEN = 'taken'
+    ACCEPTED = 'taken'
     """The box serves, or will when it has loaded the model."""
 
     FENCED = 'fenced'
--- a/waywell/connection/wire.py
+++ b/waywell/connection/wire.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from waywell.connection.forwarding import ForwardMark
+    from waywell.connection.forwarding import ForwardingHeader
     from waywell.request.ask import AnswerMark, Ask, Delivery
     from waywell.version.fleet import FleetBox
 
@@ -46,7 +46,7 @@
     def make_forward_headers(
         self,
         ask: Ask,
-        mark: ForwardMark,
+        mark: ForwardingHeader,
         seconds: float,
         resume_after: int | None,
     ) -> RawHeaders:
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -408,6 +408,6 @@
             log_order(assignment, OrderResult.ENDED)
             self.post(self.Ordered(assignment, OrderResult.ENDED, epoch))
             return
-        result = await self._orders.give(assignment, epoch)
+        result = await self._orders.send(assignment, epoch)
         log_order(assignment, result)
         self.post(self.Ordered(assignment, result, epoch))
--- a/waywell/duties/lease.py
+++ b/waywell/duties/lease.py
@@ -26,10 +26,10 @@
 import msgspec
 
 from waywell.connection.store_era import (
+    UNREPORTED_ERA,
     UNSEEN_ERA,
-    UNTOLD_ERA,
     StoreEra,
-    is_told,
+    is_reported,
 )
 from waywell.ids import Incarnation, NodeId
 
@@ -68,7 +68,7 @@
     operation: str = ''
     """Id of the write, to recognise it when its answer was lost."""
 
-    era: StoreEra = UNTOLD_ERA
+    era: StoreEra = UNREPORTED_ERA
     """Era of the store in which it was written."""
 
 
@@ -250,7 +250,7 @@
 
         A store that tells no era is taken to lose nothing.
         """
-        if not is_told(self._era):
+        if not is_reported(self._era):
             return True
         if self.record is None:
             return self.is_first_start
@@ -259,7 +259,7 @@
     def _choose_epoch(self) -> int:
         """Return an epoch above those that were or may have been in use."""
         used = max(self.epoch, self._least_epoch)
-        if not is_told(self._era):
+        if not is_reported(self._era):
             return used + 1
         # Where the copy lacks any lease, the era alone tells the terms apart.
         used = max(used, (self._era - 1) * LOST_EPOCHS)
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from waywell.connection.named_limit import NO_LIMIT
+from waywell.connection.limit_header import NO_LIMIT
 from waywell.connection.peer import (
     KnownLimits,
     LimitNotice,
--- a/waywell/limits/reported_limits.py
+++ b/waywell/limits/reported_limits.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from waywell.connection.named_limit import NO_LIMIT
+from waywell.connection.limit_header import NO_LIMIT
 from waywell.ids import HallName
 from waywell.telemetry.events import log_event
 
--- a/waywell/platform/messages.py
+++ b/waywell/platform/messages.py
@@ -8,12 +8,12 @@
 from waywell.codes import Code, Refusal
 from waywell.connection.forwarding import (
     FORWARDED_HEADER,
-    ForwardMark,
-    read_forward_mark,
+    ForwardingHeader,
+    parse_forwarding_header,
 )
 from waywell.connection.hop_headers import HOP_HEADERS
-from waywell.connection.named_limit import LIMIT_HEADER, read_limit
-from waywell.connection.retry_after import REST_HEADER, read_rest
+from waywell.connection.limit_header import LIMIT_HEADER, read_limit
+from waywell.connection.retry_after import RETRY_AFTER_HEADER, read_retry_after
 from waywell.connection.wire import RawHeaders, Wire
 from waywell.ids import ModelName
 from waywell.request.ask import AnswerMark, Ask, Delivery
@@ -98,7 +98,7 @@
             answer_tokens=answer,
             likely_tokens=_read_number(texts, HINT_HEADER) or 0,
             prompt_parts=decode_prompt_parts(texts.get(PROMPT_HEADER, '')),
-            forwarded=read_forward_mark(texts.get(FORWARDED_HEADER, '')),
+            forwarded=parse_forwarding_header(texts.get(FORWARDED_HEADER, '')),
         )
 
     def make_headers(
@@ -123,7 +123,7 @@
     def make_forward_headers(
         self,
         ask: Ask,
-        mark: ForwardMark,
+        mark: ForwardingHeader,
         seconds: float,
         resume_after: int | None,
     ) -> RawHeaders:
@@ -149,7 +149,9 @@
             attempt=texts.get(ATTEMPT_HEADER, ''),
             is_rejected=REJECTED_HEADER in texts,
             is_misdirected=misdirected,
-            rest_seconds=read_rest(status, texts.get(REST_HEADER, '')),
+            rest_seconds=read_retry_after(
+                status, texts.get(RETRY_AFTER_HEADER, '')
+            ),
             is_leaving=texts.get(LEAVING_HEADER, '').strip() == LEAVING_TEXT,
             limit=None if misdirected else read_limit(texts.get(LIMIT_HEADER)),
         )
--- a/waywell/platform/orders.py
+++ b/waywell/platform/orders.py
@@ -72,7 +72,7 @@
 class ServerOrders(BoxOrders):
     """Gives orders over HTTP."""
 
-    async def give(self, assignment: Assignment, fence: int) -> OrderResult:
+    async def send(self, assignment: Assignment, fence: int) -> OrderResult:
         """Give an order to a box and return what came of it."""
         calls = _make_calls(assignment.box, ORDER_SECONDS)
         raw = msgspec.json.encode(encode_order(assignment, fence))
--- a/waywell/platform/store.py
+++ b/waywell/platform/store.py
@@ -21,7 +21,7 @@
     PlatformFault,
     Stored,
 )
-from waywell.connection.store_era import UNTOLD_ERA, EraTracker, StoreEra
+from waywell.connection.store_era import UNREPORTED_ERA, EraTracker, StoreEra
 from waywell.platform.manifest import decode_manifest
 from waywell.platform.objects import (
     ForeignObject,
@@ -252,7 +252,7 @@
         answer: CallAnswer,
     ) -> Result[CallAnswer, PlatformFault]:
         era = _read_era(answer.find_header(ERA_HEADER))
-        if era == UNTOLD_ERA and answer.status in _REFUSALS:
+        if era == UNREPORTED_ERA and answer.status in _REFUSALS:
             # What turned the call away need not be the store itself.
             return Success(answer)
         if self._eras.observe(era):
@@ -263,11 +263,11 @@
 def _read_era(text: str | None) -> StoreEra:
     """Return the era that an answer tells, if it tells a readable one."""
     if text is None:
-        return UNTOLD_ERA
+        return UNREPORTED_ERA
     if text.isascii() and text.isdecimal():
         return StoreEra(int(text))
     log_warning('store_era_unreadable', text=text[:ERA_TEXT_LENGTH])
-    return UNTOLD_ERA
+    return UNREPORTED_ERA
 
 
 def _make_path(kind: Kind, name: str = '', **query: str) -> str:
--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -133,7 +133,9 @@
         """Note which group is ready to serve."""
         key = (ordered.group, ordered.epoch)
         self._ordering.discard(key)
-        if all(outcome is OrderOutcome.TAKEN for outcome in ordered.outcomes):
+        if all(
+            outcome is OrderOutcome.ACCEPTED for outcome in ordered.outcomes
+        ):
             self._ready.add(key)
             return
         if OrderOutcome.FENCED in ordered.outcomes:
--- a/waywell/request/ask.py
+++ b/waywell/request/ask.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from waywell.connection.forwarding import ForwardMark, PeerRefusal
+from waywell.connection.forwarding import ForwardingHeader, PeerRefusal
 from waywell.connection.wire import RawHeaders
 from waywell.ids import AccountName, ModelName, PromptPart
 
@@ -54,7 +54,7 @@
     prompt_parts: tuple[PromptPart, ...] = ()
     """Parts of the prompt that other requests may share."""
 
-    forwarded: ForwardMark | None = None
+    forwarded: ForwardingHeader | None = None
     """Set where another entry box forwards it."""
 
     @property
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -68,14 +68,14 @@
         DispatchFault.TIMED_OUT: Code.DEADLINE_PASSED,
         DispatchFault.FENCED: Code.FENCE_REFUSED,
         DispatchFault.RESTING: Code.REPLICAS_REST,
-        DispatchFault.NO_TURN: Code.REPLICAS_LIMITED,
+        DispatchFault.NO_PERMIT: Code.REPLICAS_LIMITED,
     },
 )
 
 MOST_NAMED_PEERS = 8
 """Entry boxes that a refusal names to the caller."""
 
-_WANTS_LESS = frozenset((DispatchFault.RESTING, DispatchFault.NO_TURN))
+_WANTS_LESS = frozenset((DispatchFault.RESTING, DispatchFault.NO_PERMIT))
 """Faults by which a group does not want the request for now."""
 
 _NO_FAILURES = _WANTS_LESS | {DispatchFault.TOO_LATE}
@@ -486,7 +486,7 @@
         if not self._parts.backpressure.may_send(life, now):
             return DispatchFault.RESTING
         if not self._parts.turns.may_send(life, turn, now):
-            return DispatchFault.NO_TURN
+            return DispatchFault.NO_PERMIT
         return fault
 
     def _take_fault(
--- a/waywell/request/group_views.py
+++ b/waywell/request/group_views.py
@@ -26,7 +26,7 @@
         priority=work.account.priority,
         # A kept connection may be closed by the target in the moment of
         # the write, which leaves the outcome open.
-        fresh=not work.facts.repeatable,
+        needs_new_connection=not work.facts.repeatable,
     )
 
 
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from waywell.connection.exchange import Outgoing
-from waywell.connection.forwarding import ForwardMark, read_refusal
+from waywell.connection.forwarding import ForwardingHeader, read_refusal
 from waywell.request.ask import AnswerMark
 from waywell.request.destination import Destination
 from waywell.request.peer_chooser import make_peer_key
@@ -60,7 +60,7 @@
             context.ask.target,
             self._parts.wire.make_forward_headers(
                 context.ask,
-                ForwardMark(self._parts.node, self._sends),
+                ForwardingHeader(self._parts.node, self._sends),
                 context.ends_at - now,
                 context.last_event,
             ),
--- a/waywell/request/turn_source.py
+++ b/waywell/request/turn_source.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from waywell.connection.named_limit import NO_LIMIT
+from waywell.connection.limit_header import NO_LIMIT
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
