--- a/tests/relay.py
+++ b/tests/relay.py
@@ -17,13 +17,13 @@
 """After which a connection that does not stand met a full queue."""
 
 
-class Way(enum.Enum):
+class Direction(enum.Enum):
     """Direction in which a piece goes."""
 
-    THERE = 'there'
+    TO_TARGET = 'there'
     """From the side that connected."""
 
-    BACK = 'back'
+    FROM_TARGET = 'back'
     """To the side that connected."""
 
 
@@ -44,7 +44,7 @@
         self.is_cut = False
         self.delay = 0.0
         self.passes_resets = False
-        self._silenced: set[Way] = set()
+        self._silenced: set[Direction] = set()
         self._changed = threading.Condition()
         self._open: set[socket.socket] = set()
         self._reset_sides: set[socket.socket] = set()
@@ -82,12 +82,12 @@
         while self._add_unaccepted():
             continue
 
-    def silence(self, *ways: Way) -> None:
+    def silence(self, *ways: Direction) -> None:
         """Hold what goes in some directions."""
         with self._changed:
             self._silenced |= set(ways)
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Forward all again, at once."""
         self.is_cut = False
         self.delay = 0.0
@@ -100,7 +100,7 @@
     def close(self) -> None:
         """Forward nothing any more."""
         self.cut()
-        self.mend()
+        self.restore()
         self.is_cut = True
         # Closing alone does not wake the thread that accepts.
         with contextlib.suppress(OSError):
@@ -150,8 +150,8 @@
                 continue
             self._open |= {near, far}
             for way, pair in (
-                (Way.THERE, (near, far)),
-                (Way.BACK, (far, near)),
+                (Direction.TO_TARGET, (near, far)),
+                (Direction.FROM_TARGET, (far, near)),
             ):
                 threading.Thread(
                     target=self._forward,
@@ -161,7 +161,7 @@
 
     def _forward(
         self,
-        way: Way,
+        way: Direction,
         source: socket.socket,
         sink: socket.socket,
     ) -> None:
@@ -191,7 +191,7 @@
             sink.shutdown(socket.SHUT_RD)
         sink.close()
 
-    def _hold(self, way: Way) -> None:
+    def _hold(self, way: Direction) -> None:
         """Wait as long as a direction is silenced, and for the delay."""
         with self._changed:
             self._changed.wait_for(lambda: way not in self._silenced)
--- a/tests/replica_paths.py
+++ b/tests/replica_paths.py
@@ -9,7 +9,7 @@
 from threading import Thread
 from typing import TYPE_CHECKING, Any
 
-from tests.relay import Relay, Way
+from tests.relay import Direction, Relay
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -88,7 +88,7 @@
         """Give the links back."""
         self._how = None
         for relay in tuple(self._relays.values()):
-            relay.mend()
+            relay.restore()
 
     def close(self) -> None:
         """Forward nothing any more."""
@@ -171,7 +171,7 @@
 
 def _cut(relay: Relay, how: Cut) -> None:
     if how is Cut.HANG:
-        relay.silence(*Way)
+        relay.silence(*Direction)
         relay.stall_new()
         return
     relay.refuse_new()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -24,7 +24,7 @@
 from tests.front_bench import WHOLE, Front
 from tests.house import KEY, Server, StoreCopy, make_manifest
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
-from tests.relay import Relay, Way
+from tests.relay import Direction, Relay
 from tests.replica_paths import Cut, ReplicaRelays
 from tests.rerouted import write_ports
 from waywell.standins.harness import Process, wait_until
@@ -458,8 +458,8 @@
         elif kind == 'delay':
             relay.delay = self.random.uniform(*SLOW_SECONDS)
         else:
-            relay.silence(Way(kind))
-        return relay.mend
+            relay.silence(Direction(kind))
+        return relay.restore
 
     def _ask_wish(self) -> None:
         """Let servers ask for rest, or say that they leave and do so."""
@@ -556,7 +556,7 @@
         self.front.store.is_down = False
         self._end_limits()
         for relay in (*self._list_relays(), self._links):
-            relay.mend()
+            relay.restore()
         # The first version does not know the key that is asked with.
         self._change_routes()
         for server in tuple(self.front.servers.values()):
--- a/tests/test_parted.py
+++ b/tests/test_parted.py
@@ -82,7 +82,7 @@
         assert ask(bench, name, 'llm')[0] == 200
         assert ask(bench, name, 'app')[0] == 200
     for relay in relays:
-        relay.mend()
+        relay.restore()
     for name in NAMES:
         wait_until(lambda name=name: count_live(bench, name) == 3, 'the mend')
         wait_until(
@@ -108,7 +108,7 @@
         )
         assert ask(bench, name, 'llm')[0] == 200
     for relay in relays:
-        relay.mend()
+        relay.restore()
     for name in NAMES:
         wait_until(
             lambda name=name: ask(bench, name, 'app')[0] == 200,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.broken_bodies import reset
-from tests.relay import Relay, Way
+from tests.relay import Direction, Relay
 from waywell.standins.harness import wait_until
 
 SHORT = 0.3
@@ -57,10 +57,10 @@
     return line
 
 
-@pytest.mark.parametrize('way', list(Way))
+@pytest.mark.parametrize('way', list(Direction))
 def test_a_silenced_direction_holds_its_bytes_until_it_is_mended(
     relay: Relay,
-    way: Way,
+    way: Direction,
 ) -> None:
     line = _connect(relay)
     relay.silence(way)
@@ -68,7 +68,7 @@
     line.settimeout(SHORT)
     with pytest.raises(TimeoutError):
         line.recv(1)
-    relay.mend()
+    relay.restore()
     line.settimeout(20)
     assert line.recv(1) == b'b'
 
@@ -90,7 +90,7 @@
     relay.cut()
     with pytest.raises((OSError, AssertionError)):
         _connect(relay)
-    relay.mend()
+    relay.restore()
     wait_until(lambda: _connect(relay), 'a connection')
 
 
