--- a/waywell/connection/__init__.py
+++ b/waywell/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a connection: callers, targets, peers, platform."""
+"""Connections to callers, targets, peers and the platform."""
--- a/waywell/connection/peer.py
+++ b/waywell/connection/peer.py
@@ -1,6 +1,8 @@
-"""What entry boxes say to each other, as msgpack.
+"""Messages between entry boxes, encoded with MessagePack.
 
-The message classes are the schema; no code is generated.
+The classes are the schema; no code is generated.  Entry boxes of two releases
+may run at the same time.  Fields are encoded by position, and a class by its
+tag, which stays when the class is renamed.
 """
 
 from __future__ import annotations
@@ -25,319 +27,326 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """First message of a stream, from both sides."""
+    """First message that each side sends on a stream."""
 
     record: NodeRecord
-    """The sender."""
+    """Membership record of the sender."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag='Beat', array_like=True):
-    """Liveness, with what the receiver may have missed."""
+    """Periodic sign of life, with the versions that the sender has."""
 
     configuration: int
-    """Version of the configuration in force."""
+    """Version of the configuration in force at the sender."""
 
     roster: int
-    """Version of the roster in force."""
+    """Version of the roster in force at the sender."""
 
     digest: int
     """Digest of the sender's membership view."""
 
     platform_age: float
-    """Seconds since a node is known to have reached the platform."""
+    """Seconds since any node is known to have reached the platform."""
 
 
 class MembershipRecords(
     msgspec.Struct, frozen=True, tag='Records', array_like=True
 ):
-    """Membership records that changed, or all of them."""
+    """Membership records that have changed, or all records of the sender."""
 
     records: tuple[NodeRecord, ...]
-    """Records."""
 
     is_complete: bool = False
-    """Whether these are all, so that the receiver answers with its own."""
+    """Whether all records are included; the receiver then replies with those
+    that the sender lacks."""
 
 
 class ReplicaSuspected(
     msgspec.Struct, frozen=True, tag='ReplicaDoubt', array_like=True
 ):
-    """A replica from which nothing comes any more although it has work."""
+    """Report of a replica that has requests but sends no data any more."""
 
     suspicion_id: str
-    """Id of the doubt, so that it is passed on once."""
+    """Random id that makes the message unique."""
 
     group: GroupId
     """Group of the replica; empty for a plain service."""
 
     box: BoxId
-    """Box that takes its requests."""
+    """Box that receives the requests of the replica."""
 
     epoch: Epoch
-    """Epoch of its group."""
+    """Epoch of the group."""
 
     incarnation: Incarnation = UNKNOWN_INCARNATION
-    """Incarnation of that box."""
+    """Incarnation of the box."""
 
 
 class ReplicaAlive(
     msgspec.Struct, frozen=True, tag='ReplicaHeard', array_like=True
 ):
-    """A replica that was doubted goes on."""
+    """Report that a suspected replica sends data again."""
 
     group: GroupId
     """Group of the replica; empty for a plain service."""
 
     box: BoxId
-    """Box that takes its requests."""
+    """Box that receives the requests of the replica."""
 
     epoch: Epoch
-    """Epoch of its group."""
+    """Epoch of the group."""
 
     incarnation: Incarnation = UNKNOWN_INCARNATION
-    """Incarnation of that box."""
+    """Incarnation of the box."""
 
 
 class SuspectRun(msgspec.Struct, frozen=True, array_like=True):
-    """A trait of a request that ran at a replica when that ended."""
+    """A trait of a request that was running when its replica ended."""
 
     trait: Trait
-    """The request, or a part of its prompt."""
+    """Fingerprint of the request or of a part of its prompt."""
 
     has_begun: bool
-    """Whether an answer with it had brought a piece."""
+    """Whether a part of the answer to such a request had arrived."""
 
 
 class ReplicaEnded(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """A replica has ended while requests ran there."""
+    """Report of a replica that ended while it ran requests."""
 
     box: BoxId
-    """Box that took its requests."""
+    """Box that received the requests of the replica."""
 
     epoch: Epoch
-    """Epoch of its group."""
+    """Epoch of the group."""
 
     incarnation: Incarnation
-    """Incarnation of that box."""
+    """Incarnation of the box."""
 
     age: float
-    """Seconds since the end was noticed."""
+    """Seconds since the end was detected."""
 
     runs: tuple[SuspectRun, ...]
-    """Traits of the sender's requests, or all that it knows of."""
+    """Traits of the requests that the sender ran there or knows of."""
 
     domain: DomainName = DomainName('')
-    """Fabric domain of that box; empty for a plain service."""
+    """Fabric domain of the box; empty for a plain service."""
 
 
 class RequestHeld(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Enough replicas have ended under a request: it is held back."""
+    """Report of a request held back because it ended too many replicas."""
 
     trait: Trait
-    """The request, or a part of its prompt."""
+    """Fingerprint of the request or of a part of its prompt."""
 
     crashes: int
-    """Replicas that ended."""
+    """Number of replicas that ended."""
 
     age: float
-    """Seconds since the last of them did."""
+    """Seconds since the last of them ended."""
 
 
 class RequestCleared(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """A request that was suspected was served whole."""
+    """Report that a suspected request was answered completely."""
 
     trait: Trait
-    """The request, or a part of its prompt."""
+    """Fingerprint of the request or of a part of its prompt."""
 
 
 class KnownCrashes(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """All that a node knows of such requests, for a peer that may not."""
+    """All crashes and held requests that a node knows.
+
+    Sent to a peer when a stream opens, since the peer may have missed them.
+    """
 
     ended: tuple[ReplicaEnded, ...]
-    """Ends of replicas."""
+    """Replicas that ended while they ran requests."""
 
     held: tuple[RequestHeld, ...]
-    """Requests that others hold back."""
+    """Requests that other nodes or the platform reported as held back."""
 
 
 class BoxLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Requests in flight at a replica."""
+    """Number of requests in flight at a replica."""
 
     box: BoxId
-    """Box that takes its requests."""
+    """Box that receives the requests of the replica."""
 
     requests: int
-    """Requests of the nodes that are counted."""
+    """Requests in flight, from the nodes that the sender adds up."""
 
     incarnation: Incarnation = UNKNOWN_INCARNATION
-    """Incarnation of that box."""
+    """Incarnation of the box."""
 
 
 class LimitNotice(
     msgspec.Struct, frozen=True, tag='LimitTold', array_like=True
 ):
-    """What an answer of a replica said of its limit."""
+    """Request limit that an answer of a replica reported."""
 
     box: BoxId
-    """Box that takes its requests."""
+    """Box that receives the requests of the replica."""
 
     incarnation: Incarnation
-    """Which of the box's lives."""
+    """Incarnation of the box."""
 
     hall: HallName
-    """Its data hall."""
+    """Data hall of the box."""
 
     limit: float | None
-    """Requests a second from all nodes; ``None`` where it has no limit."""
+    """Requests a second from all nodes together; ``None`` for no limit."""
 
     sent_age: float
-    """Seconds since the request left."""
+    """Seconds since the request was sent."""
 
     received_age: float
-    """Seconds since the answer came."""
+    """Seconds since the answer arrived."""
 
     limited_age: float
-    """Seconds since the replica was first heard to have a limit."""
+    """Seconds since the replica first reported a limit."""
 
 
 class KnownLimits(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """All limits that the sender knows, for a peer that may lack them."""
+    """All limits that a node knows.
+
+    Sent to a peer when a stream opens, since the peer may have missed them.
+    """
 
     notices: tuple[LimitNotice, ...]
-    """Limits, and those that have ended not long ago."""
+    """Limits in force and limits that have ended recently."""
 
 
 class PermitRequest(
     msgspec.Struct, frozen=True, tag='TurnAsk', array_like=True
 ):
-    """May the sender send a request to a replica that has a limit?"""
+    """Request for a permit to send one request to a limited replica."""
 
     number: int
-    """Number of the question."""
+    """Serial number of the request at the sender."""
 
     notice: LimitNotice
-    """The limit, as the sender knows it."""
+    """Limit of the replica as the sender knows it."""
 
     rank: int
-    """Urgency of the request, 0 first."""
+    """Priority of the request; 0 is the most urgent."""
 
 
 class PermitAnswer(
     msgspec.Struct, frozen=True, tag='TurnAnswer', array_like=True
 ):
-    """A dealer's answer."""
+    """Answer of a permit issuer to a permit request."""
 
     number: int
-    """Number of the question."""
+    """Number of the permit request."""
 
     permits: int
-    """Requests that may be sent; 0 for a refusal."""
+    """Number of requests that may be sent; 0 for a refusal."""
 
     retry_after: float
-    """Seconds after which it is worth asking again."""
+    """Seconds after which the next permit may be available."""
 
 
 class ReachabilityQuery(
     msgspec.Struct, frozen=True, tag=True, array_like=True
 ):
-    """Which of these boxes does the receiver reach?"""
+    """Query which of some boxes the receiver can reach."""
 
     query: int
-    """Number of the query at the sender."""
+    """Serial number of the query at the sender."""
 
     boxes: tuple[BoxId, ...]
-    """Boxes that the sender does not reach."""
+    """Boxes that the sender can't reach."""
 
 
 class ReachabilityReport(
     msgspec.Struct, frozen=True, tag=True, array_like=True
 ):
-    """Answer to a query."""
+    """Answer to a reachability query."""
 
     query: int
-    """Number of the query at its sender."""
+    """Serial number of the query at its sender."""
 
     reached: tuple[BoxId, ...]
-    """Boxes that took a connection of the answerer."""
+    """Boxes that accepted a connection from the answering node."""
 
 
 class FeedRequest(msgspec.Struct, frozen=True, tag='FeedAsk', array_like=True):
-    """What do you know of routes and boxes, and how old is it?"""
+    """Query for routes, boxes and their ages."""
 
     number: int
-    """Number of the question at the asker."""
+    """Serial number of the query at the sender."""
 
     version: int
-    """Version of the routes that the asker has."""
+    """Version of the routes that the sender has."""
 
     incarnation: int
-    """Incarnation whose box list the asker holds; 0 for none."""
+    """Incarnation of the node whose box list the sender holds; 0 for none."""
 
     serial: int
-    """Number of that list at the answerer."""
+    """Serial number of that list at the node that sent it."""
 
     wants_routes: bool = False
-    """Whether a newer version of the routes is to come with the answer."""
+    """Whether the answer is to include a newer version of the routes."""
 
     hall: str = ''
-    """Data hall of the asker."""
+    """Data hall of the sender."""
 
     loads: tuple[BoxLoad, ...] | None = ()
-    """Requests in flight of the asker, or of its hall where it is the reader
-    of one and asks that of another; ``None`` where another node is told."""
+    """Requests in flight from the sender, or from its whole hall if it is the
+    reader of its hall and queries the reader of another.  ``None`` if it
+    reports them to another node."""
 
     wants_boxes: bool = True
-    """Whether the asker needs box list and loads; a reader that reaches the
-    platform has its own, and whole lists were half of all bytes between
-    halls."""
+    """Whether the sender needs the box list and the requests in flight.  A
+    reader that reaches the platform has its own list.  Full lists made up half
+    of all bytes between halls."""
 
     era: StoreEra = UNREPORTED_ERA
-    """Era of the platform's store, as the asker knows it."""
+    """Era of the platform's store as the sender knows it."""
 
     def wants_newer(self, version: int) -> bool:
-        """Answer whether the asker needs the routes of a version."""
+        """Return whether the sender needs the routes of a version."""
         return self.wants_routes and version > self.version
 
 
 class FeedAnswer(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """What a node knows, and how old it is."""
+    """Answer to a feed request: routes and boxes, with their ages."""
 
     number: int
-    """Number of the question."""
+    """Serial number of the answered request."""
 
     version: int
     """Version of the routes in force."""
 
     routes_age: float
-    """Seconds since that version was known to be the newest."""
+    """Seconds since that version was last known to be the newest."""
 
     incarnation: int
-    """Incarnation of the answerer."""
+    """Incarnation of the answering node."""
 
     serial: int
-    """Number of its box list."""
+    """Serial number of its box list."""
 
     boxes_age: float
-    """Seconds since that list was known to be the newest."""
+    """Seconds since that list was last known to be the newest."""
 
     is_whole: bool
-    """Whether all boxes are told, not only what differs."""
+    """Whether all boxes are included, not only the changes."""
 
     boxes: tuple[FleetBox, ...] = ()
-    """Boxes, all or those that differ."""
+    """All boxes, or those that differ from the list of the request."""
 
     gone: tuple[BoxId, ...] = ()
-    """Boxes that are not on the list any more."""
+    """Boxes that are no longer on the list."""
 
     routes: RouteTable | None = None
-    """The routes, where the asker wants them and they are newer."""
+    """Routes, if they were requested and are newer."""
 
     loads: tuple[BoxLoad, ...] = ()
-    """Requests in flight of all nodes that the answerer knows of but those
-    that the asker has told."""
+    """Requests in flight that the answering node knows of, except those that
+    the requesting node reported."""
 
     era: StoreEra = UNREPORTED_ERA
-    """Era of the platform's store, as the answerer knows it."""
+    """Era of the platform's store as the answering node knows it."""
 
 
 FrontMessage = Union[  # noqa: UP007 - evaluated by the decoder
@@ -359,4 +368,4 @@
     ReachabilityQuery,
     ReachabilityReport,
 ]
-"""All messages between front daemons."""
+"""Any message between front daemons."""
