--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -37,8 +37,8 @@
     def on_message(self, message: Any) -> None:
         self.messages.append(message)
 
-    def on_close(self, why: str) -> None:
-        self.ends.append(why)
+    def on_close(self, reason: str) -> None:
+        self.ends.append(reason)
 
 
 class Wire:
--- a/waywell/connection/entry_peer.py
+++ b/waywell/connection/entry_peer.py
@@ -1,4 +1,8 @@
-"""What only the product's own entry daemons say to each other."""
+"""Messages that only the product's own entry daemons exchange.
+
+Fields are encoded by position, and a class by its tag, which stays when the
+class is renamed.
+"""
 
 from __future__ import annotations
 
@@ -13,69 +17,72 @@
 class DocumentUpdate(
     msgspec.Struct, frozen=True, tag='DocumentNews', array_like=True
 ):
-    """A document's new version, as a change or whole."""
+    """New version of a document, as a change or complete."""
 
     kind: DocumentKind
-    """Which document."""
+    """Kind of the document."""
 
     change: Change | None = None
-    """What changed, for holders of its base."""
+    """Change from an earlier version, for receivers that have that version."""
 
     document: Document | None = None
-    """The whole version."""
+    """Complete document; ``None`` if the change is sent."""
 
 
 class DocumentRequest(
     msgspec.Struct, frozen=True, tag='DocumentWanted', array_like=True
 ):
-    """A request for a document's version in force."""
+    """Request for the version of a document in force at the receiver."""
 
     kind: DocumentKind
-    """Which document."""
+    """Kind of the document."""
 
     known_version: int
-    """Version that the sender has."""
+    """Version that the sender has, as the base of a change."""
 
 
 class HealthUpdate(
     msgspec.Struct, frozen=True, tag='HealthNews', array_like=True
 ):
-    """Words of probers about groups."""
+    """Evidence that probers found about groups."""
 
     evidence: tuple[Evidence, ...]
-    """Words that are news."""
+    """Evidence that is new to the sender."""
 
 
 class LoadUpdate(msgspec.Struct, frozen=True, tag='LoadNews', array_like=True):
-    """Requests in flight at groups, as their probers saw them."""
+    """Requests in flight at groups, as measured by their probers."""
 
     loads: tuple[tuple[GroupId, int, int], ...]
-    """Group, sequence of the word, requests in flight."""
+    """Triples of group, sequence number and requests in flight."""
 
 
 class ClaimRequest(
     msgspec.Struct, frozen=True, tag='ClaimAsk', array_like=True
 ):
-    """May the asker run this request?"""
+    """Request for the right to run a request id, or report of how a run ended.
+
+    It is sent to the home of the id.
+    """
 
     account: str
-    """Client account."""
+    """Client account of the caller."""
 
     request_id: RequestId
-    """Request id."""
+    """Id of the request."""
 
     holder: NodeId
-    """Asker."""
+    """Node that wants to run the request."""
 
     holder_incarnation: int
-    """Its incarnation."""
+    """Incarnation of that node."""
 
     final_state: ClaimState | None = None
-    """How a run that was granted before has ended."""
+    """State in which a run granted earlier ended; ``None`` for a new claim."""
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The home's answer."""
+    """Answer of the home of a request id."""
 
     state: ClaimState
-    """What it knows of the id."""
+    """State of the request id at its home."""
--- a/waywell/connection/forwarding.py
+++ b/waywell/connection/forwarding.py
@@ -1,4 +1,4 @@
-"""Headers of a request that one entry box forwards through another."""
+"""Headers of requests that one entry box forwards to another."""
 
 from __future__ import annotations
 
@@ -14,51 +14,52 @@
     from waywell.connection.wire import RawHeaders
 
 FORWARDED_HEADER = 'waywell-forwarded'
-"""Name of the entry box that forwards a request, and how many replicas the
-receiver may send it to: ``NODE;SENDS``."""
+"""Header with the name of the forwarding entry box and the number of replicas
+that the receiver may send the request to: ``NODE;SENDS``."""
 
 CODE_HEADER = 'waywell-code'
-"""Number of the result code, on refusals."""
+"""Header of refusals with the number of the result code."""
 
 RAN_HEADER = 'waywell-ran'
-"""Whether the request ran, on refusals."""
+"""Header of refusals that says whether the request ran."""
 
 RETRY_HEADER = 'retry-after'
-"""Seconds after which a refused caller may come back."""
+"""Header of refusals with the seconds until the caller may retry."""
 
 FORWARDING_HEADER_BYTES = 512
-"""Bytes that a forwarded request's head may have beyond a caller's."""
+"""Bytes by which the head of a forwarded request may exceed that of a
+caller."""
 
 
 class ForwardingHeader(msgspec.Struct, frozen=True):
-    """What an entry box says of a request that it forwards."""
+    """Value of the header that marks a forwarded request."""
 
     node: str
-    """Name of the entry box."""
+    """Name of the entry box that forwards the request."""
 
     sends: int
-    """Replicas that the receiver may send it to."""
+    """Number of replicas that the receiver may send the request to."""
 
     def encode(self) -> str:
-        """Return the text of the header."""
+        """Return the header value."""
         return f'{self.node};{self.sends}'
 
 
 class PeerRefusal(msgspec.Struct, frozen=True):
-    """How another entry box refused a forwarded request."""
+    """Refusal of a forwarded request by another entry box."""
 
     code: Code
-    """Result code."""
+    """Result code of the refusal."""
 
     ran: Ran
     """Whether the request may have run."""
 
     retry_after: float | None
-    """Seconds after which the caller may come back, where it is told."""
+    """Seconds until the caller may retry; ``None`` if not given."""
 
 
 def parse_forwarding_header(text: str) -> ForwardingHeader | None:
-    """Return what the header of a forwarded request says."""
+    """Return the parsed header, or ``None`` if it is malformed."""
     node, _, sends = text.partition(';')
     if not node or not sends.isdecimal():
         return None
@@ -66,35 +67,36 @@
 
 
 def read_refusal(headers: RawHeaders) -> PeerRefusal | None:
-    """Return the refusal of another entry box; ``None`` for its answers.
+    """Return the refusal in an answer, or ``None`` if it is not a refusal.
 
-    A code that this release does not know counts as an unreachable target.
+    A code that this release does not know counts as an unreachable target,
+    and an unknown value of the other header as a request that may have run.
     """
-    texts = {
+    values = {
         name.decode('latin-1').lower(): text.decode('latin-1')
         for name, text in headers
     }
-    if CODE_HEADER not in texts or RAN_HEADER not in texts:
+    if CODE_HEADER not in values or RAN_HEADER not in values:
         return None
     return PeerRefusal(
-        _read_code(texts[CODE_HEADER]),
-        _read_ran(texts[RAN_HEADER]),
-        _read_seconds(texts),
+        _parse_code(values[CODE_HEADER]),
+        _parse_ran(values[RAN_HEADER]),
+        _parse_retry_after(values),
     )
 
 
-def _read_code(text: str) -> Code:
+def _parse_code(text: str) -> Code:
     known = {str(int(code)): code for code in Code}
     return known.get(text, Code.TARGET_UNREACHABLE)
 
 
-def _read_ran(text: str) -> Ran:
+def _parse_ran(text: str) -> Ran:
     known = {ran.value: ran for ran in Ran}
     return known.get(text, Ran.MAY_HAVE_RUN)
 
 
-def _read_seconds(texts: Mapping[str, str]) -> float | None:
+def _parse_retry_after(values: Mapping[str, str]) -> float | None:
     try:
-        return max(0.0, float(texts[RETRY_HEADER]))
+        return max(0.0, float(values[RETRY_HEADER]))
     except (KeyError, ValueError):
         return None
--- a/waywell/connection/grpc_peer.py
+++ b/waywell/connection/grpc_peer.py
@@ -1,4 +1,4 @@
-"""Peer messages over grpclib, for the product's own entry daemons."""
+"""gRPC transport for the messages between the product's entry daemons."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
     from collections.abc import Mapping
 
 EXCHANGE_PATH = '/waywell.Peer/Exchange'
-"""The stream between two neighbours."""
+"""Path of the bidirectional stream between two neighbours."""
 
 CLAIM_PATH = '/waywell.Peer/Claim'
-"""The question to the home of a request id."""
+"""Path of the unary call to the home of a request id."""
 
 MAX_QUEUED_MESSAGES = 2000
-"""Messages waiting for one peer before its stream is given up."""
+"""Number of messages queued for one peer at which its stream is closed."""
 
 EntryMessage = Union[  # noqa: UP007 - evaluated by the decoder
     Hello,
@@ -75,42 +75,42 @@
     ReachabilityQuery,
     ReachabilityReport,
 ]
-"""All messages of the exchange stream."""
+"""Any message of the exchange stream."""
 
 ExchangeHandler = Callable[[Any], Awaitable[None]]
-"""Serves one stream of a peer."""
+"""Serves one stream that a peer opened."""
 
 ClaimHandler = Callable[[ClaimRequest], ClaimAnswer]
-"""Answers a question about a request id."""
+"""Answers a claim of a request id."""
 
 
 class MsgpackCodec(CodecBase):
-    """Encodes messages as msgpack, typed by their classes."""
+    """Encodes messages with MessagePack and decodes them by their type."""
 
     __content_subtype__ = 'msgpack'
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the bytes of a message, which may be packed already."""
+        """Return the bytes of a message, which may be encoded already."""
         raw = msgspec.msgpack.encode(message)
         PeerTraffic.sent += len(raw)
         return raw
 
     def decode(self, data: bytes, message_type: Any) -> Any:  # noqa: WPS110
-        """Return the message of some bytes."""
+        """Return the decoded message."""
         PeerTraffic.received += len(data)
         return msgspec.msgpack.decode(data, type=message_type)
 
 
 class PeerService:
-    """The service that each entry box offers to the others."""
+    """gRPC service that each entry box offers to the others."""
 
     def __init__(self, exchange: ExchangeHandler, claim: ClaimHandler) -> None:
-        """Serve with these handlers."""
+        """Store the handlers of streams and claims."""
         self._exchange = exchange
         self._claim = claim
 
     def __mapping__(self) -> Mapping[str, Handler]:
-        """Return the handlers by path, as grpclib wants them."""
+        """Return the handlers by path, in the form that grpclib requires."""
         return {
             EXCHANGE_PATH: Handler(
                 self._exchange,
@@ -127,39 +127,39 @@
         }
 
     async def _answer_claim(self, stream: Any) -> None:
-        ask = await stream.recv_message()
-        await stream.send_message(self._claim(ask))
+        request = await stream.recv_message()
+        await stream.send_message(self._claim(request))
 
 
 class GrpcStream(PeerStream):
-    """A stream of grpclib, with a task of its own.
+    """A grpclib stream that is served by its own task.
 
     Parameters
     ----------
     listener
-        Takes in what happens.
+        Receives the events of the stream.
     """
 
     def __init__(self, listener: StreamListener) -> None:
-        """Wait for the stream to stand."""
+        """Create the outgoing queue; the stream is not open yet."""
         self.task: asyncio.Task[Any] | None = None
         self._listener = listener
         self._outgoing: asyncio.Queue[msgspec.Raw] = asyncio.Queue()
 
     def send(self, packed: msgspec.Raw) -> None:
-        """Put a message into the queue."""
+        """Queue a message; close the stream if the queue is full."""
         if self._outgoing.qsize() >= MAX_QUEUED_MESSAGES:
             self.close()
             return
         self._outgoing.put_nowait(packed)
 
     def close(self) -> None:
-        """End the stream's task."""
+        """Cancel the task of the stream."""
         if self.task is not None:
             self.task.cancel()
 
     async def run(self, stream: Any) -> None:
-        """Carry messages until the stream ends."""
+        """Send and receive messages until the stream ends."""
         self._listener.on_open(self)
         sending = asyncio.get_running_loop().create_task(
             self._send_all(stream)
@@ -181,7 +181,7 @@
 
 
 class GrpcTransport(PeerTransport):
-    """Opens and accepts streams of grpclib."""
+    """Opens and accepts grpclib streams."""
 
     def dial(
         self,
@@ -189,51 +189,54 @@
         port: int,
         listener: StreamListener,
     ) -> PeerStream:
-        """Begin to open a stream."""
+        """Start opening a stream to a peer."""
         stream = GrpcStream(listener)
         stream.task = asyncio.get_running_loop().create_task(
             _run_dialled(stream, host, port)
         )
-        # A task that is cancelled before its first turn runs nothing at all.
-        stream.task.add_done_callback(partial(_note_end, listener))
+        # A task that is cancelled before it first runs executes none of its
+        # code, so only a callback can report its end.
+        stream.task.add_done_callback(partial(_report_end, listener))
         return stream
 
     async def accept(self, grpc_stream: Any, listener: StreamListener) -> None:
         """Serve a stream that a peer opened."""
         stream = GrpcStream(listener)
         stream.task = asyncio.current_task()
-        why = 'ended'
+        reason = 'ended'
         try:
             await stream.run(grpc_stream)
         except Exception as error:
-            why = repr(error)
+            reason = repr(error)
         finally:
-            listener.on_close(why)
+            listener.on_close(reason)
 
 
 def make_server(service: PeerService) -> Server:
-    """Return a server that is not listening yet."""
+    """Return a gRPC server that is not listening yet."""
     return Server([service], codec=MsgpackCodec())
 
 
 def open_channel(host: str, port: int) -> Channel:
-    """Return a channel; it connects at its first use."""
+    """Return a channel to a peer, which connects on first use."""
     return Channel(host, port, codec=MsgpackCodec())
 
 
 async def request_claim(
-    channel: Channel, ask: ClaimRequest, seconds: float
+    channel: Channel, request: ClaimRequest, seconds: float
 ) -> Any:
-    """Return the home's answer to a question about a request id."""
+    """Return the answer of a request id's home to a claim."""
     method = UnaryUnaryMethod(channel, CLAIM_PATH, ClaimRequest, ClaimAnswer)
-    return await method(ask, timeout=seconds)
+    return await method(request, timeout=seconds)
 
 
 async def _run_dialled(stream: GrpcStream, host: str, port: int) -> None:
-    # grpclib wants a class where the codec takes any type.
-    wire: Any = EntryMessage
+    # grpclib annotates the type as a class; the codec accepts any type.
+    message_type: Any = EntryMessage
     channel = open_channel(host, port)
-    exchange = StreamStreamMethod(channel, EXCHANGE_PATH, wire, wire)
+    exchange = StreamStreamMethod(
+        channel, EXCHANGE_PATH, message_type, message_type
+    )
     try:
         async with exchange.open() as opened:
             await opened.send_request()
@@ -242,6 +245,6 @@
         channel.close()
 
 
-def _note_end(listener: StreamListener, ended: asyncio.Task[None]) -> None:
+def _report_end(listener: StreamListener, ended: asyncio.Task[None]) -> None:
     error = None if ended.cancelled() else ended.exception()
     listener.on_close(repr(error) if error else 'ended')
--- a/waywell/connection/peer_stream.py
+++ b/waywell/connection/peer_stream.py
@@ -1,4 +1,4 @@
-"""Streams of messages between entry boxes, whatever carries them."""
+"""Interfaces of message streams between entry boxes, for any transport."""
 
 from __future__ import annotations
 
@@ -9,43 +9,52 @@
 
 
 class PeerTraffic:
-    """Bytes of peer messages, before framing, of this process."""
+    """Bytes of peer messages that this process sent and received.
+
+    They are counted without framing.
+    """
 
     sent = 0
     received = 0
 
 
 def pack(message: Any) -> msgspec.Raw:
-    """Return the bytes of a message; they can go out on many streams."""
+    """Return an encoded message, which can be sent on several streams."""
     return msgspec.Raw(msgspec.msgpack.encode(message))
 
 
 class PeerStream(abc.ABC):
-    """One stream to another entry box."""
+    """Message stream to another entry box."""
 
     @abc.abstractmethod
     def send(self, packed: msgspec.Raw) -> None:
-        """Send a message; a stream whose peer does not read is closed."""
+        """Send an encoded message.
+
+        A stream whose peer does not read is closed.
+        """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Break the stream; its listener hears of the end."""
+        """Abort the stream; its listener is notified of the end."""
 
 
 class StreamListener(abc.ABC):
-    """Takes in what happens on one stream."""
+    """Receives the events of one stream."""
 
     @abc.abstractmethod
     def on_open(self, stream: PeerStream) -> None:
-        """Take in that the stream stands."""
+        """Handle that the stream is open."""
 
     @abc.abstractmethod
     def on_message(self, message: Any) -> None:
-        """Take in a message."""
+        """Handle a received message."""
 
     @abc.abstractmethod
-    def on_close(self, why: str) -> None:
-        """Take in the end, once; also of a stream that never stood."""
+    def on_close(self, reason: str) -> None:
+        """Handle the end of the stream.
+
+        Called exactly once, also for a stream that never opened.
+        """
 
 
 class PeerTransport(abc.ABC):
@@ -58,4 +67,4 @@
         port: int,
         listener: StreamListener,
     ) -> PeerStream:
-        """Begin to open a stream; the listener hears what becomes of it."""
+        """Start opening a stream; the listener is notified of the outcome."""
--- a/waywell/membership/links.py
+++ b/waywell/membership/links.py
@@ -82,8 +82,8 @@
         self.received += 1
         self._owner.receive(self.peer, message)
 
-    def on_close(self, why: str) -> None:
-        self._owner.end(self, why)
+    def on_close(self, reason: str) -> None:
+        self._owner.end(self, reason)
 
     def _meet(self, message: Any) -> None:
         """Take in the first message, which says who the peer is."""
