--- a/waywell/connection/box_orders.py
+++ b/waywell/connection/box_orders.py
@@ -1,4 +1,4 @@
-"""Calls that give orders to boxes."""
+"""Interface for orders to boxes and for their reports."""
 
 from __future__ import annotations
 
@@ -12,21 +12,25 @@
 
 
 class BoxOrders(abc.ABC):
-    """Gives orders and asks boxes; another protocol is another subclass."""
+    """Sends orders to boxes and reads their reports.
+
+    Each protocol has its subclass.
+    """
 
     @abc.abstractmethod
     async def send(self, assignment: Assignment, fence: int) -> OrderResult:
-        """Give an order to a box and return what came of it.
+        """Send an order to a box and return its result.
 
         Parameters
         ----------
         assignment
-            The order and its box.
+            Order and the box that receives it.
         fence
-            Number of the holder's term of work; a box that checks it refuses
-            orders of terms before the latest that it has seen.
+            Fencing token: number of the term of the duty's holder.  A box that
+            checks it refuses orders of terms before the latest that it has
+            seen.
         """
 
     @abc.abstractmethod
     async def read_report(self, box: FleetBox) -> BoxReport | None:
-        """Ask a box how it is; return ``None`` when no answer came."""
+        """Return the report of a box, or ``None`` if it does not answer."""
--- a/waywell/connection/http_platform.py
+++ b/waywell/connection/http_platform.py
@@ -1,4 +1,4 @@
-"""The platform's object API over HTTP and JSON."""
+"""Client of the platform's object API over HTTP and JSON."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     from collections.abc import Sequence
 
 Decoded = TypeVar('Decoded', Stored, Changes)
-"""What an answer holds."""
+"""Type that an answer is decoded to."""
 
 WATCH_MARGIN = 3.0
-"""Seconds beyond a watch's own wait until it counts as unanswered."""
+"""Seconds after the end of a watch's wait at which it counts as unanswered."""
 
 _FAULT_BY_STATUS: MappingProxyType[int, PlatformFault] = MappingProxyType(
     {
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, url: str, timeout: float) -> None:
-        """Open no connection yet."""
+        """Set up the HTTP calls; connections are opened on demand."""
         self._calls = HttpCalls(url, timeout)
 
     async def fetch(
@@ -59,7 +59,7 @@
         name: str,
         fresh: bool = True,
     ) -> Result[Stored | None, PlatformFault]:
-        """Return an object, or ``None`` where there is none."""
+        """Return an object, or ``None`` if it does not exist."""
         answer = await self._call('GET', _make_path(kind, name))
         if isinstance(answer, Failure):
             return answer
@@ -73,7 +73,7 @@
         kind: Kind,
         fresh: bool = True,
     ) -> Result[Changes, PlatformFault]:
-        """Return all objects of a kind and where a watch goes on."""
+        """Return all objects of a kind and the revision to watch from."""
         return await self._call_changes(f'/objects/{kind.value}', 0)
 
     async def write(
@@ -90,7 +90,7 @@
             return answer
         stored = _decode(answer.unwrap(), Stored)
         return stored.map(
-            lambda found: msgspec.structs.replace(found, body=body)
+            lambda written: msgspec.structs.replace(written, body=body)
         )
 
     async def delete(
@@ -108,7 +108,7 @@
         after: int,
         seconds: float,
     ) -> Result[Changes, PlatformFault]:
-        """Wait for changes after a revision, up to some seconds."""
+        """Return the changes after a revision; wait up to some seconds."""
         names = ','.join(kind.value for kind in kinds)
         path = f'/watch?kinds={names}&after={after}&wait={seconds}'
         return await self._call_changes(path, seconds + WATCH_MARGIN)
@@ -130,12 +130,12 @@
         body: bytes | None = None,
         extra: float = 0,
     ) -> Result[bytes | None, PlatformFault]:
-        """Return the answer's body, or ``None`` for not found."""
+        """Return the body of the answer, or ``None`` for status 404."""
         called = await self._calls.call(method, path, body, extra)
-        return called.bind(_take_answer)
+        return called.bind(_check_status)
 
 
-def _take_answer(answer: CallAnswer) -> Result[bytes | None, PlatformFault]:
+def _check_status(answer: CallAnswer) -> Result[bytes | None, PlatformFault]:
     if answer.status == HTTPStatus.NOT_FOUND:
         return Success(None)
     if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -148,11 +148,11 @@
 
 
 def _decode(
-    raw: bytes | None, wanted: type[Decoded]
+    raw: bytes | None, expected_type: type[Decoded]
 ) -> Result[Decoded, PlatformFault]:
-    """Return what an answer holds; a part of one counts as none."""
+    """Return the decoded answer; a truncated one counts as unanswered."""
     try:
-        return Success(msgspec.json.decode(raw or b'', type=wanted))
+        return Success(msgspec.json.decode(raw or b'', type=expected_type))
     except msgspec.MsgspecError as error:
         log_warning('platform_answer_unreadable', error=str(error))
         return Failure(PlatformFault.UNANSWERED)
--- a/waywell/connection/http_target.py
+++ b/waywell/connection/http_target.py
@@ -1,4 +1,4 @@
-"""Targets over HTTP."""
+"""HTTP client for targets."""
 
 from __future__ import annotations
 
@@ -57,22 +57,22 @@
     from waywell.version.roster import Member
 
 IDLE_CONNECTIONS = 16
-"""Idle connections kept to one target."""
+"""Largest number of idle connections kept to one target."""
 
 IDLE_SECONDS = 30.0
-"""Seconds for which an idle connection is kept."""
+"""Seconds after which an idle connection is closed."""
 
 
 class NotSentError(Exception):
-    """The guard spoke against writing the request."""
+    """The guard rejected the request before it was written."""
 
 
 @implementer(IStreamClientEndpoint)
 class GuardedEndpoint:
-    """An endpoint that asks once more when the connection stands.
+    """An endpoint that calls a guard once its connection is established.
 
-    The check runs in the same turn of the event loop as the write of
-    the request, so nothing else comes between them.
+    The check runs in the same iteration of the event loop as the write of the
+    request, so no other code runs between them.
     """
 
     def __init__(
@@ -80,16 +80,16 @@
         inner: TCP4ClientEndpoint,
         may_send: Callable[[], bool],
     ) -> None:
-        """Wrap an endpoint."""
-        self.asked = False
+        """Wrap an endpoint and its guard."""
+        self.attempted = False
         self.connected = False
         self.refused = False
         self._inner = inner
         self._may_send = may_send
 
     def connect(self, factory: IProtocolFactory) -> Deferred[IProtocol]:
-        """Connect, then ask."""
-        self.asked = True
+        """Connect, then call the guard."""
+        self.attempted = True
         return self._inner.connect(factory).addCallback(self._check)
 
     def _check(self, protocol: Any) -> Any:
@@ -102,8 +102,8 @@
 
 
 @implementer(IAgentEndpointFactory)
-class _OneEndpoint:
-    """Gives out one endpoint, whatever the address."""
+class _FixedEndpointFactory:
+    """Returns the same endpoint for every address."""
 
     def __init__(self, endpoint: GuardedEndpoint) -> None:
         self._endpoint = endpoint
@@ -113,10 +113,10 @@
 
 
 class HttpTargetAnswer(TargetAnswer):
-    """An answer over HTTP."""
+    """Answer of a target over HTTP."""
 
     def __init__(self, response: ClientResponse) -> None:
-        """Read the head of the answer."""
+        """Read the status and the headers of a response."""
         self._response = response
         self._receiver: IProtocol | None = None
         self.status = response.code
@@ -128,8 +128,8 @@
         ]
         self.length = response.length
         self.load = self._read_load()
-        rests = response.headers.getRawHeaders(RETRY_AFTER_HEADER, [''])
-        self.rest_seconds = read_retry_after(self.status, rests[0])
+        retry_after = response.headers.getRawHeaders(RETRY_AFTER_HEADER, [''])
+        self.rest_seconds = read_retry_after(self.status, retry_after[0])
         limits = response.headers.getRawHeaders(LIMIT_HEADER, [None])
         self.limit = read_limit(limits[0])
 
@@ -144,9 +144,9 @@
         self._response.deliverBody(receiver)
 
     def abandon(self) -> None:
-        """Break the connection: the rest of the body is not wanted."""
+        """Close the connection and discard the rest of the body."""
         if self._receiver is None:
-            _drop_body(self._response)
+            _discard_body(self._response)
             return
         transport: Any = self._receiver.transport
         if transport is not None:
@@ -158,7 +158,7 @@
         return int(text) if text.isdecimal() else None
 
 
-def _drop_body(response: ClientResponse) -> None:
+def _discard_body(response: ClientResponse) -> None:
     reading = readBody(response)
     reading.addErrback(lambda _failure: None)
     reading.cancel()
@@ -170,11 +170,11 @@
     Parameters
     ----------
     connect_seconds
-        Seconds to connect.
+        Time limit for connecting, in seconds.
     """
 
     def __init__(self, connect_seconds: float) -> None:
-        """Open no connection yet."""
+        """Set up the connection pool; connections are opened on demand."""
         self._connect_seconds = connect_seconds
         self._pool = make_client_pool(keeps_connections=True)
         self._pool.maxPersistentPerHost = IDLE_CONNECTIONS
@@ -186,7 +186,7 @@
         seconds: float,
         may_send: Callable[[], bool],
     ) -> Result[TargetAnswer, DispatchFault]:
-        """Send a request and return its answer's head."""
+        """Send a request and return the answer, up to its body."""
         if not may_send():
             return Failure(DispatchFault.TOO_LATE)
         endpoint = self._make_endpoint(dispatch.member, may_send)
@@ -201,11 +201,11 @@
         try:
             response: ClientResponse = await await_deferred(requested, seconds)
         except TimeoutError:
-            return Failure(self._explain(endpoint, timed_out=True))
+            return Failure(self._classify_failure(endpoint, timed_out=True))
         except Exception:
-            return Failure(self._explain(endpoint, timed_out=False))
+            return Failure(self._classify_failure(endpoint, timed_out=False))
         if _is_fenced(response):
-            _drop_body(response)
+            _discard_body(response)
             return Failure(DispatchFault.FENCED)
         return Success(HttpTargetAnswer(response))
 
@@ -215,7 +215,7 @@
         order: GroupOrder,
         seconds: float,
     ) -> OrderOutcome:
-        """Send a fenced order to a box."""
+        """Send an order, which its epoch fences, to a box."""
         body = BytesBody(msgspec.json.encode(order))
         url = _make_url(member, '/waywell/order')
         try:
@@ -224,15 +224,15 @@
             return OrderOutcome.UNKNOWN
         if response.code == HTTPStatus.CONFLICT:
             return OrderOutcome.FENCED
-        taken = response.code < HTTPStatus.MULTIPLE_CHOICES
-        return OrderOutcome.ACCEPTED if taken else OrderOutcome.UNKNOWN
+        is_accepted = response.code < HTTPStatus.MULTIPLE_CHOICES
+        return OrderOutcome.ACCEPTED if is_accepted else OrderOutcome.UNKNOWN
 
     async def probe(
         self,
         member: Member,
         seconds: float,
     ) -> ProbeAnswer | None:
-        """Ask a box how it is; ``None`` when it doesn't answer."""
+        """Return the state of a box, or ``None`` without a valid answer."""
         url = _make_url(member, '/waywell/health')
         try:
             response = await self._call(b'GET', url, None, seconds)
@@ -251,7 +251,7 @@
         url: bytes,
         body: BytesBody | None,
         seconds: float,
-    ) -> _SmallAnswer:
+    ) -> _WholeAnswer:
         agent = Agent(
             reactor,
             connectTimeout=self._connect_seconds,
@@ -262,7 +262,7 @@
             seconds,
         )
         raw = await read_whole(response, seconds)
-        return _SmallAnswer(response.code, raw)
+        return _WholeAnswer(response.code, raw)
 
     def _make_endpoint(
         self,
@@ -277,32 +277,37 @@
         )
         return GuardedEndpoint(inner, may_send)
 
-    def _make_agent(self, endpoint: GuardedEndpoint, fresh: bool) -> Agent:
+    def _make_agent(
+        self, endpoint: GuardedEndpoint, needs_new_connection: bool
+    ) -> Agent:
         return Agent.usingEndpointFactory(
             reactor,
-            _OneEndpoint(endpoint),
-            pool=self._make_pool(fresh),
+            _FixedEndpointFactory(endpoint),
+            pool=self._make_pool(needs_new_connection),
         )
 
-    def _make_pool(self, fresh: bool) -> HTTPConnectionPool:
+    def _make_pool(self, needs_new_connection: bool) -> HTTPConnectionPool:
         return (
-            make_client_pool(keeps_connections=False) if fresh else self._pool
+            make_client_pool(keeps_connections=False)
+            if needs_new_connection
+            else self._pool
         )
 
-    def _explain(
+    def _classify_failure(
         self,
         endpoint: GuardedEndpoint,
         timed_out: bool,
     ) -> DispatchFault:
         if endpoint.refused:
             return DispatchFault.TOO_LATE
-        # Where the endpoint was not asked, a kept connection was used.
-        if endpoint.asked and not endpoint.connected:
+        # Without an attempt to connect, a kept connection was used, on which
+        # the request may have been sent.
+        if endpoint.attempted and not endpoint.connected:
             return DispatchFault.NOT_SENT
         return DispatchFault.TIMED_OUT if timed_out else DispatchFault.BROKEN
 
 
-class _SmallAnswer(msgspec.Struct, frozen=True):
+class _WholeAnswer(msgspec.Struct, frozen=True):
     code: int
     raw: bytes
 
@@ -322,5 +327,5 @@
 
 
 def _is_fenced(response: ClientResponse) -> bool:
-    marks = response.headers.getRawHeaders(FENCE_HEADER, [])
-    return response.code == HTTPStatus.CONFLICT and FENCE_REFUSED in marks
+    fences = response.headers.getRawHeaders(FENCE_HEADER, [])
+    return response.code == HTTPStatus.CONFLICT and FENCE_REFUSED in fences
--- a/waywell/connection/limit_header.py
+++ b/waywell/connection/limit_header.py
@@ -1,29 +1,30 @@
-"""What an answer says about how many requests its sender takes."""
+"""Header in which a replica reports its request limit."""
 
 from __future__ import annotations
 
 import math
 
 LIMIT_HEADER = 'server-limit'
-"""HTTP header with the requests a second that a replica takes from all."""
+"""HTTP header with the requests a second that a replica accepts from all nodes
+together."""
 
 NO_LIMIT = math.inf
-"""Limit of a replica that names none."""
+"""Limit of a replica that reports none."""
 
 
 def read_limit(text: str | None) -> float | None:
-    """Return the limit that an answer names.
+    """Return the limit that an answer reports.
 
     Parameters
     ----------
     text
-        Value of its header; ``None`` where there is none.
+        Value of the header; ``None`` if it is missing.
 
     Returns
     -------
     float or None
-        Requests a second, ``NO_LIMIT`` where the answer names none, or
-        ``None`` for a text that is no limit: it neither names nor ends one.
+        Requests a second; ``NO_LIMIT`` if the header is missing; ``None`` if
+        its value is invalid, which neither sets nor ends a limit.
     """
     if text is None:
         return NO_LIMIT
--- a/waywell/connection/platform.py
+++ b/waywell/connection/platform.py
@@ -1,4 +1,4 @@
-"""The platform's object API, as the system needs it."""
+"""Interface of the platform's object API."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
     from returns.result import Result
 
 ANY_VERSION = -1
-"""Expected version of a write that takes any version."""
+"""Expected version of a write that replaces any stored version."""
 
 
 class Kind(enum.Enum):
-    """Kinds of objects that the system reads and writes."""
+    """Kind of an object that the system reads or writes."""
 
     CONFIGURATION = 'configuration'
-    """One object: the configuration document."""
+    """Configuration document, a single object."""
 
     ROSTER = 'roster'
-    """One object: the roster document."""
+    """Roster document, a single object."""
 
     BOX = 'box'
-    """The box list, one object a box."""
+    """Box list, with one object per box."""
 
     LEASE = 'lease'
-    """One object a duty."""
+    """Leases of duties, with one object per duty."""
 
     PRESENCE = 'presence'
-    """One object a data hall: its entry boxes."""
+    """Entry boxes, with one object per data hall."""
 
     HELD_REQUEST = 'held_request'
-    """One object a request that crashes replicas."""
+    """Requests that crash replicas, with one object per request."""
 
     CLAIM = 'claim'
-    """One object a request id that a caller made up."""
+    """Request ids made up by callers, with one object per id."""
 
 
 class Stored(msgspec.Struct, frozen=True):
-    """An object with its version."""
+    """Object of the store with its version."""
 
     kind: str
     """Kind of the object."""
@@ -52,64 +52,64 @@
     """Name within its kind."""
 
     version: int
-    """Version of the object; rises with each write."""
+    """Version of the object, which rises with each write."""
 
     body: Any = None
-    """Plain JSON values; ``None`` in a watch means deleted."""
+    """Plain JSON values; ``None`` in a watch for a deleted object."""
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a watch returned."""
+    """Objects returned by a watch or a list call."""
 
     revision: int
-    """Where the next watch goes on."""
+    """Revision from which the next watch continues."""
 
     objects: tuple[Stored, ...] = ()
-    """Objects that changed, deleted ones without a body."""
+    """Changed objects; deleted ones have no body."""
 
     complete: bool = False
-    """Whether these are all objects, not only what changed."""
+    """Whether all objects are included, not only changed ones."""
 
     unreadable: tuple[str, ...] = ()
-    """Names of objects that are not understood, and so left out."""
+    """Names of objects left out because they can't be decoded."""
 
     nameless: int = 0
-    """Objects that are not understood and don't even tell a name."""
+    """Number of objects of which not even the name can be decoded."""
 
 
 class PlatformFault(enum.Enum):
-    """Why a call to the platform failed."""
+    """Reason for which a call to the platform failed."""
 
     CONFLICT = 'conflict'
-    """The expected version is not the stored one; nothing was written."""
+    """Another version than the expected one is stored; nothing was written."""
 
     NOT_SENT = 'not_sent'
-    """The platform was not reached; nothing was written."""
+    """No connection to the platform; nothing was written."""
 
     NOT_LISTENING = 'not_listening'
-    """Nothing listens at the address; nothing was written."""
+    """The connection was refused; nothing was written."""
 
     UNANSWERED = 'unanswered'
-    """No answer came: a write may have taken effect."""
+    """No answer arrived; a write may have taken effect."""
 
     TOO_LARGE = 'too_large'
-    """The body is over the platform's limit; nothing was written."""
+    """The body exceeds the platform's size limit; nothing was written."""
 
     HISTORY_GONE = 'history_gone'
-    """A watch asked from a revision that is no longer kept."""
+    """The revision at which a watch starts is no longer kept."""
 
     UNREADABLE = 'unreadable'
-    """What is stored is not understood."""
+    """The stored object can't be decoded."""
 
     REFUSED = 'refused'
     """The platform answered with an error; nothing was written."""
 
     FORMER_ERA = 'former_era'
-    """The answer is older than the store's return from a copy."""
+    """The answer dates from before the store was restored from a copy."""
 
 
 class Platform(abc.ABC):
-    """The calls of the object API; another protocol is another subclass."""
+    """Calls of the object API, with one subclass per protocol."""
 
     @abc.abstractmethod
     async def fetch(
@@ -118,16 +118,16 @@
         name: str,
         fresh: bool = True,
     ) -> Result[Stored | None, PlatformFault]:
-        """Return an object, or ``None`` where there is none.
+        """Return an object, or ``None`` if it does not exist.
 
         Parameters
         ----------
         kind
             Kind of the object.
         name
-            Its name.
+            Name of the object.
         fresh
-            Whether an answer that is seconds old won't do.
+            Whether the answer must not be seconds old.
         """
 
     @abc.abstractmethod
@@ -136,14 +136,14 @@
         kind: Kind,
         fresh: bool = True,
     ) -> Result[Changes, PlatformFault]:
-        """Return all objects of a kind and where a watch goes on.
+        """Return all objects of a kind and the revision to watch from.
 
         Parameters
         ----------
         kind
             Kind of the objects.
         fresh
-            Whether an answer that is seconds old won't do.
+            Whether the answer must not be seconds old.
         """
 
     @abc.abstractmethod
@@ -161,11 +161,11 @@
         kind
             Kind of the object.
         name
-            Its name.
+            Name of the object.
         body
-            Plain JSON values.
+            Content as plain JSON values.
         expected
-            Version that it must have; 0 when it must not exist.
+            Version that must be stored; 0 if the object must not exist.
         """
 
     @abc.abstractmethod
@@ -174,7 +174,7 @@
         kind: Kind,
         name: str,
     ) -> Result[None, PlatformFault]:
-        """Delete an object."""
+        """Delete an object, whatever its version."""
 
     @abc.abstractmethod
     async def watch(
@@ -183,4 +183,14 @@
         after: int,
         seconds: float,
     ) -> Result[Changes, PlatformFault]:
-        """Wait for changes after a revision, up to some seconds."""
+        """Return the changes after a revision.
+
+        Parameters
+        ----------
+        kinds
+            Kinds of the objects.
+        after
+            Revision after which changes are returned.
+        seconds
+            Time to wait for a change, in seconds.
+        """
--- a/waywell/connection/retry_after.py
+++ b/waywell/connection/retry_after.py
@@ -1,4 +1,4 @@
-"""What an answer says about when its sender wants requests again."""
+"""Header in which a replica asks for a pause without requests."""
 
 from __future__ import annotations
 
@@ -6,30 +6,32 @@
 from http import HTTPStatus
 
 RETRY_AFTER_HEADER = 'retry-after'
-"""HTTP header with the seconds; a date is not used between boxes."""
+"""HTTP header with the seconds of the pause.  The variant with a date is not
+used between boxes."""
 
-_RESTING_STATUSES = frozenset(
+_PAUSE_STATUSES = frozenset(
     (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.TOO_MANY_REQUESTS),
 )
-"""Answers that may ask for rest; on others the header means something else."""
+"""Statuses of answers that may ask for a pause.  On others the header has
+another meaning."""
 
 
 def read_retry_after(status: int, text: str) -> float:
-    """Return the seconds of rest that an answer asks for.
+    """Return the length of the pause that an answer asks for.
 
     Parameters
     ----------
     status
         HTTP status of the answer.
     text
-        Value of its header; empty where there is none.
+        Value of the header; empty if it is missing.
 
     Returns
     -------
     float
-        Seconds; 0 for none, or for what can't be kept to.
+        Seconds; 0 if no pause is asked for or the value is invalid.
     """
-    if status not in _RESTING_STATUSES:
+    if status not in _PAUSE_STATUSES:
         return 0.0
     try:
         seconds = float(text)
--- a/waywell/connection/target.py
+++ b/waywell/connection/target.py
@@ -1,4 +1,4 @@
-"""Targets: model engines and plain services, as the system needs them."""
+"""Interface of targets: model engines and plain services."""
 
 from __future__ import annotations
 
@@ -18,101 +18,102 @@
     from twisted.internet.interfaces import IProtocol
 
 GROUP_HEADER = 'waywell-group'
-"""Group that a request is meant for."""
+"""Header with the group that a request is meant for."""
 
 EPOCH_HEADER = 'waywell-epoch'
-"""Epoch that a request is meant for."""
+"""Header with the epoch of that group."""
 
 PRIORITY_HEADER = 'waywell-priority'
-"""Priority of the client account."""
+"""Header with the priority of the client account."""
 
 FENCE_HEADER = 'waywell-fence'
-"""Set to ``refused`` by a target that refuses an epoch, having run nothing."""
+"""Header of answers, set to ``refused`` by a target that refuses the epoch of
+a request without running it."""
 
 LOAD_HEADER = 'waywell-load'
-"""Requests in flight at a target, with its answers."""
+"""Header of answers with the number of requests in flight at the target."""
 
 FENCE_REFUSED = 'refused'
-"""Value of the fence header."""
+"""Value of the fence header on a refusal."""
 
 
 class DispatchFault(enum.Enum):
-    """Why a target gave no answer."""
+    """Reason for which a dispatch got no answer."""
 
     NOT_SENT = 'not_sent'
-    """No byte of the request left."""
+    """No byte of the request was sent."""
 
     TOO_LATE = 'too_late'
-    """The deadline or the claim had passed right before the write."""
+    """The deadline or the claim expired just before the write; not sent."""
 
     BROKEN = 'broken'
-    """The request left, and the answer did not come."""
+    """The connection failed after the request was sent."""
 
     TIMED_OUT = 'timed_out'
-    """The request left, and the deadline passed."""
+    """The deadline passed after the request was sent."""
 
     RESTING = 'resting'
-    """The target asked for rest while the request connected; not sent."""
+    """The target asked for a pause while the request connected; not sent."""
 
     NO_PERMIT = 'no_turn'
-    """The target named a limit while the request connected; not sent."""
+    """The target reported a limit while the request connected; not sent."""
 
     FENCED = 'fenced'
-    """The target refused the epoch and ran nothing."""
+    """The target refused the epoch and did not run the request."""
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """A request on its way to a target."""
+    """A request to send to a target."""
 
     member: Member
-    """Box that takes it."""
+    """Box that receives it."""
 
     group: GroupId
-    """Group that it is meant for."""
+    """Group that it is meant for, sent in a header."""
 
     epoch: Epoch
-    """Epoch that it is meant for."""
+    """Epoch of the group, sent in a header."""
 
     method: str
     """HTTP method."""
 
     path: str
-    """Path and query."""
+    """Path with the query."""
 
     headers: tuple[tuple[bytes, bytes], ...]
-    """Headers of the caller that are passed on."""
+    """Headers of the caller that are forwarded."""
 
     body: bytes
-    """Body, untouched."""
+    """Unchanged body of the caller's request."""
 
     priority: int
     """Priority of the client account."""
 
     needs_new_connection: bool
-    """Whether it must go out on a connection of its own."""
+    """Whether it must not be sent on a kept connection."""
 
 
 class TargetAnswer(abc.ABC):
-    """An answer whose body is still to come."""
+    """Answer of a target whose body has not been received yet."""
 
     status: int
     """HTTP status."""
 
     headers: list[tuple[bytes, bytes]]
-    """Headers to pass on."""
+    """Headers to forward to the caller."""
 
     length: int | None
-    """Length of the body, when the target says it."""
+    """Length of the body in bytes; ``None`` if the target did not send it."""
 
     load: int | None
-    """Requests in flight at the target, when it says so."""
+    """Requests in flight at the target; ``None`` if it did not report them."""
 
     rest_seconds: float = 0.0
-    """For which the target wants nothing more; 0 for no wish."""
+    """Seconds for which the target asks for no requests; 0 if it does not."""
 
     limit: float | None = None
-    """Requests a second that it takes from all nodes together; ``None``
-    where the answer says nothing of it."""
+    """Requests a second that the target accepts from all nodes together;
+    ``None`` if the answer neither sets nor ends a limit."""
 
     @property
     @abc.abstractmethod
@@ -125,17 +126,18 @@
 
     @abc.abstractmethod
     def abandon(self) -> None:
-        """Break the connection: the rest of the body is not wanted."""
+        """Close the connection and discard the rest of the body."""
 
 
 class GroupOrder(msgspec.Struct, frozen=True):
-    """An order to a box to serve in a group."""
+    """Order to a box to serve in a group."""
 
     group: GroupId
     """Group to serve in."""
 
     epoch: Epoch
-    """Fence: a box refuses an order below the epoch it has."""
+    """Epoch of the group, which fences the order: a box refuses an order of a
+    lower epoch than its own."""
 
     service: str
     """Service of the group."""
@@ -144,43 +146,43 @@
     """Model to load."""
 
     boxes: tuple[BoxId, ...]
-    """All boxes of the group; the first takes the requests."""
+    """All boxes of the group; the first one receives the requests."""
 
 
 class ProbeAnswer(msgspec.Struct, frozen=True):
-    """What a box says of itself."""
+    """State that a box reports when it is probed."""
 
     box: BoxId
-    """Its name."""
+    """Name of the box."""
 
     group: GroupId | None = None
-    """Group that it serves in."""
+    """Group that the box serves in; ``None`` for no group."""
 
     epoch: Epoch = Epoch(0)
-    """Epoch of its last order."""
+    """Epoch of the last order that the box accepted."""
 
     ready: bool = True
-    """Whether it can serve now."""
+    """Whether the box can serve requests now."""
 
     load: int = 0
-    """Requests in flight."""
+    """Number of requests in flight at the box."""
 
 
 class OrderOutcome(enum.Enum):
-    """What came of an order."""
+    """Outcome of an order to a box."""
 
     ACCEPTED = 'taken'
-    """The box serves, or will when it has loaded the model."""
+    """The box serves, or will serve once it has loaded the model."""
 
     FENCED = 'fenced'
-    """The box has a later order."""
+    """The box refused the order, since it has a later one."""
 
     UNKNOWN = 'unknown'
-    """No answer: the order is to be repeated."""
+    """No usable answer; the order must be repeated."""
 
 
 class Target(abc.ABC):
-    """The calls to targets; another protocol is another subclass."""
+    """Calls to targets, with one subclass per protocol."""
 
     @abc.abstractmethod
     async def dispatch(
@@ -189,16 +191,17 @@
         seconds: float,
         may_send: Callable[[], bool],
     ) -> Result[TargetAnswer, DispatchFault]:
-        """Send a request and return its answer's head.
+        """Send a request and return the answer, up to its body.
 
         Parameters
         ----------
         dispatch
-            Request and box.
+            Request and the box that receives it.
         seconds
-            Seconds until the head of the answer must be there.
+            Time within which the head of the answer must arrive, in seconds.
         may_send
-            Asked right before the first byte is written.
+            Called just before the first byte is written; the request is not
+            sent if it returns ``False``.
         """
 
     @abc.abstractmethod
@@ -208,7 +211,7 @@
         order: GroupOrder,
         seconds: float,
     ) -> OrderOutcome:
-        """Send a fenced order to a box."""
+        """Send an order, which its epoch fences, to a box."""
 
     @abc.abstractmethod
     async def probe(
@@ -216,4 +219,4 @@
         member: Member,
         seconds: float,
     ) -> ProbeAnswer | None:
-        """Ask a box how it is; ``None`` when it doesn't answer."""
+        """Return the state of a box, or ``None`` without a valid answer."""
