--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A small relay that forwards connections and spoils them on request."""
+"""A TCP relay that disturbs connections on request."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
 import time
 
 RESET_ON_CLOSE = struct.pack('ii', 1, 0)
-"""Makes a close of a socket a reset."""
+"""Value of ``SO_LINGER`` with which closing a socket resets its connection."""
 
 
-FILL_SECONDS = 0.2
-"""After which a connection that does not stand met a full queue."""
+CONNECT_SECONDS = 0.2
+"""Seconds after which an unaccepted connection shows that the accept queue is
+full."""
 
 
 class Direction(enum.Enum):
-    """Direction in which a piece goes."""
+    """Direction in which bytes flow."""
 
     TO_TARGET = 'there'
-    """From the side that connected."""
+    """From the side that connected to the relay."""
 
     FROM_TARGET = 'back'
-    """To the side that connected."""
+    """Back to the side that connected to the relay."""
 
 
 class Relay:
-    """Listens on a port of its own and forwards to another.
+    """Listens on its own port and forwards connections to another one.
 
-    A cut breaks what stands and refuses what comes, until it is mended; a
-    silenced direction holds its bytes without a word.  A reset of one side
-    resets the other where resets are passed on, and closes it otherwise.
+    A cut breaks open connections and refuses new ones until the relay is
+    restored.  A silenced direction holds its bytes and stays open.  A reset of
+    one side resets the other side if ``passes_resets`` is set, and closes it
+    otherwise.
     """
 
     def __init__(self, target: int = 0) -> None:
-        """Listen; forward to a port, or to a free one that is to be used."""
-        # Only a port that is named is kept while nothing listens on it.
+        """Listen, and forward to a port or, without one, to a reserved port."""
+        # Only an explicitly given port stays bound while nothing listens on it.
         self.port = reserve_port()
         self._socket = socket.create_server(('127.0.0.1', self.port))
         self.target = target or reserve_port()
@@ -53,14 +55,14 @@
         self._accepting = self._start_accepting()
 
     def cut(self) -> None:
-        """Break all connections and let none stand."""
+        """Break all connections and refuse new ones."""
         self.is_cut = True
         for connection in tuple(self._open):
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
     def reset(self) -> None:
-        """Reset all connections; new ones may stand."""
+        """Reset all connections; new ones are accepted."""
         for connection in tuple(self._open):
             with contextlib.suppress(OSError):
                 connection.setsockopt(
@@ -69,26 +71,27 @@
                 connection.shutdown(socket.SHUT_RD)
 
     def refuse_new(self) -> None:
-        """Refuse new connections; what stands goes on."""
+        """Refuse new connections; open ones continue."""
         self._is_listening = False
         self._socket.shutdown(socket.SHUT_RDWR)
         self._accepting.join()
 
     def stall_new(self) -> None:
-        """Let new connections neither stand nor fail; what stands goes on."""
+        """Let new connections time out; open ones continue."""
         self.refuse_new()
-        # A queue without room drops the packets that open a connection.
+        # With a full accept queue the kernel drops the SYN packets of new
+        # connections.
         self._socket.listen(0)
-        while self._add_unaccepted():
+        while self._fill_accept_queue():
             continue
 
-    def silence(self, *ways: Direction) -> None:
-        """Hold what goes in some directions."""
+    def silence(self, *directions: Direction) -> None:
+        """Hold the bytes of some directions."""
         with self._changed:
-            self._silenced |= set(ways)
+            self._silenced |= set(directions)
 
     def restore(self) -> None:
-        """Forward all again, at once."""
+        """Forward all bytes and accept connections again."""
         self.is_cut = False
         self.delay = 0.0
         with self._changed:
@@ -98,20 +101,20 @@
             self._listen_again()
 
     def close(self) -> None:
-        """Forward nothing any more."""
+        """Close all connections and stop listening."""
         self.cut()
         self.restore()
         self.is_cut = True
-        # Closing alone does not wake the thread that accepts.
+        # Closing alone does not wake the thread blocked in accept().
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
 
-    def _add_unaccepted(self) -> bool:
-        """Fill the queue of connections by one; answer whether it had room."""
+    def _fill_accept_queue(self) -> bool:
+        """Add a connection to the accept queue; return whether it had room."""
         filler = socket.socket()
         self._unaccepted.append(filler)
-        filler.settimeout(FILL_SECONDS)
+        filler.settimeout(CONNECT_SECONDS)
         try:
             filler.connect(('127.0.0.1', self.port))
         except TimeoutError:
@@ -136,53 +139,54 @@
     def _accept(self) -> None:
         while True:
             try:
-                near, _ = self._socket.accept()
+                client, _ = self._socket.accept()
             except OSError:
                 return
             try:
-                far = socket.create_connection(('127.0.0.1', self.target))
+                server = socket.create_connection(('127.0.0.1', self.target))
             except OSError:
-                near.close()
+                client.close()
                 continue
             if self.is_cut:
-                near.close()
-                far.close()
+                client.close()
+                server.close()
                 continue
-            self._open |= {near, far}
-            for way, pair in (
-                (Direction.TO_TARGET, (near, far)),
-                (Direction.FROM_TARGET, (far, near)),
+            self._open |= {client, server}
+            for direction, sockets in (
+                (Direction.TO_TARGET, (client, server)),
+                (Direction.FROM_TARGET, (server, client)),
             ):
                 threading.Thread(
                     target=self._forward,
-                    args=(way, *pair),
+                    args=(direction, *sockets),
                     daemon=True,
                 ).start()
 
     def _forward(
         self,
-        way: Direction,
+        direction: Direction,
         source: socket.socket,
         sink: socket.socket,
     ) -> None:
         was_reset = False
         try:
-            while piece := source.recv(65536):
-                self._hold(way)
-                sink.sendall(piece)
+            while chunk := source.recv(65536):
+                self._hold(direction)
+                sink.sendall(chunk)
         except OSError as error:
             was_reset = isinstance(error, ConnectionResetError)
-        self._hold(way)
+        self._hold(direction)
         self._open -= {source, sink}
         if was_reset and self.passes_resets:
-            self._pass_reset_on(sink)
+            self._forward_reset(sink)
         for connection in {source, sink} - self._reset_sides:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
-    def _pass_reset_on(self, sink: socket.socket) -> None:
-        """Reset one side because the other was reset."""
-        # An orderly close would come before the reset.
+    def _forward_reset(self, sink: socket.socket) -> None:
+        """Reset one side after the other side was reset."""
+        # Excluded from the shutdown in ``_forward``: an orderly close would be
+        # sent before the reset.
         self._reset_sides.add(sink)
         with contextlib.suppress(OSError):
             sink.setsockopt(
@@ -191,15 +195,15 @@
             sink.shutdown(socket.SHUT_RD)
         sink.close()
 
-    def _hold(self, way: Direction) -> None:
-        """Wait as long as a direction is silenced, and for the delay."""
+    def _hold(self, direction: Direction) -> None:
+        """Wait while a direction is silenced, then for the delay."""
         with self._changed:
-            self._changed.wait_for(lambda: way not in self._silenced)
+            self._changed.wait_for(lambda: direction not in self._silenced)
         if self.delay:
             time.sleep(self.delay)
 
 
 def reserve_port() -> int:
-    """Return a port that is free now."""
+    """Return a port that is free at present."""
     with socket.create_server(('127.0.0.1', 0)) as probe:
         return int(probe.getsockname()[1])
--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the folder that speaks its language."""
+"""Names of the platform's protocol are used in its adapter only."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 
 
-def test_no_name_of_the_wire_stands_outside_of_the_adapter() -> None:
+def test_no_wire_name_is_used_outside_the_adapter() -> None:
     found = [
         f'{path.relative_to(PACKAGE)}:{number}: {line.strip()}'
         for path in sorted(PACKAGE.rglob('*.py'))
@@ -35,15 +35,15 @@
     assert not found
 
 
-def test_nothing_of_the_product_needs_the_adapter() -> None:
-    needing = [
+def test_no_module_outside_the_adapter_refers_to_it() -> None:
+    referring = [
         str(path.relative_to(PACKAGE))
         for path in sorted(PACKAGE.rglob('*.py'))
         if ADAPTER not in path.parents
         and 'waywell.platform' in path.read_text(encoding='utf-8')
     ]
-    assert not needing
+    assert not referring
 
 
-def test_the_check_finds_a_name() -> None:
+def test_the_pattern_matches_a_wire_name() -> None:
     assert WIRE_NAMES.search("HEADER = 'X-Expect-Replica'")
--- a/tests/test_front_channel.py
+++ b/tests/test_front_channel.py
@@ -1,4 +1,4 @@
-"""A caller's connection: how long it may rest, and what is malformed."""
+"""Caller connections: idle timeout, header timeout and malformed requests."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class _Transport(StringTransport):
-    """A transport that can be closed on one side."""
+    """A transport whose write side can be closed."""
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """Do nothing: what was written stays to be read."""
+        """Do nothing, so that the written bytes can still be read."""
 
 
-class Bench:
-    """A connection with a clock of its own."""
+class ChannelHarness:
+    """A connection with a clock that the test advances."""
 
     def __init__(self, idle_seconds: float) -> None:
         self.clock = Clock()
@@ -33,7 +33,7 @@
             serve=self._serve,
             get_limits=lambda: self.limits,
             is_leaving=lambda: False,
-            report=lambda *_words: None,
+            report=lambda *_args: None,
         )
         self.served: list[Ask] = []
         self.channel = FrontSite(backend).buildProtocol(None)
@@ -44,50 +44,52 @@
     async def _serve(self, ask: Ask, _answer: CallerAnswer) -> None:
         self.served.append(ask)
 
-    def wait(self, seconds: float) -> None:
-        """Let time pass in steps of a tenth of a second."""
+    def advance(self, seconds: float) -> None:
+        """Advance the clock in steps of a tenth of a second."""
         self.clock.pump([0.1] * round(seconds * 10))
 
     def is_open(self) -> bool:
         return not self.transport.disconnecting
 
 
-def test_a_connection_is_closed_when_it_rested_for_the_limit() -> None:
-    bench = Bench(15.0)
-    bench.wait(14.9)
-    assert bench.is_open()
-    bench.wait(0.2)
-    assert not bench.is_open()
-
-
-@pytest.mark.parametrize('rested', [0.5, 9.9])
-def test_a_longer_limit_holds_for_connections_that_rest(rested: float) -> None:
-    bench = Bench(10.0)
-    bench.wait(rested)
-    bench.limits = CallerLimits(idle_seconds=30.0)
-    bench.wait(29.9 - rested)
-    assert bench.is_open()
-    bench.wait(0.2)
-    assert not bench.is_open()
-
-
-def test_bytes_start_the_time_anew_by_the_limit_in_force() -> None:
-    bench = Bench(10.0)
-    bench.limits = CallerLimits(idle_seconds=30.0)
-    bench.wait(15.0)
-    bench.channel.dataReceived(b'GET / HT')
-    bench.wait(29.9)
-    assert bench.is_open()
-
-
-def test_a_head_that_comes_too_slowly_is_refused() -> None:
-    bench = Bench(30.0)
-    bench.limits = CallerLimits(idle_seconds=30.0, header_seconds=3.0)
-    bench.channel.dataReceived(b'GET / HTTP/1.1\r\nHost: a\r\n')
-    bench.wait(2.9)
-    assert not bench.transport.value()
-    bench.wait(0.2)
-    answer = bench.transport.value()
+def test_an_idle_connection_is_closed_at_the_limit() -> None:
+    harness = ChannelHarness(15.0)
+    harness.advance(14.9)
+    assert harness.is_open()
+    harness.advance(0.2)
+    assert not harness.is_open()
+
+
+@pytest.mark.parametrize('idle_seconds', [0.5, 9.9])
+def test_a_longer_limit_applies_to_idle_connections(
+    idle_seconds: float,
+) -> None:
+    harness = ChannelHarness(10.0)
+    harness.advance(idle_seconds)
+    harness.limits = CallerLimits(idle_seconds=30.0)
+    harness.advance(29.9 - idle_seconds)
+    assert harness.is_open()
+    harness.advance(0.2)
+    assert not harness.is_open()
+
+
+def test_received_bytes_restart_the_timeout_with_the_limit_in_force() -> None:
+    harness = ChannelHarness(10.0)
+    harness.limits = CallerLimits(idle_seconds=30.0)
+    harness.advance(15.0)
+    harness.channel.dataReceived(b'GET / HT')
+    harness.advance(29.9)
+    assert harness.is_open()
+
+
+def test_a_head_that_arrives_too_slowly_is_refused() -> None:
+    harness = ChannelHarness(30.0)
+    harness.limits = CallerLimits(idle_seconds=30.0, header_seconds=3.0)
+    harness.channel.dataReceived(b'GET / HTTP/1.1\r\nHost: a\r\n')
+    harness.advance(2.9)
+    assert not harness.transport.value()
+    harness.advance(0.2)
+    answer = harness.transport.value()
     assert answer.startswith(b'HTTP/1.1 408 ')
     assert f'{CODE_HEADER}: {Code.HEAD_TOO_SLOW:d}'.encode() in answer
     assert b'connection: close' in answer
@@ -106,15 +108,15 @@
         b'GET / HTTP/1.1\r\nX: ' + b'a' * 70_000 + b'\r\n\r\n',
     ],
 )
-def test_what_is_no_request_gets_its_code_at_once_and_nothing_after(
+def test_a_malformed_request_is_refused_and_nothing_after_it_is_served(
     raw: bytes,
 ) -> None:
-    bench = Bench(30.0)
-    bench.channel.dataReceived(raw)
-    answer = bench.transport.value()
+    harness = ChannelHarness(30.0)
+    harness.channel.dataReceived(raw)
+    answer = harness.transport.value()
     assert answer.startswith(b'HTTP/1.1 400 ')
     assert f'{CODE_HEADER}: {Code.MALFORMED_HTTP:d}'.encode() in answer
-    # A request that hides behind it is not served.
-    bench.channel.dataReceived(b'GET /next HTTP/1.1\r\nHost: a\r\n\r\n')
-    assert bench.transport.value() == answer
-    assert not bench.served
+    # A request smuggled behind the malformed one must not be served.
+    harness.channel.dataReceived(b'GET /next HTTP/1.1\r\nHost: a\r\n\r\n')
+    assert harness.transport.value() == answer
+    assert not harness.served
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""No module needs itself while it is loaded, however far the way round."""
+"""Import rules between packages; no import cycles."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 ROOT = Path(waywell.__file__).parent
 
 
-def name_module(path: Path) -> str:
+def get_module_name(path: Path) -> str:
     parts = path.relative_to(ROOT.parent).with_suffix('').parts
     return '.'.join(part for part in parts if part != '__init__')
 
 
-MODULES = {name_module(path): path for path in ROOT.rglob('*.py')}
+MODULES = {get_module_name(path): path for path in ROOT.rglob('*.py')}
 
 
-def is_for_types_only(node: ast.AST) -> bool:
+def is_type_checking_block(node: ast.AST) -> bool:
     return (
         isinstance(node, ast.If)
         and isinstance(node.test, ast.Name)
@@ -28,40 +28,42 @@
 
 
 def list_imports(path: Path) -> set[str]:
-    """Return the modules that one loads when it is loaded."""
-    found = set()
+    """Return the modules of the package that a module imports at its top level."""
+    imported = set()
     for node in ast.parse(path.read_text(encoding='utf-8')).body:
-        if is_for_types_only(node):
+        if is_type_checking_block(node):
             continue
         if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
+            imported |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found.add(node.module)
-            found |= {f'{node.module}.{alias.name}' for alias in node.names}
-    return found & MODULES.keys()
+            imported.add(node.module)
+            imported |= {f'{node.module}.{alias.name}' for alias in node.names}
+    return imported & MODULES.keys()
 
 
-def test_no_module_is_loaded_in_a_circle() -> None:
-    needs = {name: list_imports(path) for name, path in MODULES.items()}
+def test_there_is_no_import_cycle() -> None:
+    imports = {name: list_imports(path) for name, path in MODULES.items()}
     try:
-        TopologicalSorter(needs).prepare()
+        TopologicalSorter(imports).prepare()
     except CycleError as error:
         raise AssertionError(' -> '.join(error.args[1])) from error
 
 
-def test_what_decides_without_input_loads_no_daemon() -> None:
-    """Versions know nothing of processes, connections or requests."""
+def test_versions_import_no_daemon_code() -> None:
+    """``waywell.version`` decides without processes or connections."""
     outer = ('waywell.process', 'waywell.connection', 'waywell.request')
     for name, path in MODULES.items():
         if name.startswith('waywell.version'):
             loaded = {
-                one for one in list_imports(path) if one.startswith(outer)
+                module
+                for module in list_imports(path)
+                if module.startswith(outer)
             }
             assert not loaded, name
 
 
-def test_decisions_never_load_the_model_of_the_fleet() -> None:
-    """Only the command line does, and only for its own command."""
+def test_only_the_command_line_imports_the_fleet_model() -> None:
+    """The command line imports only the commands of ``waywell.experiment``."""
     for name, path in MODULES.items():
         if name.startswith('waywell.experiment'):
             continue
@@ -72,13 +74,17 @@
             if isinstance(node, ast.Import | ast.ImportFrom)
             for alias in node.names
         }
-        found = {one for one in loaded if one.startswith('waywell.experiment')}
+        found = {
+            module
+            for module in loaded
+            if module.startswith('waywell.experiment')
+        }
         allowed = {'waywell.experiment.commands'}
         assert found <= (allowed if name == 'waywell.cli' else set()), name
 
 
-def test_the_model_of_the_fleet_loads_no_daemon_and_no_socket() -> None:
-    """It drives decisions, and nothing that is connected."""
+def test_the_fleet_model_imports_no_network_code() -> None:
+    """``waywell.experiment`` runs decisions without connections."""
     outer = ('twisted', 'grpclib', 'asyncio', 'socket', 'waywell.standins')
     for name, path in MODULES.items():
         if name.startswith('waywell.experiment'):
@@ -88,4 +94,6 @@
                     assert not (node.module or '').startswith(outer), name
                 if isinstance(node, ast.Import):
                     names = [alias.name for alias in node.names]
-                    assert not any(one.startswith(outer) for one in names)
+                    assert not any(
+                        module.startswith(outer) for module in names
+                    )
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages of callers and servers on the platform."""
+"""Headers of the platform's callers and servers: reading and writing."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 )
 
 
-def read(*extra: tuple[bytes, bytes]) -> Ask:
+def read_ask(*extra: tuple[bytes, bytes]) -> Ask:
     return WIRE.read_ask('POST', '/notes/1?x=2', (*HEADERS, *extra), b'body')
 
 
-def write(ask: Ask, **changes: object) -> dict[bytes, bytes]:
+def make_headers(ask: Ask, **changes: object) -> dict[bytes, bytes]:
     delivery = Delivery(
         **{'account': AccountName('shop'), 'seconds': 2.5, **changes},
     )
     headers = WIRE.make_headers(ask, delivery, make_box('i-1'))
-    found = {name.lower(): text for name, text in headers}
-    assert len(found) == len(headers)
-    return found
+    by_name = {name.lower(): text for name, text in headers}
+    assert len(by_name) == len(headers)
+    return by_name
 
 
-def test_an_ask_says_what_the_headers_say() -> None:
-    ask = read()
+def test_the_headers_of_a_request_are_read() -> None:
+    ask = read_ask()
     assert ask.attempt == 'a1'
     assert ask.path == '/notes/1'
     assert ask.key == 'secret'
@@ -52,18 +52,18 @@
     assert (ask.prompt_tokens, ask.answer_tokens) == (1460, 80)
 
 
-def test_identity_is_set_here_and_never_taken_from_the_caller() -> None:
-    sent = write(read())
+def test_identity_headers_of_the_caller_are_replaced() -> None:
+    sent = make_headers(read_ask())
     assert sent[b'x-tenant'] == b'shop'
     assert sent[b'x-expect-replica'] == b'i-1'
     assert b'authorization' not in sent
     assert b'x-request-priority' not in sent
-    without = write(read(), account=None)
-    assert b'x-tenant' not in without
+    anonymous = make_headers(read_ask(), account=None)
+    assert b'x-tenant' not in anonymous
 
 
-def test_headers_of_one_connection_are_not_passed_on() -> None:
-    sent = write(read())
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
+    sent = make_headers(read_ask())
     assert b'connection' not in sent
     assert b'x-private' not in sent
     assert sent[b'x-own'] == b'kept'
@@ -71,15 +71,15 @@
     assert sent[b'host'] == b'shop.example'
 
 
-def test_the_deadline_is_what_is_left() -> None:
-    assert write(read(), seconds=2.5)[b'x-deadline-ms'] == b'2500'
-    assert write(read(), seconds=0.0)[b'x-deadline-ms'] == b'1'
+def test_the_deadline_sent_is_the_remaining_time() -> None:
+    assert make_headers(read_ask(), seconds=2.5)[b'x-deadline-ms'] == b'2500'
+    assert make_headers(read_ask(), seconds=0.0)[b'x-deadline-ms'] == b'1'
 
 
-def test_a_stream_goes_on_after_the_last_event() -> None:
-    sent = write(read((b'Last-Event-Id', b'3')), resume_after=12)
+def test_a_stream_resumes_after_the_last_event() -> None:
+    sent = make_headers(read_ask((b'Last-Event-Id', b'3')), resume_after=12)
     assert sent[b'last-event-id'] == b'12'
-    assert read((b'Last-Event-Id', b'3')).resume_after == 3
+    assert read_ask((b'Last-Event-Id', b'3')).resume_after == 3
 
 
 @pytest.mark.parametrize(
@@ -90,16 +90,16 @@
         (b'Last-Event-Id', b'-1'),
     ],
 )
-def test_a_header_that_is_not_understood_is_refused_as_not_run(
+def test_a_malformed_header_is_refused_before_the_request_runs(
     header: tuple[bytes, bytes],
 ) -> None:
     with pytest.raises(Refusal) as caught:
-        read(header)
+        read_ask(header)
     assert caught.value.code is Code.BAD_HEADER
     assert caught.value.ran.value == 'not_run'
 
 
-def test_marks_of_an_answer() -> None:
+def test_the_marks_in_the_headers_of_an_answer_are_read() -> None:
     ran = WIRE.read_mark(500, ((b'X-Request-Attempt-Id', b'a1'),))
     assert (ran.attempt, ran.is_rejected) == ('a1', False)
     assert WIRE.read_mark(503, ((b'X-Not-Executed', b'1'),)).is_rejected
@@ -120,7 +120,7 @@
         (503, b'Fri, 20 Feb 2026 06:06:14 GMT', 0.0),
     ],
 )
-def test_the_rest_that_a_replica_asks_for(
+def test_the_retry_after_header_gives_the_pause_of_a_replica(
     status: int,
     text: bytes,
     seconds: float,
@@ -129,7 +129,7 @@
     assert mark.rest_seconds == seconds
 
 
-def test_a_replica_that_leaves_says_so() -> None:
+def test_the_header_of_a_leaving_replica_is_read() -> None:
     assert WIRE.read_mark(200, ((b'Server-Leaving', b'1'),)).is_leaving
     assert not WIRE.read_mark(200, ((b'Server-Leaving', b'0'),)).is_leaving
     assert not WIRE.read_mark(200, ()).is_leaving
@@ -141,9 +141,11 @@
     ),
     text=st.binary(max_size=12),
 )
-def test_any_value_is_read_or_refused(name: bytes, text: bytes) -> None:
+def test_any_header_value_is_accepted_or_refused(
+    name: bytes, text: bytes
+) -> None:
     try:
-        ask = read((name, text))
+        ask = read_ask((name, text))
     except Refusal as refusal:
         assert refusal.code is Code.BAD_HEADER
         return
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay spoils connections as the soak asks it to."""
+"""The relay of the soak test disturbs connections as requested."""
 
 from __future__ import annotations
 
@@ -13,79 +13,79 @@
 from tests.relay import Direction, Relay
 from waywell.standins.harness import wait_until
 
-SHORT = 0.3
-"""Seconds without a byte after which a connection is taken as silent."""
+SILENCE_SECONDS = 0.3
+"""Seconds without a byte after which a connection counts as silent."""
 
 
 @pytest.fixture
 def echo() -> Iterator[int]:
-    """Listen and send back what comes; give the port."""
-    listening = socket.create_server(('127.0.0.1', 0))
-    threading.Thread(target=_serve, args=(listening,), daemon=True).start()
-    yield listening.getsockname()[1]
-    listening.close()
+    """Run an echo server and return its port."""
+    listener = socket.create_server(('127.0.0.1', 0))
+    threading.Thread(target=_accept_all, args=(listener,), daemon=True).start()
+    yield listener.getsockname()[1]
+    listener.close()
 
 
-def _serve(listening: socket.socket) -> None:
+def _accept_all(listener: socket.socket) -> None:
     while True:
         try:
-            line, _ = listening.accept()
+            connection, _ = listener.accept()
         except OSError:
             return
-        threading.Thread(target=_send_back, args=(line,), daemon=True).start()
+        threading.Thread(target=_echo, args=(connection,), daemon=True).start()
 
 
-def _send_back(line: socket.socket) -> None:
+def _echo(connection: socket.socket) -> None:
     with contextlib.suppress(OSError):
-        while piece := line.recv(100):
-            line.sendall(piece)
-    line.close()
+        while chunk := connection.recv(100):
+            connection.sendall(chunk)
+    connection.close()
 
 
 @pytest.fixture
 def relay(echo: int) -> Iterator[Relay]:
-    """Give a relay before the echo."""
-    made = Relay(echo)
-    yield made
-    made.close()
+    """Return a relay in front of the echo server."""
+    echo_relay = Relay(echo)
+    yield echo_relay
+    echo_relay.close()
 
 
 def _connect(relay: Relay) -> socket.socket:
-    line = socket.create_connection(('127.0.0.1', relay.port), 20)
-    line.sendall(b'a')
-    assert line.recv(1) == b'a'
-    return line
+    connection = socket.create_connection(('127.0.0.1', relay.port), 20)
+    connection.sendall(b'a')
+    assert connection.recv(1) == b'a'
+    return connection
 
 
-@pytest.mark.parametrize('way', list(Direction))
-def test_a_silenced_direction_holds_its_bytes_until_it_is_mended(
+@pytest.mark.parametrize('direction', list(Direction))
+def test_a_silenced_direction_holds_its_bytes_until_it_is_restored(
     relay: Relay,
-    way: Direction,
+    direction: Direction,
 ) -> None:
-    line = _connect(relay)
-    relay.silence(way)
-    line.sendall(b'b')
-    line.settimeout(SHORT)
+    connection = _connect(relay)
+    relay.silence(direction)
+    connection.sendall(b'b')
+    connection.settimeout(SILENCE_SECONDS)
     with pytest.raises(TimeoutError):
-        line.recv(1)
+        connection.recv(1)
     relay.restore()
-    line.settimeout(20)
-    assert line.recv(1) == b'b'
+    connection.settimeout(20)
+    assert connection.recv(1) == b'b'
 
 
-def test_a_reset_breaks_connections_and_lets_new_ones_stand(
+def test_a_reset_breaks_connections_but_accepts_new_ones(
     relay: Relay,
 ) -> None:
-    line = _connect(relay)
+    connection = _connect(relay)
     relay.reset()
     try:
-        assert line.recv(1) == b''
+        assert connection.recv(1) == b''
     except ConnectionResetError:
         pass
     _connect(relay).close()
 
 
-def test_a_cut_lets_nothing_stand_until_it_is_mended(relay: Relay) -> None:
+def test_a_cut_allows_no_connection_until_it_is_restored(relay: Relay) -> None:
     _connect(relay)
     relay.cut()
     with pytest.raises((OSError, AssertionError)):
@@ -95,15 +95,15 @@
 
 
 def test_a_reset_of_one_side_resets_the_other() -> None:
-    listening = socket.create_server(('127.0.0.1', 0))
-    relay = Relay(listening.getsockname()[1])
+    listener = socket.create_server(('127.0.0.1', 0))
+    relay = Relay(listener.getsockname()[1])
     relay.passes_resets = True
-    near = socket.create_connection(('127.0.0.1', relay.port))
-    far, _ = listening.accept()
-    far.sendall(b'a part')
-    assert near.recv(100) == b'a part'
-    reset(far)
+    client = socket.create_connection(('127.0.0.1', relay.port))
+    server, _ = listener.accept()
+    server.sendall(b'a part')
+    assert client.recv(100) == b'a part'
+    reset(server)
     with pytest.raises(ConnectionResetError):
-        near.recv(100)
+        client.recv(100)
     relay.close()
-    listening.close()
+    listener.close()
--- a/tests/test_server_orders.py
+++ b/tests/test_server_orders.py
@@ -1,4 +1,4 @@
-"""What an order's outcome says of the box, and what it does not."""
+"""Results of orders to servers, and the bodies that carry the orders."""
 
 from __future__ import annotations
 
@@ -23,32 +23,34 @@
 LEAVE = Assignment(HEAD, Leave(HEAD.standing.group, HEAD.standing.epoch))
 
 
-class _Calls:
+class _FixedCalls:
+    """Answers each call with the same outcome."""
+
     def __init__(self, outcome: Result[CallAnswer, PlatformFault]) -> None:
         self.outcome = outcome
 
-    async def call(self, *_words: object) -> Result[CallAnswer, PlatformFault]:
+    async def call(self, *_args: object) -> Result[CallAnswer, PlatformFault]:
         return self.outcome
 
 
-def give(
+def send(
     monkeypatch: pytest.MonkeyPatch,
     outcome: Result[CallAnswer, PlatformFault],
 ) -> OrderResult:
-    def make_calls(_box: FleetBox, _seconds: float) -> _Calls:
-        return _Calls(outcome)
+    def make_calls(_box: FleetBox, _seconds: float) -> _FixedCalls:
+        return _FixedCalls(outcome)
 
     monkeypatch.setattr(server_orders, '_make_calls', make_calls)
     return asyncio.run(ServerOrders().send(LEAVE, 3))
 
 
 @pytest.mark.parametrize('fault', list(PlatformFault))
-def test_a_box_that_can_not_be_reached_is_not_known_to_be_gone(
+def test_no_failed_call_means_that_the_box_is_gone(
     monkeypatch: pytest.MonkeyPatch,
     fault: PlatformFault,
 ) -> None:
-    """A cut may refuse connections of one node while others reach the box."""
-    assert give(monkeypatch, Failure(fault)) is OrderResult.UNKNOWN
+    """A partition may refuse the connections of one node only."""
+    assert send(monkeypatch, Failure(fault)) is OrderResult.UNKNOWN
 
 
 @pytest.mark.parametrize(
@@ -61,16 +63,16 @@
         (500, OrderResult.UNKNOWN),
     ],
 )
-def test_a_box_tells_what_came_of_an_order(
+def test_the_status_of_an_answer_gives_the_result_of_an_order(
     monkeypatch: pytest.MonkeyPatch,
     status: int,
     result: OrderResult,
 ) -> None:
     answer = Success(CallAnswer(status, b'{}'))
-    assert give(monkeypatch, answer) is result
+    assert send(monkeypatch, answer) is result
 
 
-def test_a_join_carries_the_number_of_the_state_that_it_is_for() -> None:
+def test_a_join_carries_the_order_count_that_it_expects() -> None:
     members = (HEAD.box,)
     join = Join(HEAD.standing.group, Epoch(8), ModelName('notes'), members, 5)
     body = encode_order(Assignment(HEAD, join), 3)
@@ -79,5 +81,5 @@
     assert 'expect_rev' not in encode_order(LEAVE, 3)
 
 
-def test_an_order_carries_the_number_of_its_term() -> None:
+def test_an_order_carries_its_fencing_token() -> None:
     assert encode_order(LEAVE, 3)['fence_token'] == 3
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -1,4 +1,4 @@
-"""Eras of the store: which answers count, and who hears of a new era."""
+"""Eras of the store: which answers are valid and who is notified of changes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 )
 from waywell.platform.store import ObjectStore
 
-PAGE = b'{"items": [], "current_rev": 9}'
-MORE = b'{"items": [%b], "has_more": true, "current_rev": 9}' % (
+LAST_PAGE = b'{"items": [], "current_rev": 9}'
+FIRST_PAGE = b'{"items": [%b], "has_more": true, "current_rev": 9}' % (
     b'{"metadata": {"name": "a", "revision": 1}, "spec": {}}'
 )
 
 
-class Store:
-    """Answers calls with bodies under eras, one after the other."""
+class StoreHarness:
+    """A store whose calls get the given bodies and eras, one after another."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.eras = EraTracker()
@@ -41,56 +41,58 @@
         self.answers = list(answers)
         return asyncio.run(self.store.fetch_all(Kind.PRESENCE))
 
-    async def _call(self, *_words: Any, **_named: Any) -> Any:
+    async def _call(self, *_args: Any, **_kwargs: Any) -> Any:
         raw, era = self.answers.pop(0)
         headers = Headers({} if era is None else {'store-era': [era]})
         return Success(CallAnswer(self.status, raw, headers))
 
 
 @pytest.fixture
-def store(monkeypatch: pytest.MonkeyPatch) -> Store:
-    return Store(monkeypatch)
+def store(monkeypatch: pytest.MonkeyPatch) -> StoreHarness:
+    return StoreHarness(monkeypatch)
 
 
-def test_a_higher_era_is_told_to_all_that_listen(store: Store) -> None:
-    store.list((PAGE, '3'))
+def test_listeners_are_notified_of_a_higher_era(store: StoreHarness) -> None:
+    store.list((LAST_PAGE, '3'))
     assert not store.changes
-    store.list((PAGE, '4'))
+    store.list((LAST_PAGE, '4'))
     assert store.changes == [EraChange(StoreEra(3), StoreEra(4))]
     assert store.eras.changes == 1
 
 
-def test_an_answer_of_a_former_era_is_no_answer(store: Store) -> None:
-    store.list((PAGE, '4'))
-    outcome = store.list((PAGE, '3'))
+def test_an_answer_of_a_former_era_is_rejected(store: StoreHarness) -> None:
+    store.list((LAST_PAGE, '4'))
+    outcome = store.list((LAST_PAGE, '3'))
     assert outcome == Failure(PlatformFault.FORMER_ERA)
     assert store.eras.current == 4
 
 
 @pytest.mark.parametrize('text', [None, '', 'x', '-1', '1.5', '²'])
-def test_an_era_that_is_not_told_is_no_number(
-    store: Store, text: str | None
+def test_a_missing_or_malformed_era_counts_as_unreported(
+    store: StoreHarness, text: str | None
 ) -> None:
-    store.list((PAGE, '0'))
-    store.list((PAGE, text))
-    store.list((PAGE, '0'))
+    store.list((LAST_PAGE, '0'))
+    store.list((LAST_PAGE, text))
+    store.list((LAST_PAGE, '0'))
     assert [change.era for change in store.changes] == [UNREPORTED_ERA, 0]
 
 
-def test_a_call_that_is_turned_away_tells_no_era(store: Store) -> None:
-    store.list((PAGE, '3'))
+def test_a_refused_call_reports_no_era(store: StoreHarness) -> None:
+    store.list((LAST_PAGE, '3'))
     store.status = 503
     assert store.list((b'', None)) == Failure(PlatformFault.REFUSED)
     assert store.eras.current == 3
 
 
-def test_pages_of_two_eras_are_no_list(store: Store) -> None:
-    outcome = store.list((MORE, '3'), (PAGE, '4'))
+def test_pages_of_two_eras_do_not_form_one_list(store: StoreHarness) -> None:
+    outcome = store.list((FIRST_PAGE, '3'), (LAST_PAGE, '4'))
     assert outcome == Failure(PlatformFault.FORMER_ERA)
 
 
-def test_a_peer_tells_higher_eras_only(store: Store) -> None:
-    store.list((PAGE, '3'))
+def test_only_a_higher_era_is_accepted_from_a_peer(
+    store: StoreHarness,
+) -> None:
+    store.list((LAST_PAGE, '3'))
     for era in (UNREPORTED_ERA, StoreEra(2), StoreEra(3)):
         store.eras.observe_peer(era)
     assert not store.changes
--- a/waywell/connection/peer.py
+++ b/waywell/connection/peer.py
@@ -67,7 +67,8 @@
     """Report of a replica that has requests but sends no data any more."""
 
     suspicion_id: str
-    """Random id that makes the message unique."""
+    """Random id of the report.  Receivers recognise repeats by the replica,
+    and not by this id."""
 
     group: GroupId
     """Group of the replica; empty for a plain service."""
@@ -104,7 +105,7 @@
     """A trait of a request that was running when its replica ended."""
 
     trait: Trait
-    """Fingerprint of the request or of a part of its prompt."""
+    """Identifier of the request or of a part of its prompt."""
 
     has_begun: bool
     """Whether a part of the answer to such a request had arrived."""
@@ -136,7 +137,7 @@
     """Report of a request held back because it ended too many replicas."""
 
     trait: Trait
-    """Fingerprint of the request or of a part of its prompt."""
+    """Identifier of the request or of a part of its prompt."""
 
     crashes: int
     """Number of replicas that ended."""
@@ -149,7 +150,7 @@
     """Report that a suspected request was answered completely."""
 
     trait: Trait
-    """Fingerprint of the request or of a part of its prompt."""
+    """Identifier of the request or of a part of its prompt."""
 
 
 class KnownCrashes(msgspec.Struct, frozen=True, tag=True, array_like=True):
