--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 from waywell.codes import Code, Ran, Refusal
 from waywell.connection.exchange import SendFault
 from waywell.connection.peer import (
-    FrontWire,
+    FrontMessage,
     KnownCrashes,
     ReplicaEnded,
     RequestCleared,
@@ -86,7 +86,7 @@
     def receive(self, word: Any) -> None:
         """Take a word over the wire, as of another node."""
         raw = msgspec.msgpack.encode(word)
-        decoded = msgspec.msgpack.Decoder(FrontWire).decode(raw)
+        decoded = msgspec.msgpack.Decoder(FrontMessage).decode(raw)
         self.node.on_received(PeerLinks.Received(PEER, decoded))
 
     def carry_words(self) -> None:
