--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -16,7 +16,7 @@
 from waywell.codes import Refusal
 from waywell.connection.body_end import BodyEnd, BodyOutcome
 from waywell.connection.exchange import SendFault
-from waywell.connection.forwarding import FORWARDED_HEADER, ForwardMark
+from waywell.connection.forwarding import FORWARDED_HEADER, ForwardingHeader
 from waywell.ids import (
     BoxId,
     HallName,
@@ -82,7 +82,7 @@
         return ()
 
     def make_forward_headers(
-        self, _request: DecodedRequest, mark: ForwardMark, *_args: object
+        self, _request: DecodedRequest, mark: ForwardingHeader, *_args: object
     ) -> tuple:
         return ((FORWARDED_HEADER.encode(), mark.encode().encode()),)
 
@@ -201,7 +201,7 @@
 
     async def submit(
         self,
-        forwarded: ForwardMark | None = None,
+        forwarded: ForwardingHeader | None = None,
         resume_after: int | None = None,
     ) -> asyncio.Task:
         request = DecodedRequest(
--- a/tests/test_box_probe.py
+++ b/tests/test_box_probe.py
@@ -28,7 +28,7 @@
         self.requests: list[asyncio.Future[BoxReport | None]] = []
         self.cancelled = 0
 
-    async def give(self, assignment: Assignment, fence: int) -> OrderResult:
+    async def send(self, assignment: Assignment, fence: int) -> OrderResult:
         raise AssertionError('the probe must not send an order')
 
     async def read_report(self, box: FleetBox) -> BoxReport | None:
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -9,7 +9,7 @@
 from tests.boxes import make_box
 from tests.held_clock import HeldClock
 from tests.loops import in_loop
-from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
+from waywell.connection.peer import ReplicaAlive, ReplicaSuspected
 from waywell.health.doubts import (
     LISTEN_INTERVAL,
     MAX_LISTEN_CHECKS,
@@ -73,7 +73,7 @@
             callback()
 
     def receive(self, doubt: str, node: str = 'n2') -> None:
-        message = ReplicaDoubt(doubt, REPLICA.group, BOX.box, Epoch(7))
+        message = ReplicaSuspected(doubt, REPLICA.group, BOX.box, Epoch(7))
         self.doubts.on_received(PeerLinks.Received(NodeId(node), message))
 
 
@@ -126,13 +126,13 @@
     bench.pass_time(LISTEN_INTERVAL)
     assert bench.book.get(REPLICA.key).backoff_until == 0
     assert bench.resumed == [REPLICA.group]
-    assert isinstance(bench.links.messages[-1], ReplicaHeard)
+    assert isinstance(bench.links.messages[-1], ReplicaAlive)
 
 
 def test_a_withdrawal_of_another_node_ends_the_rest() -> None:
     bench = Bench()
     bench.receive('d1')
-    message = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
+    message = ReplicaAlive(REPLICA.group, BOX.box, Epoch(7))
     for node in ('n2', 'n3'):
         bench.doubts.on_received(PeerLinks.Received(NodeId(node), message))
     assert bench.book.get(REPLICA.key).backoff_until == 0
@@ -153,7 +153,7 @@
 def test_a_doubt_after_a_withdrawal_counts_again() -> None:
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
-    message = ReplicaHeard(REPLICA.group, BOX.box, Epoch(7))
+    message = ReplicaAlive(REPLICA.group, BOX.box, Epoch(7))
     bench.doubts.on_received(PeerLinks.Received(NodeId('n2'), message))
     bench.pass_time(REPEAT_INTERVAL * 1.1)
     bench.receive('d2')
--- a/tests/test_entry_partitions.py
+++ b/tests/test_entry_partitions.py
@@ -87,7 +87,7 @@
         assert send_request(bench, name, 'llm')[0] == 200
         assert send_request(bench, name, 'app')[0] == 200
     for relay in relays:
-        relay.mend()
+        relay.restore()
     for name in NAMES:
         wait_until(
             lambda name=name: count_live(bench, name) == 3,
@@ -118,7 +118,7 @@
         )
         assert send_request(bench, name, 'llm')[0] == 200
     for relay in relays:
-        relay.mend()
+        relay.restore()
     for name in NAMES:
         wait_until(
             lambda name=name: send_request(bench, name, 'app')[0] == 200,
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -13,9 +13,9 @@
 from waywell.connection.exchange import SendFault
 from waywell.connection.forwarding import (
     FORWARDED_HEADER,
-    ForwardMark,
+    ForwardingHeader,
     PeerRefusal,
-    read_forward_mark,
+    parse_forwarding_header,
     read_refusal,
 )
 from waywell.ids import ServiceName
@@ -167,7 +167,7 @@
     partitioned: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
-        await partitioned.submit(ForwardMark('x', 2))
+        await partitioned.submit(ForwardingHeader('x', 2))
         assert partitioned.refusal is not None
         assert partitioned.refusal.code is Code.NODE_PARTITIONED
         assert partitioned.refusal.ran is Ran.NOT_RUN
@@ -180,7 +180,7 @@
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
-        await harness.submit(ForwardMark('x', 1))
+        await harness.submit(ForwardingHeader('x', 1))
         await harness.advance_time(3.0)
         assert len(harness.attempts) == 1
 
@@ -242,19 +242,17 @@
         (b'X-Own', b'kept'),
     )
     request = wire.read_ask('POST', '/notes/1', headers, b'body')
-    sent = wire.make_forward_headers(request, ForwardMark('own', 3), 2.5, 4)
+    sent = wire.make_forward_headers(
+        request, ForwardingHeader('own', 3), 2.5, 4
+    )
     received = wire.read_ask('POST', '/notes/1', sent, b'body')
-    assert received.forwarded == ForwardMark('own', 3)
+    assert received.forwarded == ForwardingHeader('own', 3)
     assert (received.host, received.attempt_id) == ('shop.example', 'a1')
     assert (
         received.api_key,
         received.timeout_seconds,
         received.resume_after,
-    ) == (
-        'secret',
-        2.5,
-        4,
-    )
+    ) == ('secret', 2.5, 4)
     names = [name.lower() for name, _text in received.headers]
     assert b'x-own' in names
     assert FORWARDED_HEADER.encode() not in names
@@ -262,7 +260,7 @@
 
 @pytest.mark.parametrize('text', ['', 'own', ';2', 'own;x', 'own;-1'])
 def test_a_malformed_forwarding_header_is_ignored(text: str) -> None:
-    assert read_forward_mark(text) is None
+    assert parse_forwarding_header(text) is None
 
 
 def test_a_refusal_is_recognized_by_the_headers_of_a_node() -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 from waywell.codes import Code, Ran, Refusal
 from waywell.connection.exchange import SendFault
 from waywell.connection.peer import (
-    FrontWire,
+    FrontMessage,
     KnownCrashes,
     ReplicaEnded,
     RequestCleared,
@@ -96,7 +96,7 @@
     def receive(self, message: Any) -> None:
         """Encode and decode a message, and receive it as if from a peer."""
         raw = msgspec.msgpack.encode(message)
-        decoded = msgspec.msgpack.Decoder(FrontWire).decode(raw)
+        decoded = msgspec.msgpack.Decoder(FrontMessage).decode(raw)
         self.node.on_received(PeerLinks.Received(PEER, decoded))
 
     def deliver_broadcasts(self) -> None:
--- a/waywell/connection/wire.py
+++ b/waywell/connection/wire.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from waywell.connection.forwarding import ForwardMark
+    from waywell.connection.forwarding import ForwardingHeader
     from waywell.request.decoded_request import (
         AnswerMetadata,
         DecodedRequest,
@@ -50,7 +50,7 @@
     def make_forward_headers(
         self,
         ask: DecodedRequest,
-        mark: ForwardMark,
+        mark: ForwardingHeader,
         seconds: float,
         resume_after: int | None,
     ) -> RawHeaders:
--- a/waywell/duties/forming.py
+++ b/waywell/duties/forming.py
@@ -419,6 +419,6 @@
                 self.OrderCompleted(assignment, OrderResult.ENDED, epoch)
             )
             return
-        result = await self._orders.give(assignment, epoch)
+        result = await self._orders.send(assignment, epoch)
         log_order(assignment, result)
         self.post(self.OrderCompleted(assignment, result, epoch))
--- a/waywell/duties/lease.py
+++ b/waywell/duties/lease.py
@@ -27,10 +27,10 @@
 import msgspec
 
 from waywell.connection.store_era import (
+    UNREPORTED_ERA,
     UNSEEN_ERA,
-    UNTOLD_ERA,
     StoreEra,
-    is_told,
+    is_reported,
 )
 from waywell.ids import Incarnation, NodeId
 
@@ -70,7 +70,7 @@
     operation: str = ''
     """Id of the write, which identifies it if its answer is lost."""
 
-    era: StoreEra = UNTOLD_ERA
+    era: StoreEra = UNREPORTED_ERA
     """Era of the store in which the record was written."""
 
 
@@ -257,7 +257,7 @@
         A missing record counts as current only on the first start.  A store
         that reports no era is assumed to lose no writes.
         """
-        if not is_told(self._era):
+        if not is_reported(self._era):
             return True
         if self.record is None:
             return self.is_first_start
@@ -266,7 +266,7 @@
     def _choose_epoch(self) -> int:
         """Return an epoch above all that were or may have been used."""
         used = max(self.epoch, self._highest_used_epoch)
-        if not is_told(self._era):
+        if not is_reported(self._era):
             return used + 1
         # If the copy lacks the lease, only the era separates the terms.
         used = max(used, (self._era - 1) * EPOCHS_SKIPPED_PER_ERA)
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -16,7 +16,7 @@
 
 import attrs
 
-from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
+from waywell.connection.peer import ReplicaAlive, ReplicaSuspected
 from waywell.ids import GroupId
 from waywell.process.actor import Actor
 from waywell.request.paths import LinkCheck, assume_links_work
@@ -106,7 +106,7 @@
         self._call_later = call_later
         self._raised_at: dict[ReplicaKey, float] = {}
         self._open_doubts: set[ReplicaKey] = set()
-        links.subscribe(self, ReplicaDoubt, ReplicaHeard)
+        links.subscribe(self, ReplicaSuspected, ReplicaAlive)
 
     def report_silence(self, replica: Replica) -> None:
         """Raise a doubt about a silent replica if this node's links work.
@@ -125,7 +125,7 @@
         now = self._clock.read()
         if not self._is_new(replica.key, now):
             return
-        doubt = ReplicaDoubt(
+        doubt = ReplicaSuspected(
             secrets.token_hex(4),
             replica.group,
             replica.key.box,
@@ -140,7 +140,7 @@
         """Apply a doubt or a withdrawal of another node and forward it."""
         message = received.message
         key = ReplicaKey(message.box, message.epoch, message.incarnation)
-        if isinstance(message, ReplicaHeard):
+        if isinstance(message, ReplicaAlive):
             if key in self._open_doubts:
                 self._links.forward(message, received.node)
                 self._close_doubt(key, message.group)
@@ -191,7 +191,7 @@
         if self._book.get(key).event_at > doubted_at:
             log_event('doubt_taken_back', group=group, box=key.box)
             self._links.broadcast(
-                ReplicaHeard(group, key.box, key.epoch, key.incarnation),
+                ReplicaAlive(group, key.box, key.epoch, key.incarnation),
             )
             self._close_doubt(key, group)
         elif checks_left > 1:
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from waywell.connection.entry_peer import HealthNews, LoadNews
+from waywell.connection.entry_peer import HealthUpdate, LoadUpdate
 from waywell.connection.target import Target
 from waywell.health.health import Evidence, HealthTable, Verdict
 from waywell.ids import ServiceName
@@ -159,7 +159,7 @@
         self._probing: asyncio.Task[None] | None = None
         self._selected: list[Group] = []
         self._selected_for: tuple[int, int] = (-1, -1)
-        parts.links.subscribe(self, HealthNews, LoadNews)
+        parts.links.subscribe(self, HealthUpdate, LoadUpdate)
 
     def on_probe_tick(self, _tick: ProbeTick) -> None:
         """Start a round of probes unless one is still running.
@@ -173,17 +173,17 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Record evidence and loads of other nodes; forward new evidence."""
         message = received.message
-        if isinstance(message, LoadNews):
+        if isinstance(message, LoadUpdate):
             self._parts.loads.hear(message.loads)
             return
         now = self._parts.clock.read()
         news = tuple(
             evidence
-            for evidence in message.words
+            for evidence in message.evidence
             if self._parts.health.add_evidence(evidence, now)
         )
         if news:
-            self._parts.links.broadcast(HealthNews(news), skip=received.node)
+            self._parts.links.broadcast(HealthUpdate(news), skip=received.node)
 
     def dump(self) -> dict[str, object]:
         """Return the evidence against groups as plain values."""
@@ -210,7 +210,7 @@
             )
         news = self._parts.loads.take_news()
         if news:
-            self._parts.links.broadcast(LoadNews(news))
+            self._parts.links.broadcast(LoadUpdate(news))
 
     def _select_groups(self) -> list[Group]:
         table = self._parts.gossip.table
@@ -242,7 +242,7 @@
         )
         news = tuple(evidence for evidence in probed if evidence is not None)
         if news:
-            self._parts.links.broadcast(HealthNews(news))
+            self._parts.links.broadcast(HealthUpdate(news))
 
     async def _probe_group(self, group: Group) -> Evidence | None:
         answers = await asyncio.gather(
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -11,12 +11,12 @@
 
 import attrs
 
-from waywell.connection.named_limit import NO_LIMIT
+from waywell.connection.limit_header import NO_LIMIT
 from waywell.connection.peer import (
     KnownLimits,
-    LimitTold,
-    TurnAnswer,
-    TurnAsk,
+    LimitNotice,
+    PermitAnswer,
+    PermitRequest,
 )
 from waywell.limits.issuer_assignment import IssuerAssignment, make_view
 from waywell.limits.permit_bucket import (
@@ -113,10 +113,10 @@
         links.subscribe(
             self,
             PeerLinks.Opened,
-            LimitTold,
+            LimitNotice,
             KnownLimits,
-            TurnAsk,
-            TurnAnswer,
+            PermitRequest,
+            PermitAnswer,
         )
 
     def refresh(self, now: float) -> None:
@@ -237,12 +237,12 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Handle a message of a peer: a report, a request or an answer."""
         message = received.message
-        if isinstance(message, TurnAsk):
+        if isinstance(message, PermitRequest):
             self._answer_request(received.node, message)
-        elif isinstance(message, TurnAnswer):
+        elif isinstance(message, PermitAnswer):
             self._handle_answer(message)
         elif isinstance(message, KnownLimits):
-            for told in message.words:
+            for told in message.notices:
                 self._handle_report(told, received.node)
         else:
             self._handle_report(message, received.node)
@@ -316,16 +316,16 @@
         told = _make_message(life, report, now)
         return await self._permit_requests.ask(issuer, told, rank, now)
 
-    def _answer_request(self, node: NodeId, ask: TurnAsk) -> None:
-        self._handle_report(ask.told, node)
-        life = BoxLife(ask.told.box, ask.told.incarnation)
+    def _answer_request(self, node: NodeId, ask: PermitRequest) -> None:
+        self._handle_report(ask.notice, node)
+        life = BoxLife(ask.notice.box, ask.notice.incarnation)
         grant = self._issuer.grant(life, ask.rank, self._clock.read())
-        answer = TurnAnswer(
-            ask.ask, grant.permits, round(grant.retry_after, 3)
+        answer = PermitAnswer(
+            ask.number, grant.permits, round(grant.retry_after, 3)
         )
         self._links.send(node, answer)
 
-    def _handle_answer(self, answer: TurnAnswer) -> None:
+    def _handle_answer(self, answer: PermitAnswer) -> None:
         """Complete a permit request; hold late permits for the next one."""
         late = self._permit_requests.handle_answer(answer)
         if late is not None and late.permits:
@@ -334,7 +334,7 @@
             )
             self._retry_at.pop(late.life, None)
 
-    def _handle_report(self, told: LimitTold, sender: NodeId) -> None:
+    def _handle_report(self, told: LimitNotice, sender: NodeId) -> None:
         """Record a peer's report; reply if this node has a newer one."""
         now = self._clock.read()
         life = BoxLife(told.box, told.incarnation)
@@ -367,9 +367,11 @@
         )
 
 
-def _make_message(life: BoxLife, report: LimitReport, now: float) -> LimitTold:
+def _make_message(
+    life: BoxLife, report: LimitReport, now: float
+) -> LimitNotice:
     """Return a report as a message, with ages instead of local times."""
-    return LimitTold(
+    return LimitNotice(
         life.box,
         life.incarnation,
         report.hall,
@@ -380,11 +382,11 @@
     )
 
 
-def _read_message(told: LimitTold, now: float) -> LimitReport:
+def _read_message(told: LimitNotice, now: float) -> LimitReport:
     return LimitReport(
         NO_LIMIT if told.limit is None else told.limit,
         now - told.sent_age,
-        now - told.heard_age,
-        now - told.named_age,
+        now - told.received_age,
+        now - told.limited_age,
         told.hall,
     )
--- a/waywell/membership/gossip.py
+++ b/waywell/membership/gossip.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from waywell.connection.peer import Beat, Records
+from waywell.connection.peer import Heartbeat, MembershipRecords
 from waywell.ids import ServiceName
 from waywell.membership.links import PeerLinks
 from waywell.membership.membership import (
@@ -114,8 +114,8 @@
             self,
             PeerLinks.Opened,
             PeerLinks.Unreachable,
-            Beat,
-            Records,
+            Heartbeat,
+            MembershipRecords,
         )
 
     def watch_changes(self, watcher: Callable[[NodeRecord], None]) -> None:
@@ -168,7 +168,7 @@
                 record for record, source in pending if source != peer
             )
             if changes:
-                self._links.send(peer, Records(changes))
+                self._links.send(peer, MembershipRecords(changes))
 
     def on_own_record_change(self, change: OwnRecordChange) -> None:
         """Update this node's record and spread it."""
@@ -192,7 +192,10 @@
         record = opened.record
         self._received_at[record.node] = now
         self._merge([record], record.node)
-        self._links.send(record.node, Records(self.table.records, whole=True))
+        self._links.send(
+            record.node,
+            MembershipRecords(self.table.records, is_complete=True),
+        )
 
     def on_unreachable(self, unreachable: PeerLinks.Unreachable) -> None:
         """Suspect a peer whose stream broke and can't be dialled again."""
@@ -208,9 +211,9 @@
     def on_received(self, received: PeerLinks.Received) -> None:
         """Process a beat or records from a peer."""
         message = received.message
-        if isinstance(message, Records):
+        if isinstance(message, MembershipRecords):
             self._merge(message.records, received.node)
-            if message.whole:
+            if message.is_complete:
                 self._send_missing(received.node, message.records)
             return
         self._process_beat(received.node, message)
@@ -230,7 +233,7 @@
             ),
         }
 
-    def _process_beat(self, node: NodeId, beat: Beat) -> None:
+    def _process_beat(self, node: NodeId, beat: Heartbeat) -> None:
         now = self._clock.read()
         self._received_at[node] = now
         self._reached_at = max(self._reached_at, now - beat.platform_age)
@@ -240,11 +243,11 @@
         count = self._mismatches.get(node, 0) + 1
         self._mismatches[node] = count % MISMATCHED_BEATS
         if count >= MISMATCHED_BEATS:
-            full_view = Records(self.table.records, whole=True)
+            full_view = MembershipRecords(self.table.records, is_complete=True)
             self._links.send(node, full_view)
 
     def _send_beat(self, now: float) -> None:
-        beat = Beat(
+        beat = Heartbeat(
             self.numbers.configuration,
             self.numbers.roster,
             self.table.digest,
@@ -309,7 +312,7 @@
             if ranks.get(record.node, (-1, 0, 0)) < record.rank
         )
         if missing:
-            self._links.send(node, Records(missing))
+            self._links.send(node, MembershipRecords(missing))
 
     def _publish_changes(
         self,
--- a/waywell/membership/links.py
+++ b/waywell/membership/links.py
@@ -82,8 +82,8 @@
         self.received += 1
         self._owner.dispatch(self.peer, message)
 
-    def on_close(self, why: str) -> None:
-        self._owner.remove_link(self, why)
+    def on_close(self, reason: str) -> None:
+        self._owner.remove_link(self, reason)
 
     def _handle_hello(self, message: Any) -> None:
         """Process the first message, which identifies the peer."""
--- a/waywell/request/decoded_request.py
+++ b/waywell/request/decoded_request.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from waywell.connection.forwarding import ForwardMark, PeerRefusal
+from waywell.connection.forwarding import ForwardingHeader, PeerRefusal
 from waywell.connection.wire import RawHeaders
 from waywell.ids import AccountName, ModelName, PromptPart
 
@@ -55,7 +55,7 @@
     prompt_parts: tuple[PromptPart, ...] = ()
     """Identifiers of prompt parts that other requests may share."""
 
-    forwarded: ForwardMark | None = None
+    forwarded: ForwardingHeader | None = None
     """Forwarding metadata; set if another entry box forwarded the request."""
 
     @property
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -72,7 +72,7 @@
         DispatchFault.TIMED_OUT: Code.DEADLINE_PASSED,
         DispatchFault.FENCED: Code.FENCE_REFUSED,
         DispatchFault.RESTING: Code.REPLICAS_REST,
-        DispatchFault.NO_TURN: Code.REPLICAS_LIMITED,
+        DispatchFault.NO_PERMIT: Code.REPLICAS_LIMITED,
     },
 )
 
@@ -80,7 +80,7 @@
 """Maximum number of entry boxes that a refusal names to the caller."""
 
 _BACKPRESSURE_FAULTS = frozenset(
-    (DispatchFault.RESTING, DispatchFault.NO_TURN)
+    (DispatchFault.RESTING, DispatchFault.NO_PERMIT)
 )
 """Faults of groups that do not accept the request for now."""
 
@@ -512,7 +512,7 @@
         if not self._parts.backpressure.may_send(life, now):
             return DispatchFault.RESTING
         if not self._parts.permits.may_send(life, permit, now):
-            return DispatchFault.NO_TURN
+            return DispatchFault.NO_PERMIT
         return fault
 
     def _record_fault(
--- a/waywell/request/group_views.py
+++ b/waywell/request/group_views.py
@@ -26,7 +26,7 @@
         priority=work.account.priority,
         # The target may close an idle connection while the request is being
         # written, which leaves open whether the request ran.
-        fresh=not work.facts.repeatable,
+        needs_new_connection=not work.facts.repeatable,
     )
 
 
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from waywell.connection.exchange import Outgoing
-from waywell.connection.forwarding import ForwardMark, read_refusal
+from waywell.connection.forwarding import ForwardingHeader, read_refusal
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.destination import Destination
 from waywell.request.peer_chooser import make_peer_key
@@ -63,7 +63,7 @@
             context.request.target,
             self._dependencies.wire.make_forward_headers(
                 context.request,
-                ForwardMark(self._dependencies.node, self._sends),
+                ForwardingHeader(self._dependencies.node, self._sends),
                 context.deadline_at - now,
                 context.last_event,
             ),
