--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -191,7 +191,7 @@
     harness: ForwarderHarness,
 ) -> None:
     async def scenario() -> None:
-        await harness.submit(ForwardMark('x', 1))
+        await harness.submit(ForwardingHeader('x', 1))
         assert LLM not in harness.budget._sent  # noqa: SLF001
         await harness.submit()
         assert len(harness.budget._sent[LLM].requests) == 1  # noqa: SLF001
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -36,7 +36,7 @@
 """Mark of an answer that reports a limit."""
 
 REJECTED = AnswerMetadata('a1', is_rejected=True, rate_limit=1.0)
-"""Mark of an answer that reports a rate_limit and rejects the request."""
+"""Mark of an answer that reports a limit and rejects the request."""
 
 
 @pytest.fixture
