--- a/tests/forwarder_stage.py
+++ b/tests/forwarder_stage.py
@@ -179,7 +179,7 @@
     ) -> None:
         attempt.started_at = now
         if not self._has_turn(attempt):
-            attempt.tell(Attempt.Fault(attempt, SendFault.NO_TURN))
+            attempt.tell(Attempt.Fault(attempt, SendFault.NO_PERMIT))
             return
         assert not self.connects_at_once or may_send()
         self.may_send = may_send
@@ -236,7 +236,7 @@
         await self.settle()
 
     async def end(self, attempt: Attempt, is_whole: bool = True) -> None:
-        end = BodyEnd.ANNOUNCED if is_whole else BodyEnd.CUT
+        end = BodyEnd.DELIMITED if is_whole else BodyEnd.TRUNCATED
         attempt.tell(Attempt.End(attempt, BodyOutcome(end)))
         await self.settle()
 
--- a/tests/rerouted.py
+++ b/tests/rerouted.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable
 
 
-class Ports:
+class PortMap:
     """Ports by those that are asked for, as a file shows them.
 
     Parameters
@@ -42,14 +42,14 @@
         return self._ports.get(port, port)
 
 
-def write_ports(path: Path, ports: dict[int, int]) -> None:
+def write_port_map(path: Path, ports: dict[int, int]) -> None:
     """Write or replace the file."""
     written = path.with_suffix('.new')
     written.write_text(json.dumps(ports), encoding='utf-8')
     written.replace(path)
 
 
-def reroute(ports: Ports) -> None:
+def reroute(ports: PortMap) -> None:
     """Let all connections to some ports go to others."""
     for name in ('connect', 'connect_ex'):
         _reroute_call(name, getattr(socket.socket, name), ports)
@@ -58,7 +58,7 @@
 def _reroute_call(
     name: str,
     call: Callable[[socket.socket, Any], Any],
-    ports: Ports,
+    ports: PortMap,
 ) -> None:
     def call_rerouted(self: socket.socket, address: Any) -> Any:
         host, port = address
@@ -69,7 +69,7 @@
 
 def main() -> None:
     """Reroute, then run the module."""
-    reroute(Ports(Path(sys.argv[1])))
+    reroute(PortMap(Path(sys.argv[1])))
     sys.argv = sys.argv[2:]
     runpy.run_module(sys.argv[0], run_name='__main__', alter_sys=True)
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -26,7 +26,7 @@
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 from tests.relay import Relay, Way
 from tests.replica_paths import Cut, ReplicaRelays
-from tests.rerouted import write_ports
+from tests.rerouted import write_port_map
 from waywell.standins.harness import Process, wait_until
 
 FRONTS = 3
@@ -234,7 +234,7 @@
         if truncated_share:
             self._links.pass_resets()
         self._ports = folder / 'ports.json'
-        write_ports(self._ports, self._links.ports)
+        write_port_map(self._ports, self._links.ports)
         self._links_back_at = 0.0
         names = [f'front-{number}' for number in range(1, FRONTS + 1)]
         self._cuttable = self._cuts.choice(names) if cut_share else ''
@@ -532,7 +532,7 @@
         self._ways_to_servers.append(relay)
         if self._cuttable:
             self._links.add(relay.port)
-            write_ports(self._ports, self._links.ports)
+            write_port_map(self._ports, self._links.ports)
 
     def _spoil_answers(self) -> None:
         acts = ('reject', 'reset', 'fail', 'cut-3', 'foreign')
--- a/tests/switched.py
+++ b/tests/switched.py
@@ -111,7 +111,7 @@
     from waywell.connection import relay
 
     relay.AnswerRelay.connectionLost = lambda self, _reason=None: (
-        self._given_up or self._end(whole=True)
+        self._is_cancelled or self._finish(is_complete=True)
     )
 
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 from twisted.web.client import PotentialDataLoss, ResponseDone
 
-from waywell.connection.bodies import read_whole
+from waywell.connection.bodies import read_body
 
 
 class _Transport:
@@ -36,7 +36,7 @@
 def test_a_body_is_returned_whole() -> None:
     async def play() -> bytes:
         response = _Response()
-        reading = asyncio.ensure_future(read_whole(response, 20.0))
+        reading = asyncio.ensure_future(read_body(response, 20.0))
         await asyncio.sleep(0)
         response.body.dataReceived(b'a')
         response.body.dataReceived(b'b')
@@ -49,7 +49,7 @@
 def test_a_body_that_breaks_off_is_an_error() -> None:
     async def play() -> None:
         response = _Response()
-        reading = asyncio.ensure_future(read_whole(response, 20.0))
+        reading = asyncio.ensure_future(read_body(response, 20.0))
         await asyncio.sleep(0)
         response.body.dataReceived(b'a')
         response.body.connectionLost(Failure(ConnectionLost()))
@@ -63,7 +63,7 @@
     async def play() -> _Response:
         response = _Response()
         with pytest.raises(TimeoutError):
-            await read_whole(response, 0.0)
+            await read_body(response, 0.0)
         response.body.dataReceived(b'late')
         response.body.connectionLost(Failure(ResponseDone()))
         return response
@@ -83,7 +83,7 @@
 async def _read_closed(was_closed: bool) -> bytes:
     response = _Response()
     response.was_closed = was_closed
-    reading = asyncio.ensure_future(read_whole(response, 20.0))
+    reading = asyncio.ensure_future(read_body(response, 20.0))
     await asyncio.sleep(0)
     response.body.dataReceived(b'a')
     response.body.connectionLost(Failure(PotentialDataLoss()))
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -22,7 +22,7 @@
 from returns.result import Success
 
 from tests.held_clock import HeldClock
-from waywell.connection.http_calls import CallAnswer, HttpCalls
+from waywell.connection.http_client import HttpClient, HttpResponse
 from waywell.connection.platform import Changes, Kind
 from waywell.ids import BoxId
 from waywell.knowledge.cluster_view import ClusterView
@@ -132,7 +132,7 @@
         self, _method: str, path: str, *_args: Any, **_: Any
     ) -> Any:
         self.paths.append(path)
-        return Success(CallAnswer(200, self.pages.pop(0)))
+        return Success(HttpResponse(200, self.pages.pop(0)))
 
     def add_list(self, *objects: bytes, has_more: bool = False) -> None:
         more = b'true' if has_more else b'false'
@@ -158,7 +158,7 @@
     pages = Pages()
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(
-            HttpCalls,
+            HttpClient,
             'call',
             lambda _calls, *args, **kwargs: pages.call(*args, **kwargs),
         )
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -230,9 +230,9 @@
         (b'X-Deadline-Ms', b'8000'),
         (b'X-Own', b'kept'),
     )
-    ask = wire.read_ask('POST', '/notes/1', headers, b'body')
+    ask = wire.read_request('POST', '/notes/1', headers, b'body')
     sent = wire.make_forward_headers(ask, ForwardMark('own', 3), 2.5, 4)
-    again = wire.read_ask('POST', '/notes/1', sent, b'body')
+    again = wire.read_request('POST', '/notes/1', sent, b'body')
     assert again.forwarded == ForwardMark('own', 3)
     assert (again.host, again.attempt) == ('shop.example', 'a1')
     assert (again.key, again.seconds, again.resume_after) == ('secret', 2.5, 4)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -13,7 +13,7 @@
 from tests.loops import in_loop, wait_until
 from waywell.connection.frames import (
     LENGTH_BYTES,
-    MOST_FRAME_BYTES,
+    MAX_FRAME_BYTES,
     FrameStream,
     FrameTransport,
 )
@@ -108,7 +108,7 @@
 
 def test_message_that_is_too_long_ends_the_stream() -> None:
     stream, taker, wire = open_held()
-    length = MOST_FRAME_BYTES + 1
+    length = MAX_FRAME_BYTES + 1
     stream.data_received(length.to_bytes(LENGTH_BYTES, 'big'))
     assert wire.is_aborted
     assert not taker.messages
@@ -118,7 +118,7 @@
     stream, _taker, wire = open_held()
     stream.send(pack(Beat(1, 1, 1, 0)))
     assert wire.written == frame(Beat(1, 1, 1, 0))
-    wire.waiting = MOST_FRAME_BYTES
+    wire.waiting = MAX_FRAME_BYTES
     stream.send(pack(Beat(2, 1, 1, 0)))
     assert wire.is_aborted
     stream.send(pack(Beat(3, 1, 1, 0)))
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -30,7 +30,9 @@
 
 
 def read(*extra: tuple[bytes, bytes]) -> Ask:
-    return WIRE.read_ask('POST', '/notes/1?x=2', (*HEADERS, *extra), b'body')
+    return WIRE.read_request(
+        'POST', '/notes/1?x=2', (*HEADERS, *extra), b'body'
+    )
 
 
 def write(ask: Ask, **changes: object) -> dict[bytes, bytes]:
--- a/tests/test_partitioned_entries.py
+++ b/tests/test_partitioned_entries.py
@@ -10,7 +10,7 @@
 
 from tests.conftest import QUICK
 from tests.replica_paths import Cut, ReplicaRelays
-from tests.rerouted import write_ports
+from tests.rerouted import write_port_map
 from waywell.client import call_http
 from waywell.codes import Code
 from waywell.connection.forwarding import CODE_HEADER
@@ -65,7 +65,7 @@
             target.ports['port'] for target in bench.targets.values()
         )
         ports = bench.folder / 'ports.json'
-        write_ports(ports, self.relays.ports)
+        write_port_map(ports, self.relays.ports)
         for name in CONNECTED_NODES:
             bench.start_entry(name, timing=QUICK)
         bench.start_entry(
--- a/tests/test_server_orders.py
+++ b/tests/test_server_orders.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from tests.boxes import make_group
-from waywell.connection.http_calls import CallAnswer
+from waywell.connection.http_client import HttpResponse
 from waywell.connection.platform import PlatformFault
 from waywell.ids import Epoch, ModelName
 from waywell.platform import orders as server_orders
@@ -24,16 +24,18 @@
 
 
 class _Calls:
-    def __init__(self, outcome: Result[CallAnswer, PlatformFault]) -> None:
+    def __init__(self, outcome: Result[HttpResponse, PlatformFault]) -> None:
         self.outcome = outcome
 
-    async def call(self, *_words: object) -> Result[CallAnswer, PlatformFault]:
+    async def call(
+        self, *_words: object
+    ) -> Result[HttpResponse, PlatformFault]:
         return self.outcome
 
 
 def give(
     monkeypatch: pytest.MonkeyPatch,
-    outcome: Result[CallAnswer, PlatformFault],
+    outcome: Result[HttpResponse, PlatformFault],
 ) -> OrderResult:
     def make_calls(_box: FleetBox, _seconds: float) -> _Calls:
         return _Calls(outcome)
@@ -66,7 +68,7 @@
     status: int,
     result: OrderResult,
 ) -> None:
-    answer = Success(CallAnswer(status, b'{}'))
+    answer = Success(HttpResponse(status, b'{}'))
     assert give(monkeypatch, answer) is result
 
 
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Success
 from twisted.web.http_headers import Headers
 
-from waywell.connection.http_calls import CallAnswer, HttpCalls
+from waywell.connection.http_client import HttpClient, HttpResponse
 from waywell.connection.platform import Kind, PlatformFault
 from waywell.connection.store_era import (
     UNTOLD_ERA,
@@ -35,7 +35,7 @@
         self.store = ObjectStore('127.0.0.1:1', 1.0, self.eras)
         self.answers: list[tuple[bytes, str | None]] = []
         self.status = 200
-        monkeypatch.setattr(HttpCalls, 'call', self._call)
+        monkeypatch.setattr(HttpClient, 'call', self._call)
 
     def list(self, *answers: tuple[bytes, str | None]) -> Any:
         self.answers = list(answers)
@@ -44,7 +44,7 @@
     async def _call(self, *_words: Any, **_named: Any) -> Any:
         raw, era = self.answers.pop(0)
         headers = Headers({} if era is None else {'store-era': [era]})
-        return Success(CallAnswer(self.status, raw, headers))
+        return Success(HttpResponse(self.status, raw, headers))
 
 
 @pytest.fixture
--- a/tests/test_stream_events.py
+++ b/tests/test_stream_events.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from waywell.connection.event_boundary import EventBoundary
+from waywell.connection.event_boundary import EventBoundaryTracker
 from waywell.request.stream_events import EventCutter
 
 STREAM = b''.join(
@@ -91,9 +91,9 @@
     cuts: list[int], end: int, line_end: bytes
 ) -> None:
     stream = STREAM.replace(b'\n', line_end)[:end]
-    at_once = EventBoundary()
+    at_once = EventBoundaryTracker()
     at_once.feed(stream)
-    in_pieces = EventBoundary()
+    in_pieces = EventBoundaryTracker()
     edges = [0, *sorted(cuts), len(stream)]
     for begin, stop in zip(edges, edges[1:], strict=False):
         in_pieces.feed(stream[begin:stop])
--- a/tests/test_truncated_calls.py
+++ b/tests/test_truncated_calls.py
@@ -9,7 +9,7 @@
 import pytest
 from returns.result import Failure, Result, Success
 
-from waywell.connection.http_calls import CallAnswer
+from waywell.connection.http_client import HttpResponse
 from waywell.connection.http_platform import HttpPlatform
 from waywell.connection.platform import Kind, PlatformFault
 from waywell.platform.objects import decode_page
@@ -41,7 +41,7 @@
         self._raw = raw
 
     async def call(self, *_words: Any, **_named: Any) -> Result:
-        return Success(CallAnswer(200, self._raw))
+        return Success(HttpResponse(200, self._raw))
 
 
 def make_platform(monkeypatch: pytest.MonkeyPatch, raw: bytes) -> HttpPlatform:
--- a/waywell/connection/admin.py
+++ b/waywell/connection/admin.py
@@ -19,15 +19,15 @@
 if TYPE_CHECKING:
     from twisted.web.http import Request
 
-BODY_BYTES = 2_000_000
+MAX_BODY_BYTES = 2_000_000
 """Largest order: above the platform's limit, so that it can be named."""
 
-Handler = Callable[['Call'], Awaitable[Any]]
+AdminHandler = Callable[['AdminCall'], Awaitable[Any]]
 """Answers a call with plain values."""
 
 
 @attrs.frozen
-class Call:
+class AdminCall:
     """One call of an operator."""
 
     body: Any
@@ -40,7 +40,7 @@
         """Return one text of the query."""
         return self.query.get(name, [default])[-1]
 
-    def get_number(self, name: str, default: int) -> int:
+    def get_integer(self, name: str, default: int) -> int:
         """Return one number of the query.
 
         Raises
@@ -81,10 +81,10 @@
     find_operator: Callable[[str], str | None]
     """Returns the operator whom a key belongs to."""
 
-    handlers: dict[tuple[str, str], Handler]
+    handlers: dict[tuple[str, str], AdminHandler]
     """Handlers by method and path."""
 
-    write_metrics: Callable[[], bytes]
+    render_metrics: Callable[[], bytes]
     """Returns the metrics in text form."""
 
 
@@ -108,7 +108,7 @@
         """Answer one call."""
         if request.path == b'/metrics':
             request.setHeader(b'content-type', b'text/plain; version=0.0.4')
-            _write(request, HTTPStatus.OK, self._backend.write_metrics())
+            _write(request, HTTPStatus.OK, self._backend.render_metrics())
             return int(NOT_DONE_YET)
         serving = start_task(self._serve(request))
         serving.addErrback(_fail, request)
@@ -143,9 +143,9 @@
         return operator
 
 
-def _read_call(request: Request) -> Call:
-    raw = request.content.read(BODY_BYTES + 1)
-    if len(raw) > BODY_BYTES:
+def _read_call(request: Request) -> AdminCall:
+    raw = request.content.read(MAX_BODY_BYTES + 1)
+    if len(raw) > MAX_BODY_BYTES:
         raise Refusal(Code.DOCUMENT_TOO_LARGE)
     query = {
         name.decode(): [text.decode() for text in texts]
@@ -155,7 +155,7 @@
         body = msgspec.json.decode(raw) if raw else None
     except msgspec.MsgspecError as error:
         raise Refusal(Code.BAD_DOCUMENT, detail=str(error)) from error
-    return Call(body, query)
+    return AdminCall(body, query)
 
 
 def _write(request: Request, status: int, raw: bytes) -> None:
--- a/waywell/connection/bodies.py
+++ b/waywell/connection/bodies.py
@@ -10,7 +10,7 @@
 from twisted.web.iweb import IBodyProducer
 from zope.interface import implementer
 
-from waywell.connection.body_end import BodyOutcome, read_body_end
+from waywell.connection.body_end import BodyOutcome, classify_body_end
 
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IConsumer
@@ -20,7 +20,7 @@
 
 
 @implementer(IBodyProducer)
-class BytesBody:
+class BytesBodyProducer:
     """A request body that is wholly in memory."""
 
     def __init__(self, body: bytes) -> None:
@@ -64,14 +64,14 @@
         """Tell the body, or why it is not whole."""
         if self._whole.done():
             return
-        end = read_body_end(reason, self._response.was_closed)
+        end = classify_body_end(reason, self._response.was_closed)
         if BodyOutcome(end).is_complete:
             self._whole.set_result(bytes(self._gathered))
         else:
             self._whole.set_exception(reason.value)
 
 
-async def read_whole(response: ClientResponse, seconds: float) -> bytes:
+async def read_body(response: ClientResponse, seconds: float) -> bytes:
     """Return the body of an answer.
 
     Twisted's own reader fails with a traceback when a body that was given up
--- a/waywell/connection/body_end.py
+++ b/waywell/connection/body_end.py
@@ -15,7 +15,7 @@
 class BodyEnd(enum.Enum):
     """What ended a body."""
 
-    ANNOUNCED = 'announced'
+    DELIMITED = 'announced'
     """Its length was reached, or its last chunk came."""
 
     CLOSED = 'closed'
@@ -24,11 +24,11 @@
     RESET = 'reset'
     """A broken connection; it had neither a length nor chunks."""
 
-    CUT = 'cut'
+    TRUNCATED = 'cut'
     """The connection ended before the length or the last chunk."""
 
 
-def read_body_end(reason: Failure, was_closed: bool) -> BodyEnd:
+def classify_body_end(reason: Failure, was_closed: bool) -> BodyEnd:
     """Return what ended a body.
 
     Parameters
@@ -39,16 +39,16 @@
         Whether the connection ended with an orderly close.
     """
     if reason.check(ResponseDone):
-        return BodyEnd.ANNOUNCED
+        return BodyEnd.DELIMITED
     if reason.check(PotentialDataLoss):
         return BodyEnd.CLOSED if was_closed else BodyEnd.RESET
-    return BodyEnd.CUT
+    return BodyEnd.TRUNCATED
 
 
 class BodyOutcome(msgspec.Struct, frozen=True):
     """Whether a body is complete: the one verdict for every reader."""
 
-    end: BodyEnd = BodyEnd.ANNOUNCED
+    end: BodyEnd = BodyEnd.DELIMITED
     """What ended it."""
 
     unfinished_bytes: int = 0
@@ -69,7 +69,7 @@
             return False
         if self.end is BodyEnd.CLOSED:
             return self.has_events
-        return self.end is BodyEnd.ANNOUNCED
+        return self.end is BodyEnd.DELIMITED
 
     def describe(self) -> dict[str, object]:
         """Return what log lines tell of it."""
--- a/waywell/connection/caller.py
+++ b/waywell/connection/caller.py
@@ -13,7 +13,7 @@
     BaseCallerSite,
 )
 from waywell.connection.forwarding import CODE_HEADER, RAN_HEADER
-from waywell.connection.hop_headers import HOP_HEADERS
+from waywell.connection.hop_headers import HOP_BY_HOP_HEADERS
 from waywell.connection.relay import AnswerRelay
 from waywell.connection.target import (
     EPOCH_HEADER,
@@ -34,7 +34,7 @@
 """Version of the configuration that a request was served by."""
 
 
-_DROPPED = HOP_HEADERS | {
+_DROPPED = HOP_BY_HOP_HEADERS | {
     'authorization',
     'host',
     'expect',
@@ -45,7 +45,7 @@
 }
 
 
-LONGEST_RETRY = 3600
+MAX_RETRY_AFTER_SECONDS = 3600
 """Longest advice to come back, in seconds."""
 
 
@@ -74,7 +74,7 @@
     def refuse(self, refusal: Refusal) -> None:
         """Answer with a refusal, at once."""
         self.backend.report(self, refusal.code, refusal.ran)
-        if self.is_gone:
+        if self.is_disconnected:
             return
         raw = msgspec.json.encode(refusal.describe())
         self.setResponseCode(refusal.status)
@@ -83,7 +83,9 @@
         self.setHeader(CODE_HEADER.encode(), str(int(refusal.code)).encode())
         self.setHeader(RAN_HEADER.encode(), refusal.ran.value.encode())
         if refusal.retry_after is not None:
-            seconds = max(1, round(min(refusal.retry_after, LONGEST_RETRY)))
+            seconds = max(
+                1, round(min(refusal.retry_after, MAX_RETRY_AFTER_SECONDS))
+            )
             self.setHeader(b'retry-after', str(seconds).encode())
         self.write(raw)
         self.finish()
@@ -138,17 +140,17 @@
         self._request = request
 
     def is_gone(self) -> bool:
-        return self._request.is_gone
+        return self._request.is_disconnected
 
     async def relay(self, answer: TargetAnswer, service: Service) -> bool:
-        if self._request.is_gone:
+        if self._request.is_disconnected:
             answer.abandon()
             return False
-        wants_marker = service.type is ServiceType.MODEL
-        relay = AnswerRelay(self._request, answer, wants_marker)
+        needs_end_marker = service.type is ServiceType.MODEL
+        relay = AnswerRelay(self._request, answer, needs_end_marker)
         self._request.is_relaying = True
         relay.start()
-        return await relay.whole
+        return await relay.completion
 
 
 class CallerSite(BaseCallerSite):
--- a/waywell/connection/caller_base.py
+++ b/waywell/connection/caller_base.py
@@ -28,7 +28,7 @@
         """Start before the first line."""
         super().__init__(channel, *rest)
         self.backend: Any = channel.site.backend
-        self.is_gone = False
+        self.is_disconnected = False
         self.is_relaying = False
         self._serving: Any = None
         self._refused = False
@@ -87,13 +87,13 @@
         self.channel.write_refusal(refusal)
 
     def _note_gone(self, _failure: object) -> None:
-        self.is_gone = True
+        self.is_disconnected = True
         if not self.is_relaying and self._serving is not None:
             self._serving.cancel()
 
     def _fail(self, failure: Any) -> None:
         """End a request whose caller has gone, or that met our own fault."""
-        if not self.is_gone:
+        if not self.is_disconnected:
             log_warning('request_failed', error=repr(failure.value))
             self.loseConnection()
         self.backend.report(self, Code.TARGET_FAILED, Ran.MAY_HAVE_RUN)
@@ -187,7 +187,7 @@
     def log(self, request: Any) -> None:
         """Write no access log: each request has its own event."""
 
-    def hang_up(self) -> None:
+    def close_connections(self) -> None:
         """Close every connection when what was written has left."""
         for channel in tuple(self.channels):
             channel.loseConnection()
--- a/waywell/connection/event_boundary.py
+++ b/waywell/connection/event_boundary.py
@@ -9,7 +9,7 @@
 """Begin of a line that belongs to no event."""
 
 
-class EventBoundary:
+class EventBoundaryTracker:
     """Follows a stream by its lines, and keeps none of its bytes.
 
     An event is one or more lines that are no comments, and ends with an
--- a/waywell/connection/exchange.py
+++ b/waywell/connection/exchange.py
@@ -18,15 +18,15 @@
 from twisted.web.client import Request
 from twisted.web.http_headers import Headers
 
-from waywell.connection.bodies import BytesBody
-from waywell.connection.body_end import BodyEnd, read_body_end
+from waywell.connection.bodies import BytesBodyProducer
+from waywell.connection.body_end import BodyEnd, classify_body_end
 from waywell.connection.client_connection import (
     ClientConnection,
     ClientResponse,
 )
 from waywell.connection.deferreds import await_deferred
-from waywell.connection.hop_headers import HOP_HEADERS
-from waywell.connection.wire import RawHeaders
+from waywell.connection.hop_headers import HOP_BY_HOP_HEADERS
+from waywell.connection.wire_format import RawHeaders
 from waywell.telemetry.events import log_warning
 
 if TYPE_CHECKING:
@@ -50,14 +50,14 @@
     REPLICA_ENDED = 'replica_ended'
     """A box of the replica has started again; what ran there is lost."""
 
-    NO_TURN = 'no_turn'
+    NO_PERMIT = 'no_turn'
     """The replica has a limit, and other requests have its turns."""
 
     HELD_BACK = 'held_back'
     """Replicas ended under the request; this one is to be spared."""
 
 
-class Outgoing(msgspec.Struct, frozen=True):
+class OutgoingRequest(msgspec.Struct, frozen=True):
     """A request on its way to a box."""
 
     host: str
@@ -103,7 +103,7 @@
         reason: TwistedFailure = connectionDone,
     ) -> None:
         """Pass the end on."""
-        self.on_end(read_body_end(reason, self.was_closed()))
+        self.on_end(classify_body_end(reason, self.was_closed()))
 
     def was_closed(self) -> bool:
         """Answer whether the connection ended with an orderly close."""
@@ -122,7 +122,7 @@
             transport.resumeProducing()
 
 
-class OpenRequest:
+class PendingRequest:
     """A request that was sent and has no answer yet.
 
     Parameters
@@ -162,7 +162,7 @@
             (name, text)
             for name, texts in response.headers.getAllRawHeaders()
             for text in texts
-            if name.lower().decode('latin-1') not in HOP_HEADERS
+            if name.lower().decode('latin-1') not in HOP_BY_HOP_HEADERS
         )
         self.length = response.length
 
@@ -183,10 +183,10 @@
 
 
 async def open_exchange(
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     connect_seconds: float,
     may_send: Callable[[], bool],
-    on_sent: Callable[[OpenRequest], None],
+    on_sent: Callable[[PendingRequest], None],
 ) -> Result[Exchange, SendFault]:
     """Connect, send a request and wait for the head of its answer.
 
@@ -240,8 +240,8 @@
 
 async def _request(
     protocol: Any,
-    outgoing: Outgoing,
-    on_sent: Callable[[OpenRequest], None],
+    outgoing: OutgoingRequest,
+    on_sent: Callable[[PendingRequest], None],
 ) -> Result[Exchange, SendFault]:
     headers = Headers()
     for name, text in outgoing.headers:
@@ -250,11 +250,11 @@
         outgoing.method.encode('latin-1'),
         outgoing.target.encode('latin-1'),
         headers,
-        BytesBody(outgoing.body) if outgoing.body else None,
+        BytesBodyProducer(outgoing.body) if outgoing.body else None,
         persistent=False,
     )
     answered = protocol.request(request)
-    on_sent(OpenRequest(protocol))
+    on_sent(PendingRequest(protocol))
     try:
         response: ClientResponse = await await_deferred(answered, None)
     except Exception:
--- a/waywell/connection/forwarding.py
+++ b/waywell/connection/forwarding.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from waywell.connection.wire import RawHeaders
+    from waywell.connection.wire_format import RawHeaders
 
 FORWARDED_HEADER = 'waywell-forwarded'
 """Name of the entry box that forwards a request, and how many replicas the
--- a/waywell/connection/frames.py
+++ b/waywell/connection/frames.py
@@ -25,18 +25,18 @@
 LENGTH_BYTES = 4
 """Bytes of the length before each message."""
 
-MOST_FRAME_BYTES = 16_777_216
+MAX_FRAME_BYTES = 16_777_216
 """Bytes of the longest message that is read: some ten times the list of the
 2,400 boxes that the largest fleet has."""
 
-MOST_WAITING_BYTES = 4_194_304
+MAX_BUFFERED_BYTES = 4_194_304
 """Bytes that wait for a peer before its stream is given up: more than the
 whole list of boxes, a small part of a node's memory."""
 
-DIAL_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 """For a connection to come up: beyond the longest way and one lost packet."""
 
-Acceptor = Callable[[], StreamListener | None]
+ListenerFactory = Callable[[], StreamListener | None]
 """Returns the listener of a stream that a peer opened, or ``None`` while none
 is taken."""
 
@@ -79,7 +79,7 @@
         while len(received) - start >= LENGTH_BYTES:
             begin = start + LENGTH_BYTES
             length = int.from_bytes(received[start:begin], 'big')
-            if length > MOST_FRAME_BYTES:
+            if length > MAX_FRAME_BYTES:
                 self._give_up(f'message of {length} bytes')
                 return
             if len(received) - begin < length:
@@ -97,7 +97,7 @@
         """Write a message at once."""
         if self._transport is None or self._transport.is_closing():
             return
-        if self._transport.get_write_buffer_size() > MOST_WAITING_BYTES:
+        if self._transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
             self._give_up('the peer does not read')
             return
         raw = bytes(packed)
@@ -111,7 +111,7 @@
         elif self._dialling is not None:
             self._dialling.cancel()
 
-    def begin_dialling(self, work: Coroutine[Any, Any, None]) -> None:
+    def start_connecting(self, work: Coroutine[Any, Any, None]) -> None:
         """Open the connection; the listener hears of it if that fails."""
         self._dialling = asyncio.get_running_loop().create_task(work)
         # A task that is cancelled before its first turn runs nothing at all.
@@ -163,10 +163,12 @@
     ) -> PeerStream:
         """Begin to connect."""
         stream = FrameStream(self._decoder, listener)
-        stream.begin_dialling(_connect(stream, host, port))
+        stream.start_connecting(_connect(stream, host, port))
         return stream
 
-    async def listen(self, host: str, port: int, accept: Acceptor) -> int:
+    async def listen(
+        self, host: str, port: int, accept: ListenerFactory
+    ) -> int:
         """Take streams at a port; return which port it is.
 
         Raises
@@ -187,5 +189,5 @@
 
 async def _connect(stream: FrameStream, host: str, port: int) -> None:
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(DIAL_SECONDS):
+    async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
         await loop.create_connection(lambda: stream, host, port)
--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -22,7 +22,7 @@
     FORWARDED_BYTES,
     RAN_HEADER,
 )
-from waywell.connection.wire import Wire
+from waywell.connection.wire_format import WireFormat
 from waywell.request.ask import Ask
 from waywell.request.request_context import CallerAnswer
 from waywell.version.routes import CallerLimits
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from twisted.web.http import HTTPChannel
 
-    from waywell.connection.wire import RawHeaders
+    from waywell.connection.wire_format import RawHeaders
 
 NOT_RUN_STATUS = 503
 """HTTP status that promises that a request has not run."""
@@ -43,7 +43,7 @@
 class FrontBackend:
     """What the port needs of the node."""
 
-    wire: Wire
+    wire: WireFormat
     """How requests look."""
 
     serve: Callable[[Ask, CallerAnswer], Awaitable[None]]
@@ -73,12 +73,12 @@
         """Start before the first line."""
         super().__init__(channel, *rest)
         # The caller's id of this attempt, once it is read.
-        self.attempt = ''
+        self.attempt_id = ''
 
     def refuse(self, refusal: Refusal) -> None:
         """Answer with a refusal, at once."""
         self.backend.report(self, refusal.code, refusal.ran)
-        if self.is_gone:
+        if self.is_disconnected:
             return
         raw = msgspec.json.encode(refusal.describe())
         self.setResponseCode(_choose_status(refusal))
@@ -88,11 +88,11 @@
         self.setHeader(RAN_HEADER.encode(), refusal.ran.value.encode())
         if refusal.retry_after is not None:
             self.setHeader(b'retry-after', f'{refusal.retry_after:g}'.encode())
-        self.close_if_leaving()
+        self.disable_keep_alive_if_leaving()
         self.write(raw)
         self.finish()
 
-    def close_if_leaving(self) -> None:
+    def disable_keep_alive_if_leaving(self) -> None:
         """Tell the caller not to use this connection again."""
         if self.backend.is_leaving():
             self.setHeader(b'connection', b'close')
@@ -105,13 +105,13 @@
             for name, texts in self.requestHeaders.getAllRawHeaders()
             for text in texts
         )
-        ask = self.backend.wire.read_ask(
+        ask = self.backend.wire.read_request(
             self.method.decode('latin-1'),
             self.uri.decode('latin-1'),
             raw_headers,
             self.content.getvalue(),
         )
-        self.attempt = ask.attempt
+        self.attempt_id = ask.attempt
         await self.backend.serve(ask, _FrontAnswer(self))
         self.backend.report(self, Code.OK, Ran.RAN)
 
@@ -147,7 +147,7 @@
             request.responseHeaders.addRawHeader(name, text)
         if length is not None:
             request.setHeader(b'content-length', str(length).encode())
-        request.close_if_leaving()
+        request.disable_keep_alive_if_leaving()
         request.registerProducer(self, True)
         self._is_registered = True
 
--- a/waywell/connection/hop_headers.py
+++ b/waywell/connection/hop_headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'content-length',
--- a/waywell/connection/http_calls.py
+++ b/waywell/connection/http_client.py
@@ -11,7 +11,7 @@
 from twisted.web.client import Agent
 from twisted.web.http_headers import Headers
 
-from waywell.connection.bodies import BytesBody, read_whole
+from waywell.connection.bodies import BytesBodyProducer, read_body
 from waywell.connection.client_connection import make_client_pool
 from waywell.connection.deferreds import await_deferred
 from waywell.connection.platform import PlatformFault
@@ -22,7 +22,7 @@
 _NO_HEADERS = Headers()
 
 
-class CallAnswer(msgspec.Struct, frozen=True):
+class HttpResponse(msgspec.Struct, frozen=True):
     """A whole answer."""
 
     status: int
@@ -40,7 +40,7 @@
         return texts[-1] if texts else None
 
 
-class HttpCalls:
+class HttpClient:
     """Makes calls at a base address over kept connections.
 
     Parameters
@@ -77,7 +77,7 @@
         path: str,
         body: bytes | None = None,
         extra: float = 0,
-    ) -> Result[CallAnswer, PlatformFault]:
+    ) -> Result[HttpResponse, PlatformFault]:
         """Return the answer, whatever its status.
 
         Parameters
@@ -108,16 +108,16 @@
         path: str,
         body: bytes | None,
         extra: float,
-    ) -> CallAnswer:
+    ) -> HttpResponse:
         limit = self._timeout + extra
         response: Any = await await_deferred(
             self._agent.request(
                 method.encode(),
                 f'{self._url}{path}'.encode(),
                 self._headers,
-                None if body is None else BytesBody(body),
+                None if body is None else BytesBodyProducer(body),
             ),
             limit,
         )
-        raw = await read_whole(response, limit)
-        return CallAnswer(response.code, raw, response.headers)
+        raw = await read_body(response, limit)
+        return HttpResponse(response.code, raw, response.headers)
--- a/waywell/connection/http_platform.py
+++ b/waywell/connection/http_platform.py
@@ -10,7 +10,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from waywell.connection.http_calls import CallAnswer, HttpCalls
+from waywell.connection.http_client import HttpClient, HttpResponse
 from waywell.connection.platform import (
     Changes,
     Kind,
@@ -51,7 +51,7 @@
 
     def __init__(self, url: str, timeout: float) -> None:
         """Open no connection yet."""
-        self._calls = HttpCalls(url, timeout)
+        self._calls = HttpClient(url, timeout)
 
     async def fetch(
         self,
@@ -135,7 +135,7 @@
         return called.bind(_take_answer)
 
 
-def _take_answer(answer: CallAnswer) -> Result[bytes | None, PlatformFault]:
+def _take_answer(answer: HttpResponse) -> Result[bytes | None, PlatformFault]:
     if answer.status == HTTPStatus.NOT_FOUND:
         return Success(None)
     if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/waywell/connection/http_target.py
+++ b/waywell/connection/http_target.py
@@ -24,13 +24,13 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-from waywell.connection.bodies import BytesBody, read_whole
+from waywell.connection.bodies import BytesBodyProducer, read_body
 from waywell.connection.client_connection import (
     ClientResponse,
     make_client_pool,
 )
 from waywell.connection.deferreds import await_deferred
-from waywell.connection.hop_headers import HOP_HEADERS
+from waywell.connection.hop_headers import HOP_BY_HOP_HEADERS
 from waywell.connection.named_limit import LIMIT_HEADER, read_limit
 from waywell.connection.retry_after import REST_HEADER, read_rest
 from waywell.connection.target import (
@@ -124,7 +124,7 @@
             (name, text)
             for name, texts in response.headers.getAllRawHeaders()
             for text in texts
-            if name.lower().decode('latin-1') not in HOP_HEADERS
+            if name.lower().decode('latin-1') not in HOP_BY_HOP_HEADERS
         ]
         self.length = response.length
         self.load = self._read_load()
@@ -194,7 +194,7 @@
             dispatch.method.encode(),
             _make_url(dispatch.member, dispatch.path),
             _make_headers(dispatch),
-            BytesBody(dispatch.body) if dispatch.body else None,
+            BytesBodyProducer(dispatch.body) if dispatch.body else None,
         )
         try:
             response: ClientResponse = await await_deferred(requested, seconds)
@@ -214,7 +214,7 @@
         seconds: float,
     ) -> OrderOutcome:
         """Send a fenced order to a box."""
-        body = BytesBody(msgspec.json.encode(order))
+        body = BytesBodyProducer(msgspec.json.encode(order))
         url = _make_url(member, '/waywell/order')
         try:
             response = await self._call(b'PUT', url, body, seconds)
@@ -247,7 +247,7 @@
         self,
         method: bytes,
         url: bytes,
-        body: BytesBody | None,
+        body: BytesBodyProducer | None,
         seconds: float,
     ) -> _SmallAnswer:
         agent = Agent(
@@ -259,7 +259,7 @@
             agent.request(method, url, None, body),
             seconds,
         )
-        raw = await read_whole(response, seconds)
+        raw = await read_body(response, seconds)
         return _SmallAnswer(response.code, raw)
 
     def _make_endpoint(
--- a/waywell/connection/desk.py
+++ b/waywell/connection/query_site.py
@@ -10,7 +10,7 @@
 from twisted.web.server import Request, Site
 
 
-class DeskAnswer(msgspec.Struct, frozen=True):
+class QueryResponse(msgspec.Struct, frozen=True):
     """An answer."""
 
     status: int
@@ -23,21 +23,21 @@
     """Type of the body."""
 
 
-DeskHandler = Callable[[Mapping[str, str]], DeskAnswer]
+QueryHandler = Callable[[Mapping[str, str]], QueryResponse]
 """Answers a call with the values of its query."""
 
 
 class _Desk(Resource):
     isLeaf = True
 
-    def __init__(self, handlers: Mapping[str, DeskHandler]) -> None:
+    def __init__(self, handlers: Mapping[str, QueryHandler]) -> None:
         super().__init__()
         self._handlers = handlers
 
     def render(self, request: Request) -> bytes:
         handler = self._handlers.get(request.path.decode('latin-1'))
         if handler is None or request.method != b'GET':
-            answer = DeskAnswer(HTTPStatus.NOT_FOUND)
+            answer = QueryResponse(HTTPStatus.NOT_FOUND)
         else:
             query = {
                 name.decode('latin-1'): texts[-1].decode('latin-1')
@@ -49,7 +49,7 @@
         return answer.raw
 
 
-class DeskSite(Site):
+class QuerySite(Site):
     """Answers small GET calls.
 
     Parameters
@@ -60,7 +60,7 @@
 
     displayTracebacks = False
 
-    def __init__(self, handlers: Mapping[str, DeskHandler]) -> None:
+    def __init__(self, handlers: Mapping[str, QueryHandler]) -> None:
         """Serve with these handlers."""
         super().__init__(_Desk(handlers))
 
--- a/waywell/connection/wire.py
+++ b/waywell/connection/wire_format.py
@@ -14,11 +14,11 @@
 """Header names and values in the order in which they came."""
 
 
-class Wire(abc.ABC):
+class WireFormat(abc.ABC):
     """Decodes asks and answers; another protocol is another subclass."""
 
     @abc.abstractmethod
-    def read_ask(
+    def read_request(
         self,
         method: str,
         target: str,
--- a/waywell/platform/desk.py
+++ b/waywell/platform/desk.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from waywell.connection.desk import DeskAnswer, DeskHandler
+from waywell.connection.query_site import QueryHandler, QueryResponse
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
@@ -26,7 +26,7 @@
 
 def make_ready_handlers(
     is_ready: Callable[[], bool],
-) -> Mapping[str, DeskHandler]:
+) -> Mapping[str, QueryHandler]:
     """Return what answers whether this node is ready."""
     return {READY_PATH: partial(_answer_ready, is_ready)}
 
@@ -34,7 +34,7 @@
 def make_directory_handlers(
     list_addresses: Callable[[str], Sequence[str]],
     keep_seconds: float,
-) -> Mapping[str, DeskHandler]:
+) -> Mapping[str, QueryHandler]:
     """Return what answers which addresses clients may use."""
     answer = partial(_answer_directory, list_addresses, keep_seconds)
     return {RESOLVE_PATH: answer}
@@ -43,22 +43,22 @@
 def _answer_ready(
     is_ready: Callable[[], bool],
     _query: Mapping[str, str],
-) -> DeskAnswer:
+) -> QueryResponse:
     if is_ready():
-        return DeskAnswer(HTTPStatus.OK)
-    return DeskAnswer(HTTPStatus.SERVICE_UNAVAILABLE)
+        return QueryResponse(HTTPStatus.OK)
+    return QueryResponse(HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 def _answer_directory(
     list_addresses: Callable[[str], Sequence[str]],
     keep_seconds: float,
     query: Mapping[str, str],
-) -> DeskAnswer:
+) -> QueryResponse:
     addresses = list_addresses(query.get('zone', ''))
     if not addresses:
-        return DeskAnswer(HTTPStatus.SERVICE_UNAVAILABLE)
+        return QueryResponse(HTTPStatus.SERVICE_UNAVAILABLE)
     body = {
         'addresses': addresses[:MOST_ADDRESSES],
         'ttl_s': keep_seconds,
     }
-    return DeskAnswer(HTTPStatus.OK, msgspec.json.encode(body))
+    return QueryResponse(HTTPStatus.OK, msgspec.json.encode(body))
--- a/waywell/platform/messages.py
+++ b/waywell/platform/messages.py
@@ -11,10 +11,10 @@
     ForwardMark,
     read_forward_mark,
 )
-from waywell.connection.hop_headers import HOP_HEADERS
+from waywell.connection.hop_headers import HOP_BY_HOP_HEADERS
 from waywell.connection.named_limit import LIMIT_HEADER, read_limit
 from waywell.connection.retry_after import REST_HEADER, read_rest
-from waywell.connection.wire import RawHeaders, Wire
+from waywell.connection.wire_format import RawHeaders, WireFormat
 from waywell.ids import ModelName
 from waywell.request.ask import AnswerMark, Ask, Delivery
 from waywell.request.prompt_parts import decode_prompt_parts
@@ -61,13 +61,13 @@
     ),
 )
 
-_DROPPED = HOP_HEADERS | _SET_BY_US | {'expect', FORWARDED_HEADER}
+_DROPPED = HOP_BY_HOP_HEADERS | _SET_BY_US | {'expect', FORWARDED_HEADER}
 
 
-class ServerWire(Wire):
+class ServerWire(WireFormat):
     """Decodes the platform's headers."""
 
-    def read_ask(
+    def read_request(
         self,
         method: str,
         target: str,
--- a/waywell/platform/orders.py
+++ b/waywell/platform/orders.py
@@ -10,7 +10,7 @@
 from returns.result import Failure
 
 from waywell.connection.box_orders import BoxOrders
-from waywell.connection.http_calls import HttpCalls
+from waywell.connection.http_client import HttpClient
 from waywell.platform.servers import (
     Born,
     Group,
@@ -129,8 +129,8 @@
     return BoxReport(found.pace, found.seq_no, standing, life)
 
 
-def _make_calls(box: FleetBox, seconds: float) -> HttpCalls:
-    return HttpCalls(
+def _make_calls(box: FleetBox, seconds: float) -> HttpClient:
+    return HttpClient(
         f'http://{box.host}:{box.port}',
         seconds,
         {'content-type': 'application/json', EXPECT_HEADER: box.box},
--- a/waywell/platform/store.py
+++ b/waywell/platform/store.py
@@ -13,7 +13,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from waywell.connection.http_calls import CallAnswer, HttpCalls
+from waywell.connection.http_client import HttpClient, HttpResponse
 from waywell.connection.platform import (
     Changes,
     Kind,
@@ -121,7 +121,7 @@
     ) -> None:
         """Open no connection yet."""
         self._eras = eras or EraTracker()
-        self._calls = HttpCalls(
+        self._calls = HttpClient(
             f'http://{address}',
             timeout,
             {'content-type': 'application/json'},
@@ -242,15 +242,15 @@
         path: str,
         body: bytes | None = None,
         extra: float = 0,
-    ) -> Result[CallAnswer, PlatformFault]:
+    ) -> Result[HttpResponse, PlatformFault]:
         """Return an answer of the present era."""
         called = await self._calls.call(method, path, body, extra)
         return called.bind(self._check_era)
 
     def _check_era(
         self,
-        answer: CallAnswer,
-    ) -> Result[CallAnswer, PlatformFault]:
+        answer: HttpResponse,
+    ) -> Result[HttpResponse, PlatformFault]:
         era = _read_era(answer.find_header(ERA_HEADER))
         if era == UNTOLD_ERA and answer.status in _REFUSALS:
             # What turned the call away need not be the store itself.
@@ -277,7 +277,7 @@
     return f'{path}?{urlencode(query)}' if query else path
 
 
-def _take_body(answer: CallAnswer) -> Result[bytes, PlatformFault]:
+def _take_body(answer: HttpResponse) -> Result[bytes, PlatformFault]:
     if answer.status < HTTPStatus.MULTIPLE_CHOICES:
         return Success(answer.raw)
     # The store says of a 503 that nothing was done.
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -213,7 +213,7 @@
         admin = AdminBackend(
             find_operator=operations.find_operator,
             handlers=operations.list_handlers(),
-            write_metrics=self.metrics.write,
+            render_metrics=self.metrics.write,
         )
         peer = PeerService(self._accept_peer, self._answer_claim)
         return Ports(self.settings.node, caller, admin, peer)
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -449,7 +449,7 @@
         if code is not Code.OK:
             log_event(
                 'refused',
-                request=request.attempt,
+                request=request.attempt_id,
                 path=(request.path or b'').decode('latin-1'),
                 code=int(code),
                 name=code.name,
--- a/waywell/process/front_adapter.py
+++ b/waywell/process/front_adapter.py
@@ -7,12 +7,12 @@
 import attrs
 
 from waywell.connection.box_orders import BoxOrders
-from waywell.connection.desk import DeskHandler
 from waywell.connection.platform import Platform
+from waywell.connection.query_site import QueryHandler
 from waywell.connection.store_era import EraTracker
-from waywell.connection.wire import Wire
+from waywell.connection.wire_format import WireFormat
 
-Handlers = Mapping[str, DeskHandler]
+Handlers = Mapping[str, QueryHandler]
 """Handlers of small calls, by path."""
 
 ListAddresses = Callable[[str], Sequence[str]]
@@ -35,7 +35,7 @@
     eras: EraTracker
     """Era of the platform's store."""
 
-    wire: Wire
+    wire: WireFormat
     """Requests and answers."""
 
     orders: BoxOrders
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from waywell.connection.desk import DeskAnswer
+from waywell.connection.query_site import QueryResponse
 from waywell.ids import ModelName
 from waywell.knowledge.era_history import EraHistory
 from waywell.version.fleet import parse_group_model
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from waywell.connection.desk import DeskHandler
+    from waywell.connection.query_site import QueryHandler
     from waywell.process.front import FrontNode
     from waywell.version.fleet import FleetGroup
     from waywell.version.routes import Route, ServiceShare
@@ -49,7 +49,7 @@
             lambda: len(node.quarantine.quarantine.history.holds),
         )
 
-    def list_handlers(self) -> dict[str, DeskHandler]:
+    def list_handlers(self) -> dict[str, QueryHandler]:
         """Return the handlers by path."""
         return {
             '/metrics': self._answer_metrics,
@@ -62,14 +62,14 @@
             '/v1/route': self._answer_route,
         }
 
-    def _answer_metrics(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _answer_metrics(self, _query: Mapping[str, str]) -> QueryResponse:
         text = self._node.metrics.write()
-        return DeskAnswer(HTTPStatus.OK, text, 'text/plain')
+        return QueryResponse(HTTPStatus.OK, text, 'text/plain')
 
-    def _answer_dump(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _answer_dump(self, _query: Mapping[str, str]) -> QueryResponse:
         return _answer(self._node.dump())
 
-    def _answer_status(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _answer_status(self, _query: Mapping[str, str]) -> QueryResponse:
         node = self._node
         cluster = node.cluster
         now = node.clock.read()
@@ -97,7 +97,9 @@
             },
         )
 
-    def _answer_configuration(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _answer_configuration(
+        self, _query: Mapping[str, str]
+    ) -> QueryResponse:
         table = self._node.cluster.index.table
         accounts = {holder.account for holder in table.holders.values()}
         return _answer(
@@ -110,17 +112,17 @@
             },
         )
 
-    def _answer_groups(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _answer_groups(self, _query: Mapping[str, str]) -> QueryResponse:
         fleet = self._node.cluster.fleet
         shown = [_show_group(group) for group in fleet.groups.values()]
         return _answer(shown)
 
-    def _answer_boxes(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _answer_boxes(self, _query: Mapping[str, str]) -> QueryResponse:
         fleet = self._node.cluster.fleet
         shown = [msgspec.structs.asdict(box) for box in fleet.boxes.values()]
         return _answer(shown)
 
-    def _answer_route(self, query: Mapping[str, str]) -> DeskAnswer:
+    def _answer_route(self, query: Mapping[str, str]) -> QueryResponse:
         """Tell where a request by ``host``, ``path`` and ``model`` may go."""
         index = self._node.cluster.index
         host, path = query.get('host', ''), query.get('path', '')
@@ -177,8 +179,10 @@
         }
 
 
-def _answer(shown: Any) -> DeskAnswer:
-    return DeskAnswer(HTTPStatus.OK, msgspec.json.encode(shown, enc_hook=str))
+def _answer(shown: Any) -> QueryResponse:
+    return QueryResponse(
+        HTTPStatus.OK, msgspec.json.encode(shown, enc_hook=str)
+    )
 
 
 def _show_group(group: FleetGroup) -> dict[str, Any]:
--- a/waywell/process/front_ports.py
+++ b/waywell/process/front_ports.py
@@ -8,9 +8,9 @@
 import attrs
 from twisted.internet import reactor
 
-from waywell.connection.desk import DeskHandler, DeskSite
-from waywell.connection.frames import Acceptor, FrameTransport
+from waywell.connection.frames import FrameTransport, ListenerFactory
 from waywell.connection.front import FrontBackend, FrontSite
+from waywell.connection.query_site import QueryHandler, QuerySite
 from waywell.process.front_settings import (
     Address,
     FrontNodeSettings,
@@ -25,16 +25,16 @@
     backend: FrontBackend
     """Callers."""
 
-    readiness: Mapping[str, DeskHandler]
+    readiness: Mapping[str, QueryHandler]
     """Whether the node is ready."""
 
-    directory: Mapping[str, DeskHandler]
+    directory: Mapping[str, QueryHandler]
     """Which entry boxes there are."""
 
-    metrics: Mapping[str, DeskHandler]
+    metrics: Mapping[str, QueryHandler]
     """Metrics and the state dump."""
 
-    accept_peer: Acceptor
+    accept_peer: ListenerFactory
     """Other entry boxes."""
 
 
@@ -83,12 +83,12 @@
         self.peers = Address(self.peers.host, port)
         self.callers = self._listen(self.callers, self._site)
         self.readiness = self._listen(
-            self.readiness, DeskSite(handlers.readiness)
+            self.readiness, QuerySite(handlers.readiness)
         )
         self.directory = self._listen(
-            self.directory, DeskSite(handlers.directory)
+            self.directory, QuerySite(handlers.directory)
         )
-        self.metrics = self._listen(self.metrics, DeskSite(handlers.metrics))
+        self.metrics = self._listen(self.metrics, QuerySite(handlers.metrics))
 
     def stop_accepting(self) -> None:
         """Take no new connections of callers."""
@@ -96,7 +96,7 @@
 
     def hang_up(self) -> None:
         """Close the callers' connections when all is written."""
-        self._site.hang_up()
+        self._site.close_connections()
 
     def count_callers(self) -> int:
         """Return the callers' connections that are open."""
--- a/waywell/process/operations.py
+++ b/waywell/process/operations.py
@@ -9,7 +9,7 @@
 from waywell.telemetry.measures import count_serving
 
 if TYPE_CHECKING:
-    from waywell.connection.admin import Call, Handler
+    from waywell.connection.admin import AdminCall, AdminHandler
     from waywell.process.entry import EntryNode
     from waywell.version.roster import Group
 
@@ -34,7 +34,7 @@
             self._node.settings.bootstrap_key_hashes,
         )
 
-    def list_handlers(self) -> dict[tuple[str, str], Handler]:
+    def list_handlers(self) -> dict[tuple[str, str], AdminHandler]:
         """Return the handlers by method and path."""
         return {
             ('GET', '/v1/configuration'): self._get_configuration,
@@ -47,19 +47,19 @@
             ('GET', '/v1/dump'): self._get_dump,
         }
 
-    async def _get_configuration(self, call: Call) -> Any:
+    async def _get_configuration(self, call: AdminCall) -> Any:
         return self._node.administration.read_configuration(
             call.get_selector(),
         )
 
-    async def _put_configuration(self, call: Call) -> Any:
+    async def _put_configuration(self, call: AdminCall) -> Any:
         return await self._node.administration.apply(
             call.body,
-            call.get_number('expected', ANY_NUMBER),
+            call.get_integer('expected', ANY_NUMBER),
             call.get_text('operation') or make_operation(),
         )
 
-    async def _get_groups(self, call: Call) -> Any:
+    async def _get_groups(self, call: AdminCall) -> Any:
         wanted = call.get_selector()
         return [
             self._describe_group(group)
@@ -67,21 +67,21 @@
             if wanted.admits(group.selectable)
         ]
 
-    async def _get_boxes(self, call: Call) -> Any:
+    async def _get_boxes(self, call: AdminCall) -> Any:
         return await self._node.administration.list_boxes(
             call.get_selector(),
         )
 
-    async def _post_labels(self, call: Call) -> Any:
+    async def _post_labels(self, call: AdminCall) -> Any:
         return await self._node.administration.relabel(call.body)
 
-    async def _post_explain(self, call: Call) -> Any:
+    async def _post_explain(self, call: AdminCall) -> Any:
         return self._node.administration.explain(
             call.body,
             self._describe_down(),
         )
 
-    async def _get_status(self, _call: Call) -> Any:
+    async def _get_status(self, _call: AdminCall) -> Any:
         node = self._node
         serving = count_serving(node.in_force.roster, node.is_usable)
         downtime = node.meter.list_seconds()
@@ -116,7 +116,7 @@
             ],
         }
 
-    async def _get_dump(self, _call: Call) -> Any:
+    async def _get_dump(self, _call: AdminCall) -> Any:
         node = self._node
         now = node.clock.read()
         return {
--- a/waywell/process/ports.py
+++ b/waywell/process/ports.py
@@ -69,7 +69,7 @@
 
     def hang_up(self) -> None:
         """Close the callers' connections when all is written."""
-        self._caller_site.hang_up()
+        self._caller_site.close_connections()
 
     def count_callers(self) -> int:
         """Return the callers' connections that are open."""
--- a/waywell/request/ask.py
+++ b/waywell/request/ask.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from waywell.connection.forwarding import ForwardMark, PeerRefusal
-from waywell.connection.wire import RawHeaders
+from waywell.connection.wire_format import RawHeaders
 from waywell.ids import AccountName, ModelName, PromptPart
 
 
--- a/waywell/request/attempt.py
+++ b/waywell/request/attempt.py
@@ -14,12 +14,12 @@
 from waywell.connection.exchange import (
     BodySink,
     Exchange,
-    OpenRequest,
-    Outgoing,
+    OutgoingRequest,
+    PendingRequest,
     SendFault,
     open_exchange,
 )
-from waywell.connection.wire import RawHeaders
+from waywell.connection.wire_format import RawHeaders
 from waywell.request.ask import AnswerMark
 from waywell.request.stream_events import EventCutter, StreamEvent
 
@@ -155,7 +155,7 @@
         self._clock = clock
         self._inbox = inbox
         self._task: asyncio.Task[None] | None = None
-        self._open_request: OpenRequest | None = None
+        self._open_request: PendingRequest | None = None
         self._exchange: Exchange | None = None
         self.head: Attempt.Head | None = None
         self._is_over = False
@@ -219,17 +219,17 @@
         if self._exchange is not None:
             self._exchange.abort()
 
-    def _keep_open_request(self, request: OpenRequest) -> None:
+    def _keep_open_request(self, request: PendingRequest) -> None:
         self.destination.on_connected(self._clock.read())
         self._open_request = request
 
     async def _run(
         self,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         may_send: Callable[[], bool],
     ) -> None:
         if not await self.destination.take_turn():
-            self.tell(self.Fault(self, SendFault.NO_TURN))
+            self.tell(self.Fault(self, SendFault.NO_PERMIT))
             return
         opened = await open_exchange(
             outgoing, CONNECT_SECONDS, may_send, self._keep_open_request
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -5,11 +5,11 @@
 import abc
 from typing import TYPE_CHECKING
 
-from waywell.connection.exchange import Outgoing
+from waywell.connection.exchange import OutgoingRequest
 from waywell.request.ask import Delivery
 
 if TYPE_CHECKING:
-    from waywell.connection.wire import RawHeaders
+    from waywell.connection.wire_format import RawHeaders
     from waywell.request.ask import AnswerMark
     from waywell.request.replica_book import ReplicaBook
     from waywell.request.request_context import ForwarderParts, RequestContext
@@ -34,7 +34,7 @@
         """Return what log lines tell of it."""
 
     @abc.abstractmethod
-    def make_outgoing(self, now: float) -> Outgoing:
+    def make_outgoing(self, now: float) -> OutgoingRequest:
         """Return the request as it is sent there at ``now``."""
 
     @abc.abstractmethod
@@ -112,7 +112,7 @@
         """Return what log lines tell of it."""
         return {'box': self.key.box, 'group': self.replica.group}
 
-    def make_outgoing(self, now: float) -> Outgoing:
+    def make_outgoing(self, now: float) -> OutgoingRequest:
         """Return the request as it is sent there at ``now``."""
         context = self._context
         holder = context.holder
@@ -123,7 +123,7 @@
             priority=context.priority if context.engine else None,
         )
         head = self.replica.head
-        return Outgoing(
+        return OutgoingRequest(
             head.host,
             head.port,
             context.ask.method,
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from waywell.connection.exchange import Outgoing
+from waywell.connection.exchange import OutgoingRequest
 from waywell.connection.forwarding import ForwardMark, read_refusal
 from waywell.request.ask import AnswerMark
 from waywell.request.destination import Destination
 from waywell.request.peer_chooser import make_peer_key
 
 if TYPE_CHECKING:
-    from waywell.connection.wire import RawHeaders
+    from waywell.connection.wire_format import RawHeaders
     from waywell.membership.membership import NodeRecord
     from waywell.request.request_context import ForwarderParts, RequestContext
 
@@ -50,10 +50,10 @@
         """Return what log lines tell of it."""
         return {'peer': self._peer.node}
 
-    def make_outgoing(self, now: float) -> Outgoing:
+    def make_outgoing(self, now: float) -> OutgoingRequest:
         """Return the request as it is sent there at ``now``."""
         context = self._context
-        return Outgoing(
+        return OutgoingRequest(
             self._peer.host,
             self._peer.caller_port,
             context.ask.method,
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from waywell.connection.wire import Wire
+from waywell.connection.wire_format import WireFormat
 from waywell.ids import Fingerprint, ServiceName, Trait
 from waywell.knowledge.cluster_view import ClusterView
 from waywell.process.clock import Clock
@@ -29,7 +29,7 @@
 from waywell.version.routes import Engine, KeyHolder, Route
 
 if TYPE_CHECKING:
-    from waywell.connection.wire import RawHeaders
+    from waywell.connection.wire_format import RawHeaders
 
 
 class CallerAnswer(abc.ABC):
@@ -64,7 +64,7 @@
     cluster: ClusterView
     """Routes and boxes in force, with how fresh they are."""
 
-    wire: Wire
+    wire: WireFormat
     """How requests and answers look."""
 
     chooser: Chooser
--- a/waywell/request/stream_events.py
+++ b/waywell/request/stream_events.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from waywell.connection.event_boundary import EventBoundary
+from waywell.connection.event_boundary import EventBoundaryTracker
 
 EVENT_END = re.compile(rb'(?>\r\n|\n|\r){2}')
 """A line end and an empty line, each of CR LF, LF or CR."""
@@ -35,7 +35,7 @@
         """Return whether it is more than comments and empty lines."""
         if self.number is not None:
             return True
-        boundary = EventBoundary()
+        boundary = EventBoundaryTracker()
         boundary.feed(self.raw)
         return boundary.has_events or boundary.is_inside_event
 
@@ -54,7 +54,7 @@
 
     def count_unfinished(self) -> int:
         """Return the bytes of an event that has begun; 0 between events."""
-        boundary = EventBoundary()
+        boundary = EventBoundaryTracker()
         boundary.feed(self._rest)
         return len(self._rest) if boundary.is_inside_event else 0
 
