--- a/waywell/connection/admin.py
+++ b/waywell/connection/admin.py
@@ -1,4 +1,4 @@
-"""The port for operators: JSON over HTTP, with operators' keys."""
+"""HTTP API for operators, with JSON bodies and API keys."""
 
 from __future__ import annotations
 
@@ -20,33 +20,34 @@
     from twisted.web.http import Request
 
 MAX_BODY_BYTES = 2_000_000
-"""Largest order: above the platform's limit, so that it can be named."""
+"""Largest request body, in bytes.  It exceeds the size limit of the platform,
+so that a document over that limit gets a refusal that names the limit."""
 
 AdminHandler = Callable[['AdminCall'], Awaitable[Any]]
-"""Answers a call with plain values."""
+"""Handles a call and returns the answer as values that JSON can encode."""
 
 
 @attrs.frozen
 class AdminCall:
-    """One call of an operator."""
+    """Decoded request of an operator."""
 
     body: Any
-    """Plain values of its body."""
+    """Decoded JSON body, or ``None`` for an empty one."""
 
     query: dict[str, list[str]]
-    """Its query."""
+    """Values of the query parameters by name."""
 
     def get_text(self, name: str, default: str = '') -> str:
-        """Return one text of the query."""
+        """Return the last value of a query parameter."""
         return self.query.get(name, [default])[-1]
 
     def get_integer(self, name: str, default: int) -> int:
-        """Return one number of the query.
+        """Return the last value of a query parameter as an integer.
 
         Raises
         ------
         Refusal
-            When it is no number.
+            If the value is not an integer.
         """
         text = self.get_text(name, str(default))
         try:
@@ -58,60 +59,62 @@
             ) from error
 
     def get_selector(self) -> Selector:
-        """Return the selector that ``label=key:value`` make up.
+        """Return the selector that the ``label=key:value`` parameters form.
 
         Raises
         ------
         Refusal
-            When one of them has another form.
+            If a ``label`` parameter has no colon.
         """
         match: dict[str, list[str]] = {}
         for text in self.query.get('label', []):
-            key, mark, wanted = text.partition(':')
-            if not mark:
+            key, separator, label = text.partition(':')
+            if not separator:
                 raise Refusal(Code.BAD_DOCUMENT, detail='label: key:value')
-            match.setdefault(key, []).append(wanted)
+            match.setdefault(key, []).append(label)
         return Selector(match=match)
 
 
 @attrs.frozen
 class AdminBackend:
-    """What the port needs of the node."""
+    """Functions of the node that the operator API calls."""
 
     find_operator: Callable[[str], str | None]
-    """Returns the operator whom a key belongs to."""
+    """Returns the operator that owns a key, or ``None`` for an unknown key."""
 
     handlers: dict[tuple[str, str], AdminHandler]
-    """Handlers by method and path."""
+    """Handlers by HTTP method and path."""
 
     render_metrics: Callable[[], bytes]
-    """Returns the metrics in text form."""
+    """Returns the metrics in the text format of Prometheus."""
 
 
 class AdminResource(Resource):
-    """Answers operators and the scraper of metrics.
+    """Resource that serves operators and the metrics scraper.
 
     Parameters
     ----------
     backend
-        The node.
+        Functions of the node that serve the calls.
     """
 
     isLeaf = True
 
     def __init__(self, backend: AdminBackend) -> None:
-        """Answer for a node."""
+        """Keep the functions of the node."""
         super().__init__()
         self._backend = backend
 
     def render(self, request: Request) -> int:
-        """Answer one call."""
+        """Serve the metrics at once, and everything else in a task."""
         if request.path == b'/metrics':
             request.setHeader(b'content-type', b'text/plain; version=0.0.4')
-            _write(request, HTTPStatus.OK, self._backend.render_metrics())
+            _write_response(
+                request, HTTPStatus.OK, self._backend.render_metrics()
+            )
             return int(NOT_DONE_YET)
-        serving = start_task(self._serve(request))
-        serving.addErrback(_fail, request)
+        serving_task = start_task(self._serve(request))
+        serving_task.addErrback(_respond_to_failure, request)
         return int(NOT_DONE_YET)
 
     async def _serve(self, request: Request) -> None:
@@ -119,9 +122,9 @@
             answer = await self._answer(request)
         except Refusal as refusal:
             raw = msgspec.json.encode(refusal.describe())
-            _write(request, refusal.status, raw)
+            _write_response(request, refusal.status, raw)
             return
-        _write(request, HTTPStatus.OK, msgspec.json.encode(answer))
+        _write_response(request, HTTPStatus.OK, msgspec.json.encode(answer))
 
     async def _answer(self, request: Request) -> Any:
         method = request.method.decode('latin-1')
@@ -158,7 +161,7 @@
     return AdminCall(body, query)
 
 
-def _write(request: Request, status: int, raw: bytes) -> None:
+def _write_response(request: Request, status: int, raw: bytes) -> None:
     if request._disconnected:  # noqa: SLF001
         return
     request.setResponseCode(status)
@@ -169,11 +172,11 @@
     request.finish()
 
 
-def _fail(failure: Any, request: Request) -> None:
-    """Answer a call that met a fault of our own."""
+def _respond_to_failure(failure: Any, request: Request) -> None:
+    """Respond to a call whose handler raised an unexpected exception."""
     log_warning('admin_call_failed', error=repr(failure.value))
     refusal = Refusal(Code.OUTCOME_UNKNOWN, Ran.MAY_HAVE_RUN)
-    _write(
+    _write_response(
         request,
         HTTPStatus.INTERNAL_SERVER_ERROR,
         msgspec.json.encode(refusal.describe()),
@@ -181,7 +184,7 @@
 
 
 def make_admin_site(backend: AdminBackend) -> Site:
-    """Return the site that serves operators."""
+    """Return the twisted site of the operator API."""
     site = Site(AdminResource(backend))
     site.displayTracebacks = False
     return site
--- a/waywell/connection/bodies.py
+++ b/waywell/connection/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests and answers of twisted's HTTP client."""
+"""Request and response bodies of the twisted HTTP client."""
 
 from __future__ import annotations
 
@@ -21,81 +21,84 @@
 
 @implementer(IBodyProducer)
 class BytesBodyProducer:
-    """A request body that is wholly in memory."""
+    """Produces a request body from bytes in memory."""
 
     def __init__(self, body: bytes) -> None:
-        """Keep the body."""
+        """Keep the bytes and announce their length."""
         self.length = len(body)
         self._body = body
 
     def startProducing(self, consumer: IConsumer) -> defer.Deferred[None]:  # noqa: N802
-        """Write the whole body at once."""
+        """Write the complete body in one call."""
         consumer.write(self._body)
         return defer.succeed(None)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written at the start."""
+        """Do nothing: ``startProducing`` writes the complete body."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written at the start."""
+        """Do nothing: ``startProducing`` writes the complete body."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written at the start."""
+        """Do nothing: ``startProducing`` writes the complete body."""
 
 
-class _WholeBody(Protocol):
-    """Gathers a body; what comes after its reader has gone is dropped."""
+class _BodyCollector(Protocol):
+    """Collects a body in memory.
+
+    The end of a body that nobody waits for any more is ignored.
+    """
 
     def __init__(
-        self, response: ClientResponse, whole: asyncio.Future[bytes]
+        self, response: ClientResponse, body: asyncio.Future[bytes]
     ) -> None:
         self._response = response
-        self._whole = whole
-        self._gathered = bytearray()
+        self._body = body
+        self._received = bytearray()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, WPS110
-        """Gather a piece."""
-        self._gathered += data
+        """Append bytes of the body."""
+        self._received += data
 
     def connectionLost(  # noqa: N802
         self,
         reason: Failure = connectionDone,
     ) -> None:
-        """Tell the body, or why it is not whole."""
-        if self._whole.done():
+        """Set the result of the future, or its exception if truncated."""
+        if self._body.done():
             return
         end = classify_body_end(reason, self._response.was_closed)
         if BodyOutcome(end).is_complete:
-            self._whole.set_result(bytes(self._gathered))
+            self._body.set_result(bytes(self._received))
         else:
-            self._whole.set_exception(reason.value)
+            self._body.set_exception(reason.value)
 
 
 async def read_body(response: ClientResponse, seconds: float) -> bytes:
-    """Return the body of an answer.
+    """Read the complete body of a response.
 
-    Twisted's own reader fails with a traceback when a body that was given up
-    ends after all.
+    ``readBody`` of twisted logs a traceback if the body ends after the wait
+    for it has timed out.
 
     Parameters
     ----------
     response
-        The answer, with its head read.
+        Response whose headers have been read.
     seconds
-        Seconds for the body to come.
+        Timeout for the body, in seconds.
 
     Raises
     ------
     TimeoutError
-        When it has not come in time; its connection is closed then.
+        If the body is not complete in time.  The connection is closed.
     """
-    whole: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-    gathering = _WholeBody(response, whole)
-    response.deliverBody(gathering)
+    body: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+    collector = _BodyCollector(response, body)
+    response.deliverBody(collector)
     try:
-        return await asyncio.wait_for(whole, seconds)
+        return await asyncio.wait_for(body, seconds)
     except TimeoutError:
-        transport: Any = gathering.transport
+        transport: Any = collector.transport
         if transport is not None:
             transport.loseConnection()
         raise
--- a/waywell/connection/body_end.py
+++ b/waywell/connection/body_end.py
@@ -1,4 +1,4 @@
-"""How the body of a response ended, and whether all of it came."""
+"""How the body of a response ended, and whether it is complete."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class BodyEnd(enum.Enum):
-    """What ended a body."""
+    """What ended the body of a response."""
 
     DELIMITED = 'announced'
-    """Its length was reached, or its last chunk came."""
+    """The content length was reached, or the last chunk received."""
 
     CLOSED = 'closed'
-    """An orderly close; it had neither a length nor chunks."""
+    """Orderly close of a body with neither a length nor chunks."""
 
     RESET = 'reset'
-    """A broken connection; it had neither a length nor chunks."""
+    """Connection error in a body with neither a length nor chunks."""
 
     TRUNCATED = 'cut'
-    """The connection ended before the length or the last chunk."""
+    """End of the connection before the content length or the last chunk."""
 
 
 def classify_body_end(reason: Failure, was_closed: bool) -> BodyEnd:
-    """Return what ended a body.
+    """Return what ended the body of a response.
 
     Parameters
     ----------
     reason
-        What twisted's HTTP client gives as the reason.
+        Reason that twisted passes to ``connectionLost`` of the body's reader.
     was_closed
         Whether the connection ended with an orderly close.
     """
@@ -46,24 +46,26 @@
 
 
 class BodyOutcome(msgspec.Struct, frozen=True):
-    """Whether a body is complete: the one verdict for every reader."""
+    """Whether a body is complete, decided by one rule for all readers."""
 
     end: BodyEnd = BodyEnd.DELIMITED
-    """What ended it."""
+    """What ended the body."""
 
     unfinished_bytes: int = 0
-    """Bytes of an event that had begun; 0 outside of event streams."""
+    """Bytes of an incomplete last event; 0 for bodies without events."""
 
     has_events: bool = True
-    """Whether an event has come, of an event stream."""
+    """Whether an event stream had at least one complete event; true for
+    bodies without events."""
 
     @property
     def is_complete(self) -> bool:
-        """Return whether all of it came.
+        """Return whether the body was received completely.
 
-        A stream that ends within an event was broken off, however it ends.
-        One that closes without any event holds no answer; only a length or
-        a last chunk says that there is none.
+        An event stream that ends within an event is truncated, whatever
+        ended it.  A stream that is closed before its first event holds no
+        answer; only a content length or a last chunk shows that it is
+        meant to be empty.
         """
         if self.unfinished_bytes:
             return False
@@ -72,7 +74,7 @@
         return self.end is BodyEnd.DELIMITED
 
     def describe(self) -> dict[str, object]:
-        """Return what log lines tell of it."""
+        """Return the values for log lines."""
         return {
             'ended': self.end.value,
             'unfinished_bytes': self.unfinished_bytes,
--- a/waywell/connection/caller.py
+++ b/waywell/connection/caller.py
@@ -1,4 +1,4 @@
-"""The port for callers: entry list and requests, over HTTP/1.1."""
+"""HTTP/1.1 port that serves requests and the entry list to callers."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
     from waywell.connection.target import TargetAnswer
 
 ENTRIES_PATH = b'/entries'
-"""Path of the entry list."""
+"""Path at which callers fetch the list of entry boxes."""
 
 
 CONFIGURATION_HEADER = 'waywell-configuration'
-"""Version of the configuration that a request was served by."""
+"""Response header with the version of the configuration in force when the
+request was served."""
 
 
-_DROPPED = HOP_BY_HOP_HEADERS | {
+_STRIPPED_HEADERS = HOP_BY_HOP_HEADERS | {
     'authorization',
     'host',
     'expect',
@@ -46,33 +47,33 @@
 
 
 MAX_RETRY_AFTER_SECONDS = 3600
-"""Longest advice to come back, in seconds."""
+"""Upper bound of the ``retry-after`` header, in seconds."""
 
 
 class CallerBackend(msgspec.Struct, frozen=True):
-    """What the port needs of the node."""
+    """Functions and limits of the node that the port uses."""
 
     serve: Callable[[Submission, CallerPort], Awaitable[None]]
-    """Serves a request; raises a refusal."""
+    """Serves a request; raises ``Refusal`` if it can't."""
 
     list_entries: Callable[[], dict[str, Any]]
-    """Returns the entry list."""
+    """Returns the entry list as values that JSON can encode."""
 
     get_configuration: Callable[[], int]
     """Returns the version of the configuration in force."""
 
     report: Callable[[CallerRequest, Code, Ran], None]
-    """Takes in how a request ended."""
+    """Records the result code of a request and whether the request ran."""
 
     body_bytes: int
-    """Largest request body."""
+    """Largest request body, in bytes."""
 
 
 class CallerRequest(BaseCallerRequest):
-    """One request of a caller of the entry daemon."""
+    """Request of a caller to the entry daemon."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal, at once."""
+        """Record a refusal and send it as the response."""
         self.backend.report(self, refusal.code, refusal.ran)
         if self.is_disconnected:
             return
@@ -91,28 +92,30 @@
         self.finish()
 
     def read_text(self, header: str) -> str:
-        """Return a header's last value as text, or an empty one."""
+        """Return the last value of a header, or an empty string."""
         texts = self.requestHeaders.getRawHeaders(header.encode(), [b''])
         return str(texts[-1].decode('latin-1'))
 
     async def serve_path(self) -> None:
-        """Answer the entry list, or serve a request."""
+        """Respond with the entry list, or serve a request to a service."""
         if self.path == ENTRIES_PATH:
-            self._answer_entries()
+            self._send_entries()
             return
         number = str(self.backend.get_configuration()).encode()
         self.setHeader(CONFIGURATION_HEADER.encode(), number)
-        await self.backend.serve(self._submit(), _RequestPort(self))
+        await self.backend.serve(
+            self._make_submission(), _RequestAdapter(self)
+        )
         self.backend.report(self, Code.OK, Ran.RAN)
 
-    def _answer_entries(self) -> None:
+    def _send_entries(self) -> None:
         raw = msgspec.json.encode(self.backend.list_entries())
         self.setHeader(b'content-type', b'application/json')
         self.setHeader(b'content-length', str(len(raw)).encode())
         self.write(raw)
         self.finish()
 
-    def _submit(self) -> Submission:
+    def _make_submission(self) -> Submission:
         headers = {
             name.decode('latin-1').lower(): texts
             for name, texts in self.requestHeaders.getAllRawHeaders()
@@ -120,7 +123,7 @@
         passed = tuple(
             (name.encode('latin-1'), text)
             for name, texts in headers.items()
-            if name not in _DROPPED
+            if name not in _STRIPPED_HEADERS
             for text in texts
         )
         return Submission(
@@ -135,7 +138,9 @@
         )
 
 
-class _RequestPort(CallerPort):
+class _RequestAdapter(CallerPort):
+    """Makes a twisted request usable by the dispatcher."""
+
     def __init__(self, request: CallerRequest) -> None:
         self._request = request
 
@@ -154,6 +159,6 @@
 
 
 class CallerSite(BaseCallerSite):
-    """Makes the requests of the entry daemon's callers."""
+    """Site that serves the callers of the entry daemon."""
 
     request_class = CallerRequest
--- a/waywell/connection/caller_base.py
+++ b/waywell/connection/caller_base.py
@@ -1,4 +1,4 @@
-"""What the ports for callers share: connections, bodies, malformed input."""
+"""Base classes of the caller ports: connections, bodies, malformed input."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from waywell.telemetry.events import log_warning
 
 IDLE_SECONDS = 120
-"""Seconds after which an idle caller connection is closed."""
+"""Timeout of idle connections of callers, in seconds."""
 
 LINGER_SECONDS = 1.0
-"""Seconds for which bytes after a refusal are read and dropped."""
+"""Time for which input is read and discarded after a refusal, in seconds."""
 
 
 class BaseCallerRequest(Request):
-    """One request of a caller; subclasses serve it."""
+    """Request of a caller; subclasses implement how it is served."""
 
     def __init__(self, channel: HTTPChannel, *rest: Any) -> None:
-        """Start before the first line."""
+        """Initialize before the request line is received."""
         super().__init__(channel, *rest)
         self.backend: Any = channel.site.backend
         self.is_disconnected = False
         self.is_relaying = False
-        self._serving: Any = None
-        self._refused = False
+        self._serving_task: Any = None
+        self._is_body_refused = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Keep the body in memory: entry boxes have no disk."""
+        """Receive the body into memory, since entry boxes have no disk."""
         self.content = BytesIO()
         if length is not None and length > self.backend.body_bytes:
             self._refuse_body()
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802, WPS110
-        """Take in a piece of the body, up to the limit."""
-        if self._refused:
+        """Append to the body; refuse it once it exceeds the limit."""
+        if self._is_body_refused:
             return
         if self.content.tell() + len(data) > self.backend.body_bytes:
             self._refuse_body()
@@ -49,24 +49,24 @@
             self.content.write(data)
 
     def process(self) -> None:
-        """Serve the request; twisted calls this when it is whole."""
-        if self._refused:
+        """Start to serve the request; twisted calls this after the body."""
+        if self._is_body_refused:
             return
-        self.notifyFinish().addErrback(self._note_gone)
-        self._serving = start_task(self._serve())
-        self._serving.addErrback(self._fail)
+        self.notifyFinish().addErrback(self._on_disconnect)
+        self._serving_task = start_task(self._serve())
+        self._serving_task.addErrback(self._on_failure)
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal, at once."""
+        """Send a refusal as the response."""
         raise NotImplementedError
 
     async def serve_path(self) -> None:
-        """Serve what is asked for.
+        """Serve the resource that the request names.
 
         Raises
         ------
         waywell.codes.Refusal
-            When it is not served.
+            If the request is not served.
         """
         raise NotImplementedError
 
@@ -81,18 +81,21 @@
 
     def _refuse_body(self) -> None:
         """Refuse a body over the limit without reading the rest of it."""
-        self._refused = True
+        self._is_body_refused = True
         refusal = Refusal(Code.BODY_TOO_LARGE)
         self.backend.report(self, refusal.code, refusal.ran)
         self.channel.write_refusal(refusal)
 
-    def _note_gone(self, _failure: object) -> None:
+    def _on_disconnect(self, _failure: object) -> None:
         self.is_disconnected = True
-        if not self.is_relaying and self._serving is not None:
-            self._serving.cancel()
+        if not self.is_relaying and self._serving_task is not None:
+            self._serving_task.cancel()
 
-    def _fail(self, failure: Any) -> None:
-        """End a request whose caller has gone, or that met our own fault."""
+    def _on_failure(self, failure: Any) -> None:
+        """Record a request that failed or was cancelled.
+
+        The connection is closed unless the caller has disconnected.
+        """
         if not self.is_disconnected:
             log_warning('request_failed', error=repr(failure.value))
             self.loseConnection()
@@ -100,43 +103,43 @@
 
 
 class CallerChannel(HTTPChannel):
-    """A caller's connection; malformed input gets a numbered answer."""
+    """Connection of a caller; malformed input gets a refusal with its code."""
 
     def __init__(self) -> None:
-        """Start before the first byte."""
+        """Initialize before the connection is made."""
         super().__init__()
         self.is_refusing = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Count the connection in."""
+        """Add the connection to the open connections of the site."""
         super().connectionMade()
         self.site.channels.add(self)
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Count the connection out."""
+        """Remove the connection from the open connections of the site."""
         self.site.channels.discard(self)
         super().connectionLost(reason)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Take in a line, or drop what comes after a refusal."""
+        """Parse a line of the request head; discard it after a refusal."""
         if not self.is_refusing:
             super().lineReceived(line)
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take in a piece of a body, or drop what comes after a refusal."""
+        """Parse bytes of a body; discard them after a refusal."""
         if not self.is_refusing:
             super().rawDataReceived(data)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        """Refuse a line that is too long."""
+        """Refuse a request that has an overlong line."""
         self.write_refusal(Refusal(Code.MALFORMED_HTTP))
 
     def write_refusal(self, refusal: Refusal) -> None:
-        """Write a refusal outside of a request, and hang up.
+        """Send a refusal that belongs to no parsed request, then disconnect.
 
-        What the caller is still sending is read and dropped for a while:
-        a connection that is closed over unread bytes is reset, and the
-        refusal would be lost with it.
+        Input is read and discarded for ``LINGER_SECONDS`` before the close.
+        Closing a socket with unread input resets the connection, and the
+        caller could lose the refusal.
         """
         if self.is_refusing:
             return
@@ -156,17 +159,17 @@
         self.callLater(LINGER_SECONDS, self.loseConnection)
 
     def _respondToBadRequestAndDisconnect(self) -> None:  # noqa: N802
-        """Answer what twisted found malformed."""
+        """Send a refusal in place of the bare 400 response of twisted."""
         self.write_refusal(Refusal(Code.MALFORMED_HTTP))
 
 
 class BaseCallerSite(Site):
-    """Makes the requests of callers.
+    """Site that serves callers and tracks their connections.
 
     Parameters
     ----------
     backend
-        The node.
+        Functions of the node that serve the requests.
     """
 
     protocol = CallerChannel
@@ -174,7 +177,7 @@
     displayTracebacks = False
 
     def __init__(self, backend: Any) -> None:
-        """Serve for a node."""
+        """Keep the functions of the node; no connection is open yet."""
         super().__init__(
             None,
             requestFactory=self.request_class,
@@ -185,9 +188,9 @@
         self.channels: set[CallerChannel] = set()
 
     def log(self, request: Any) -> None:
-        """Write no access log: each request has its own event."""
+        """Write no access log; the node logs its own request events."""
 
     def close_connections(self) -> None:
-        """Close every connection when what was written has left."""
+        """Close all connections once their buffered output is sent."""
         for channel in tuple(self.channels):
             channel.loseConnection()
--- a/waywell/connection/client_connection.py
+++ b/waywell/connection/client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of the HTTP client that know how they ended."""
+"""HTTP client connections that record whether they were closed cleanly."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 @attrs.frozen
 class ClientResponse:
-    """A response, and the connection that it comes on."""
+    """Response together with the connection that it arrives on."""
 
     _connection: ClientConnection
-    """The connection."""
+    """Connection, which records how it ends."""
 
     _response: Any
-    """The response as twisted reads it."""
+    """Response object of twisted."""
 
     @property
     def code(self) -> int:
-        """Return the HTTP status."""
+        """Return the HTTP status code."""
         return int(self._response.code)
 
     @property
     def headers(self) -> Headers:
-        """Return the headers."""
+        """Return the response headers."""
         return self._response.headers
 
     @property
     def length(self) -> int | None:
-        """Return the length of the body, where it is told."""
+        """Return the content length, or ``None`` if it is not announced."""
         length = self._response.length
         return length if isinstance(length, int) else None
 
@@ -51,44 +51,48 @@
         return self._connection.was_closed
 
     def deliverBody(self, protocol: Protocol) -> None:  # noqa: N802
-        """Deliver the body to a protocol, with back pressure."""
+        """Deliver the body to a protocol, with flow control."""
         self._response.deliverBody(protocol)
 
 
 class ClientConnection(HTTP11ClientProtocol):
-    """A client connection that remembers how it ended."""
+    """Client connection that records whether it was closed cleanly.
+
+    For a body without a length, twisted reports a clean close and a reset
+    as the same ``PotentialDataLoss``.
+    """
 
     def __init__(self, *quiescent: Callable[[Any], None]) -> None:
-        """Start before the connection stands."""
+        """Initialize before the connection is made."""
         super().__init__(*quiescent)
         self.was_closed = False
 
     def request(self, request: Any) -> Deferred[ClientResponse]:
-        """Send a request and return its response's head."""
-        answered = super().request(request)
-        return answered.addCallback(self._make_response)
+        """Send a request; return a deferred of the response without body."""
+        deferred = super().request(request)
+        return deferred.addCallback(self._wrap_response)
 
     def connectionLost(  # noqa: N802
         self,
         reason: Failure = connectionDone,
     ) -> None:
-        """Remember the end before the response is told of it."""
+        """Record how the connection ended before the response is notified."""
         self.was_closed = reason.check(ConnectionDone) is not None
         super().connectionLost(reason)
 
-    def _make_response(self, response: Any) -> ClientResponse:
+    def _wrap_response(self, response: Any) -> ClientResponse:
         return ClientResponse(self, response)
 
 
 class _ConnectionFactory(Factory):
-    """Makes connections that return to their pool once they are free."""
+    """Creates connections that return to their pool when they are idle."""
 
     noisy = False
 
     def __init__(
         self, quiescent: Callable[[Any], None], _metadata: str
     ) -> None:
-        """Keep what returns a free connection to its pool."""
+        """Keep the callback that returns an idle connection to its pool."""
         self._quiescent = quiescent
 
     def buildProtocol(self, addr: object) -> ClientConnection:  # noqa: N802
@@ -96,18 +100,18 @@
 
 
 class _ClientPool(HTTPConnectionPool):
-    """A pool of connections that know how they ended."""
+    """Pool whose connections record whether they were closed cleanly."""
 
     _factory = _ConnectionFactory
 
 
 def make_client_pool(keeps_connections: bool) -> HTTPConnectionPool:
-    """Return a pool that repeats no request by itself.
+    """Return a connection pool that never resends a request by itself.
 
     Parameters
     ----------
     keeps_connections
-        Whether connections are kept for later requests.
+        Whether idle connections are kept open for later requests.
     """
     pool = _ClientPool(reactor, keeps_connections)
     pool.retryAutomatically = False
--- a/waywell/connection/content_type.py
+++ b/waywell/connection/content_type.py
@@ -1,4 +1,4 @@
-"""Content types of responses."""
+"""Detection of event streams by the content type of a response."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
     from collections.abc import Iterable
 
 EVENT_STREAM = b'text/event-stream'
-"""Content type of a stream of events."""
+"""Content type of server-sent events."""
 
 _CONTENT_TYPE = b'content-type'
 
@@ -18,19 +18,21 @@
 
 
 def is_event_stream(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Answer whether the body of a response can be read as events.
+    """Return whether the body of a response can be parsed as events.
 
-    Types are compared without regard to case, and without parameters.  The
-    events of a compressed body can't be told.
+    Content types are compared without case and parameters.  The events of a
+    compressed body can't be recognized.
     """
-    fields = [(name.lower(), _get_word(text)) for name, text in headers]
+    fields = [
+        (name.lower(), _strip_parameters(text)) for name, text in headers
+    ]
     return (_CONTENT_TYPE, EVENT_STREAM) in fields and all(
-        word in _PLAIN_ENCODINGS
-        for name, word in fields
+        text in _PLAIN_ENCODINGS
+        for name, text in fields
         if name == _CONTENT_ENCODING
     )
 
 
-def _get_word(text: bytes) -> bytes:
-    """Return the value of a header without its parameters."""
+def _strip_parameters(text: bytes) -> bytes:
+    """Return a header value in lower case and without its parameters."""
     return text.partition(b';')[0].strip().lower()
--- a/waywell/connection/deferreds.py
+++ b/waywell/connection/deferreds.py
@@ -1,4 +1,4 @@
-"""The bridge between twisted's deferreds and the event loop's tasks."""
+"""Conversion between deferreds of twisted and tasks of asyncio."""
 
 from __future__ import annotations
 
@@ -11,19 +11,26 @@
     from collections.abc import Coroutine
 
 Answer = TypeVar('Answer')
-"""What a deferred fires with."""
+"""Type of the result of a deferred or coroutine."""
 
 
 async def await_deferred(
     deferred: Deferred[Answer],
     seconds: float | None,
 ) -> Answer:
-    """Return what a deferred fires with.
+    """Wait for a deferred and return its result.
+
+    Parameters
+    ----------
+    deferred
+        Deferred to wait for.
+    seconds
+        Timeout in seconds, or ``None`` to wait without limit.
 
     Raises
     ------
     TimeoutError
-        When it has not fired in time; it is cancelled then.
+        If the deferred has not fired in time.  It is cancelled.
     """
     future: asyncio.Future[Answer] = deferred.asFuture(
         asyncio.get_running_loop(),
@@ -31,7 +38,7 @@
     return await asyncio.wait_for(future, seconds)
 
 
-def start_task(work: Coroutine[Any, Any, Answer]) -> Deferred[Answer]:
-    """Run a coroutine as a task of the event loop; return its outcome."""
-    task = asyncio.get_running_loop().create_task(work)
+def start_task(coroutine: Coroutine[Any, Any, Answer]) -> Deferred[Answer]:
+    """Run a coroutine as an asyncio task; return a deferred of its result."""
+    task = asyncio.get_running_loop().create_task(coroutine)
     return Deferred.fromFuture(task)
--- a/waywell/connection/event_boundary.py
+++ b/waywell/connection/event_boundary.py
@@ -1,23 +1,23 @@
-"""Tells whether a stream of events stands between two events."""
+"""Detection of event boundaries in a stream of server-sent events."""
 
 from __future__ import annotations
 
 LINE_ENDS = b'\r\n'
-"""Bytes of line ends: CR LF, LF or CR."""
+"""Characters of line terminators: CR LF, LF or CR."""
 
 COMMENT = b':'
-"""Begin of a line that belongs to no event."""
+"""First byte of a comment line, which belongs to no event."""
 
 
 class EventBoundaryTracker:
-    """Follows a stream by its lines, and keeps none of its bytes.
+    """Tracks whether a stream is between two events, without buffering it.
 
-    An event is one or more lines that are no comments, and ends with an
-    empty line (https://html.spec.whatwg.org/multipage/server-sent-events.html).
+    An event consists of one or more lines other than comments and ends with
+    an empty line (https://html.spec.whatwg.org/multipage/server-sent-events.html).
     """
 
     def __init__(self) -> None:
-        """Start before the first byte."""
+        """Start at the beginning of a stream."""
         self.has_events = False
         self._is_line_open = False
         self._is_comment = False
@@ -26,21 +26,21 @@
 
     @property
     def is_inside_event(self) -> bool:
-        """Return whether a line, or an event, has begun and not ended."""
+        """Return whether the last line or the last event is incomplete."""
         return self._is_line_open or self._has_field
 
     def feed(self, raw: bytes) -> None:
-        """Follow the next bytes."""
+        """Process the next bytes of the stream."""
         if self._ended_with_cr and raw:
-            # The second half of a CR LF ends no other line.
+            # The LF of a CR LF that was split does not end another line.
             raw = raw.removeprefix(b'\n')
             self._ended_with_cr = False
         if raw:
             self._ended_with_cr = raw.endswith(b'\r')
         for line in raw.splitlines(keepends=True):
-            self._follow(line)
+            self._process_line(line)
 
-    def _follow(self, line: bytes) -> None:
+    def _process_line(self, line: bytes) -> None:
         text = line.rstrip(LINE_ENDS)
         if text and not self._is_line_open:
             self._is_line_open = True
--- a/waywell/connection/exchange.py
+++ b/waywell/connection/exchange.py
@@ -1,8 +1,8 @@
-"""One request to one replica, on a connection of its own.
+"""A single request to a replica on a new connection.
 
-What a kept connection may still bring, a late answer or a close in the moment
-of the write, would leave open whether a request ran.  A connection that is
-used once leaves nothing open.
+On a reused connection, a late response to an earlier request or a close during
+the write would leave it unclear whether the request ran.  A connection that
+carries one request has neither problem.
 """
 
 from __future__ import annotations
@@ -36,62 +36,64 @@
 
 
 class SendFault(enum.Enum):
-    """Why a request brought no answer."""
+    """Why a request got no response."""
 
     NOT_SENT = 'not_sent'
-    """No connection came up; no byte left."""
+    """The connection could not be opened; nothing was sent."""
 
     TOO_LATE = 'too_late'
-    """It was not wanted any more when the connection stood."""
+    """The request was no longer needed once the connection was open; nothing
+    was sent."""
 
     BROKEN = 'broken'
-    """Bytes left, and what came back is no answer."""
+    """Bytes were sent, but no valid response was received."""
 
     REPLICA_ENDED = 'replica_ended'
-    """A box of the replica has started again; what ran there is lost."""
+    """A box of the replica has restarted; work in progress there is lost."""
 
     NO_PERMIT = 'no_turn'
-    """The replica has a limit, and other requests have its turns."""
+    """The replica is rate-limited, and no permit was granted."""
 
     HELD_BACK = 'held_back'
-    """Replicas ended under the request; this one is to be spared."""
+    """Replicas crashed while they ran the request, so it is kept away from
+    this one."""
 
 
 class OutgoingRequest(msgspec.Struct, frozen=True):
-    """A request on its way to a box."""
+    """Request to send to a box."""
 
     host: str
-    """IP number of the box."""
+    """IP address of the box."""
 
     port: int
-    """Its port."""
+    """TCP port of the box."""
 
     method: str
     """HTTP method."""
 
     target: str
-    """Path and query."""
+    """Request target: path and query."""
 
     headers: RawHeaders
-    """Headers, the host among them."""
+    """Headers, including ``Host``."""
 
     body: bytes = b''
-    """Body."""
+    """Request body; empty if there is none."""
 
 
 class BodySink(Protocol):
-    """Takes the body of an answer as it comes; see the subclasses."""
+    """Receives the body of a response; subclasses handle its bytes and end."""
 
     def on_bytes(self, raw: bytes) -> None:
-        """Take in a piece."""
+        """Handle the next bytes of the body."""
         raise NotImplementedError
 
     def on_end(self, end: BodyEnd) -> None:
-        """Handle the end."""
+        """Handle the end of the body."""
         raise NotImplementedError
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, WPS110
-        """Pass a piece on."""
+        """Pass bytes to the subclass; log its exceptions."""
         try:
             self.on_bytes(data)
         except Exception as error:
@@ -102,33 +104,33 @@
         self,
         reason: TwistedFailure = connectionDone,
     ) -> None:
-        """Pass the end on."""
+        """Pass the kind of end to the subclass."""
         self.on_end(classify_body_end(reason, self.was_closed()))
 
     def was_closed(self) -> bool:
-        """Answer whether the connection ended with an orderly close."""
+        """Return whether the connection ended with an orderly close."""
         return False
 
     def pause(self) -> None:
-        """Read no more for now."""
+        """Stop reading from the connection until ``resume``."""
         transport: Any = self.transport
         if transport is not None:
             transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read from the connection."""
         transport: Any = self.transport
         if transport is not None:
             transport.resumeProducing()
 
 
 class PendingRequest:
-    """A request that was sent and has no answer yet.
+    """Request that was sent and has no response yet.
 
     Parameters
     ----------
     protocol
-        The connection.
+        Connection that carries the request.
     """
 
     def __init__(self, protocol: Any) -> None:
@@ -136,25 +138,25 @@
         self._protocol = protocol
 
     def close_write(self) -> None:
-        """Close the sending direction; an answer can still be read."""
+        """Close the sending direction; a response can still be received."""
         transport: Any = self._protocol.transport
         if transport is not None:
             transport.loseWriteConnection()
 
 
 class Exchange:
-    """A request that was sent, and its answer.
+    """Request that was sent, and the response to it.
 
     Parameters
     ----------
     protocol
-        The connection.
+        Connection that carries the request.
     response
-        The head of the answer.
+        Response whose body is still to be read.
     """
 
     def __init__(self, protocol: Any, response: ClientResponse) -> None:
-        """Read the head."""
+        """Copy the status, the length and the end-to-end headers."""
         self._protocol = protocol
         self._response = response
         self.status = response.code
@@ -172,11 +174,11 @@
         return self._response.was_closed
 
     def deliver(self, sink: BodySink) -> None:
-        """Let the body come."""
+        """Start to deliver the body to a sink."""
         self._response.deliverBody(sink)
 
     def abort(self) -> None:
-        """Break the connection; the rest is not wanted."""
+        """Abort the connection, which discards the rest of the body."""
         transport: Any = self._protocol.transport
         if transport is not None:
             transport.abortConnection()
@@ -188,20 +190,21 @@
     may_send: Callable[[], bool],
     on_sent: Callable[[PendingRequest], None],
 ) -> Result[Exchange, SendFault]:
-    """Connect, send a request and wait for the head of its answer.
+    """Connect, send a request and wait for the head of the response.
 
-    Cancelling the caller's task breaks the connection.
+    Cancelling the caller's task aborts the connection.
 
     Parameters
     ----------
     outgoing
-        The request.
+        Request to send.
     connect_seconds
-        Seconds for the connection to come up.
+        Timeout for opening the connection, in seconds.
     may_send
-        Asked in the turn of the event loop that writes the first byte.
+        Returns whether to send the request.  It is called in the same
+        iteration of the event loop that writes the first byte.
     on_sent
-        Called with the request once its bytes are written.
+        Called with the pending request once it has been written.
     """
     connected = await _connect(outgoing.host, outgoing.port, connect_seconds)
     if isinstance(connected, Failure):
@@ -214,7 +217,7 @@
 
 
 async def is_reachable(host: str, port: int, connect_seconds: float) -> bool:
-    """Answer whether a connection comes up; nothing is sent on it."""
+    """Return whether a connection can be opened; nothing is sent on it."""
     connected = await _connect(host, port, connect_seconds)
     if isinstance(connected, Failure):
         return False
@@ -253,10 +256,12 @@
         BytesBodyProducer(outgoing.body) if outgoing.body else None,
         persistent=False,
     )
-    answered = protocol.request(request)
+    deferred_response = protocol.request(request)
     on_sent(PendingRequest(protocol))
     try:
-        response: ClientResponse = await await_deferred(answered, None)
+        response: ClientResponse = await await_deferred(
+            deferred_response, None
+        )
     except Exception:
         return Failure(SendFault.BROKEN)
     return Success(Exchange(protocol, response))
--- a/waywell/connection/frames.py
+++ b/waywell/connection/frames.py
@@ -1,9 +1,9 @@
-"""Peer messages over plain TCP, each behind its length.
+"""Peer messages over plain TCP, each prefixed with its length.
 
-A message of 20 bytes costs 13 us of processor time, both sides together, in
-place of 78 to 112 us as an HTTP/2 frame of grpclib (2,000 messages, one at a
-time, three runs).  Heartbeats and questions to readers are most of what a
-node of a large fleet does, so they go this way.
+Heartbeats and queries to readers are most of the work of a node in a large
+fleet.  A message of 20 bytes takes 13 us of processor time on both sides
+together, compared with 78 to 112 us as an HTTP/2 frame of grpclib (2,000
+messages, one at a time, three runs).
 """
 
 from __future__ import annotations
@@ -23,33 +23,34 @@
 from waywell.telemetry.events import log_warning
 
 LENGTH_BYTES = 4
-"""Bytes of the length before each message."""
+"""Size of the length prefix of each message, in bytes."""
 
 MAX_FRAME_BYTES = 16_777_216
-"""Bytes of the longest message that is read: some ten times the list of the
-2,400 boxes that the largest fleet has."""
+"""Longest message that is accepted, in bytes: about ten times the size of the
+list of 2,400 boxes that the largest fleet has."""
 
 MAX_BUFFERED_BYTES = 4_194_304
-"""Bytes that wait for a peer before its stream is given up: more than the
-whole list of boxes, a small part of a node's memory."""
+"""Unsent bytes for a peer above which its stream is closed: more than the
+complete list of boxes, but a small part of the memory of a node."""
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""For a connection to come up: beyond the longest way and one lost packet."""
+"""Timeout for opening a connection: longer than the round trip of the longest
+link plus the retransmission of one lost packet."""
 
 ListenerFactory = Callable[[], StreamListener | None]
-"""Returns the listener of a stream that a peer opened, or ``None`` while none
-is taken."""
+"""Returns the listener of a stream that a peer opened, or ``None`` if the node
+does not accept streams yet."""
 
 
 class FrameStream(asyncio.Protocol, PeerStream):
-    """A stream over one TCP connection.
+    """Stream of messages over one TCP connection.
 
     Parameters
     ----------
     decoder
-        Decodes messages.
+        Decoder of the messages.
     listener
-        Takes in what happens.
+        Receives the events of the stream; ``None`` rejects the connection.
     """
 
     def __init__(
@@ -57,15 +58,15 @@
         decoder: msgspec.msgpack.Decoder[Any],
         listener: StreamListener | None,
     ) -> None:
-        """Wait for the connection."""
-        self._dialling: asyncio.Task[None] | None = None
+        """Initialize before the connection is made."""
+        self._connect_task: asyncio.Task[None] | None = None
         self._decoder = decoder
         self._listener = listener
         self._transport: Any = None
-        self._rest = b''
+        self._buffered = b''
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin, unless nobody takes streams yet."""
+        """Notify the listener; without one, abort the connection."""
         self._transport = transport
         if self._listener is None:
             self._transport.abort()
@@ -73,83 +74,86 @@
             self._listener.on_open(self)
 
     def data_received(self, data: bytes) -> None:  # noqa: WPS110
-        """Take in the whole messages among the bytes."""
-        received = self._rest + data if self._rest else data
+        """Pass on all complete messages and keep the rest of the bytes."""
+        received = self._buffered + data if self._buffered else data
         start = 0
         while len(received) - start >= LENGTH_BYTES:
             begin = start + LENGTH_BYTES
             length = int.from_bytes(received[start:begin], 'big')
             if length > MAX_FRAME_BYTES:
-                self._give_up(f'message of {length} bytes')
+                self._abort(f'a message of {length} bytes exceeds the limit')
                 return
             if len(received) - begin < length:
                 break
             start = begin + length
-            self._take(received[begin:start])
-        self._rest = received[start:]
+            self._receive_message(received[begin:start])
+        self._buffered = received[start:]
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the listener."""
+        """Notify the listener."""
         if self._listener is not None:
-            self._listener.on_close(repr(exc) if exc else 'closed')
+            self._listener.on_close(repr(exc) if exc else 'connection closed')
 
     def send(self, packed: msgspec.Raw) -> None:
-        """Write a message at once."""
+        """Write a message, or abort if the peer has stopped reading."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
-            self._give_up('the peer does not read')
+            self._abort('the peer has stopped reading')
             return
         raw = bytes(packed)
         PeerTraffic.sent += len(raw)
         self._transport.write(len(raw).to_bytes(LENGTH_BYTES, 'big') + raw)
 
     def close(self) -> None:
-        """Break the connection, or give up opening it."""
+        """Abort the connection, or cancel the attempt to open it."""
         if self._transport is not None:
             self._transport.abort()
-        elif self._dialling is not None:
-            self._dialling.cancel()
-
-    def start_connecting(self, work: Coroutine[Any, Any, None]) -> None:
-        """Open the connection; the listener hears of it if that fails."""
-        self._dialling = asyncio.get_running_loop().create_task(work)
-        # A task that is cancelled before its first turn runs nothing at all.
-        self._dialling.add_done_callback(self._note_dialled)
-
-    def _note_dialled(self, dialling: asyncio.Task[None]) -> None:
-        error = None if dialling.cancelled() else dialling.exception()
+        elif self._connect_task is not None:
+            self._connect_task.cancel()
+
+    def start_connecting(self, connecting: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine that connects; notify the listener if it fails."""
+        self._connect_task = asyncio.get_running_loop().create_task(connecting)
+        # The callback also runs for a task that is cancelled before it has
+        # started, whose coroutine would run no handler.
+        self._connect_task.add_done_callback(self._on_connect_finished)
+
+    def _on_connect_finished(self, task: asyncio.Task[None]) -> None:
+        error = None if task.cancelled() else task.exception()
         if self._transport is None and self._listener is not None:
-            self._listener.on_close(repr(error) if error else 'given up')
+            self._listener.on_close(
+                repr(error) if error else 'connection attempt cancelled'
+            )
 
-    def _take(self, raw: bytes) -> None:
+    def _receive_message(self, raw: bytes) -> None:
         if self._listener is None or self._transport.is_closing():
             return
         PeerTraffic.received += len(raw)
         try:
             message = self._decoder.decode(raw)
         except msgspec.MsgspecError as error:
-            self._give_up(str(error))
+            self._abort(str(error))
             return
         self._listener.on_message(message)
 
-    def _give_up(self, why: str) -> None:
+    def _abort(self, why: str) -> None:
         peer = self._transport.get_extra_info('peername')
         log_warning('peer_stream_given_up', peer=peer, why=why)
         self._transport.abort()
 
 
 class FrameTransport(PeerTransport):
-    """Opens and accepts streams of one union of message classes.
+    """Opens and accepts streams that carry one union of message classes.
 
     Parameters
     ----------
     messages
-        The union.
+        Union of the message classes.
     """
 
     def __init__(self, messages: Any) -> None:
-        """Open nothing yet."""
+        """Build the decoder; no stream or port is open yet."""
         self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(
             messages
         )
@@ -161,7 +165,7 @@
         port: int,
         listener: StreamListener,
     ) -> PeerStream:
-        """Begin to connect."""
+        """Start to connect and return the stream."""
         stream = FrameStream(self._decoder, listener)
         stream.start_connecting(_connect(stream, host, port))
         return stream
@@ -169,12 +173,12 @@
     async def listen(
         self, host: str, port: int, accept: ListenerFactory
     ) -> int:
-        """Take streams at a port; return which port it is.
+        """Accept streams at a port and return its number.
 
         Raises
         ------
         OSError
-            When the port can't be had.
+            If the port can't be bound.
         """
         self._server = await asyncio.get_running_loop().create_server(
             lambda: FrameStream(self._decoder, accept()), host, port
@@ -182,7 +186,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Take no more streams."""
+        """Stop accepting streams."""
         if self._server is not None:
             self._server.close()
 
--- a/waywell/connection/query_site.py
+++ b/waywell/connection/query_site.py
@@ -1,4 +1,4 @@
-"""Small GET calls that are answered at once, such as readiness."""
+"""HTTP site for GET queries answered synchronously, such as readiness."""
 
 from __future__ import annotations
 
@@ -11,23 +11,25 @@
 
 
 class QueryResponse(msgspec.Struct, frozen=True):
-    """An answer."""
+    """Response to a query."""
 
     status: int
-    """HTTP status."""
+    """HTTP status code."""
 
     raw: bytes = b''
-    """Body."""
+    """Response body."""
 
     content_type: str = 'application/json'
-    """Type of the body."""
+    """Content type of the body."""
 
 
 QueryHandler = Callable[[Mapping[str, str]], QueryResponse]
-"""Answers a call with the values of its query."""
+"""Handles a query, given the last value of each query parameter."""
 
 
-class _Desk(Resource):
+class _QueryResource(Resource):
+    """Passes each query to the handler of its path."""
+
     isLeaf = True
 
     def __init__(self, handlers: Mapping[str, QueryHandler]) -> None:
@@ -37,32 +39,32 @@
     def render(self, request: Request) -> bytes:
         handler = self._handlers.get(request.path.decode('latin-1'))
         if handler is None or request.method != b'GET':
-            answer = QueryResponse(HTTPStatus.NOT_FOUND)
+            response = QueryResponse(HTTPStatus.NOT_FOUND)
         else:
             query = {
                 name.decode('latin-1'): texts[-1].decode('latin-1')
                 for name, texts in request.args.items()
             }
-            answer = handler(query)
-        request.setResponseCode(answer.status)
-        request.setHeader(b'content-type', answer.content_type.encode())
-        return answer.raw
+            response = handler(query)
+        request.setResponseCode(response.status)
+        request.setHeader(b'content-type', response.content_type.encode())
+        return response.raw
 
 
 class QuerySite(Site):
-    """Answers small GET calls.
+    """Site that answers GET queries.
 
     Parameters
     ----------
     handlers
-        Handlers by path.
+        Handlers by path; other paths get status 404.
     """
 
     displayTracebacks = False
 
     def __init__(self, handlers: Mapping[str, QueryHandler]) -> None:
-        """Serve with these handlers."""
-        super().__init__(_Desk(handlers))
+        """Serve the given paths."""
+        super().__init__(_QueryResource(handlers))
 
     def log(self, request: Request) -> None:
-        """Write no access log: these calls come each second."""
+        """Write no access log: these queries arrive every second."""
