--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -1,4 +1,4 @@
-"""The port for callers on the platform: requests by host and path."""
+"""HTTP port for callers on the platform, which routes by host and path."""
 
 from __future__ import annotations
 
@@ -33,50 +33,52 @@
     from waywell.connection.wire_format import RawHeaders
 
 NOT_RUN_STATUS = 503
-"""HTTP status that promises that a request has not run."""
+"""HTTP status that guarantees that a request has not run."""
 
 MAY_HAVE_RUN_STATUS = 502
-"""HTTP status that promises nothing about whether it has."""
+"""HTTP status that leaves open whether a request has run."""
 
 
 @attrs.frozen
 class FrontBackend:
-    """What the port needs of the node."""
+    """Functions of the node that the port uses."""
 
     wire: WireFormat
-    """How requests look."""
+    """Codec of the request headers."""
 
     serve: Callable[[Ask, CallerAnswer], Awaitable[None]]
-    """Serves a request; raises a refusal."""
+    """Serves a request; raises ``Refusal`` if it can't."""
 
     get_limits: Callable[[], CallerLimits]
-    """Returns the limits in force."""
+    """Returns the limits for callers that are in force."""
 
     is_leaving: Callable[[], bool]
-    """Answers whether callers are to go elsewhere."""
+    """Returns whether the node is leaving, so that callers should reconnect
+    to another one."""
 
     report: Callable[[FrontRequest, Code, Ran], None]
-    """Takes in how a request ended."""
+    """Records the result code of a request and whether the request ran."""
 
     @property
     def body_bytes(self) -> int:
-        """Return the largest body."""
+        """Return the largest request body in force, in bytes."""
         return self.get_limits().body_bytes
 
 
 class FrontRequest(BaseCallerRequest):
-    """One request of a caller on the platform."""
+    """Request of a caller on the platform."""
 
     backend: Any
 
     def __init__(self, channel: HTTPChannel, *rest: Any) -> None:
-        """Start before the first line."""
+        """Initialize before the request line is received."""
         super().__init__(channel, *rest)
-        # The caller's id of this attempt, once it is read.
+        # The caller's id of this attempt; empty until the request is
+        # decoded.
         self.attempt_id = ''
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal, at once."""
+        """Record a refusal and send it as the response."""
         self.backend.report(self, refusal.code, refusal.ran)
         if self.is_disconnected:
             return
@@ -93,13 +95,13 @@
         self.finish()
 
     def disable_keep_alive_if_leaving(self) -> None:
-        """Tell the caller not to use this connection again."""
+        """Announce the close of the connection if the node is leaving."""
         if self.backend.is_leaving():
             self.setHeader(b'connection', b'close')
             self.channel.persistent = False
 
     async def serve_path(self) -> None:
-        """Serve a request by its host and path."""
+        """Decode the request and serve it by its host and path."""
         raw_headers = tuple(
             (name, text)
             for name, texts in self.requestHeaders.getAllRawHeaders()
@@ -117,7 +119,11 @@
 
 
 def _choose_status(refusal: Refusal) -> int:
-    """Return the status of a refusal; of the 5xx only 503 promises not run."""
+    """Return the HTTP status of a refusal.
+
+    Among the 5xx statuses, 503 and no other guarantees that the request has
+    not run.
+    """
     is_not_run = refusal.ran is Ran.NOT_RUN
     if is_not_run and refusal.status > NOT_RUN_STATUS:
         return NOT_RUN_STATUS
@@ -128,7 +134,7 @@
 
 @implementer(IPushProducer)
 class _FrontAnswer(CallerAnswer):
-    """Writes an answer, as fast as the caller reads."""
+    """Writes an answer to the caller, with flow control."""
 
     def __init__(self, request: FrontRequest) -> None:
         self._request = request
@@ -165,19 +171,21 @@
         self._request.loseConnection()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Wait: the caller is slow."""
+        """Make ``write`` wait: the send buffer is full."""
         if self._writable is None:
             loop = asyncio.get_running_loop()
             self._writable = loop.create_future()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on: the caller has caught up."""
+        """Let ``write`` continue: the send buffer has room again."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Go on: the caller has gone, and the request is cancelled."""
+        """Let ``write`` continue: the caller has disconnected, which cancels
+        the request.
+        """
         self.resumeProducing()
 
     def _unregister(self) -> None:
@@ -187,19 +195,20 @@
 
 
 class FrontChannel(CallerChannel):
-    """A caller's connection, with the time limits in force."""
+    """Connection of a caller, with the timeouts and size limits in force."""
 
-    # Kept by twisted while a request is served; its classes have no types.
+    # Timeout that twisted saves while it serves a request; declared here
+    # because twisted has no type annotations for it.
     _savedTimeOut: float | None  # noqa: WPS115
 
     def __init__(self) -> None:
-        """Start before the first byte."""
+        """Initialize before the connection is made."""
         super().__init__()
         self._head_timer: Any = None
         self._idle_limit = 0.0
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Take the limits in force."""
+        """Apply the limits in force."""
         limits = self.site.backend.get_limits()
         self._idle_limit = limits.idle_seconds
         self.timeOut = limits.idle_seconds
@@ -207,54 +216,54 @@
         super().connectionMade()
 
     def requestDone(self, request: Any) -> None:  # noqa: N802
-        """Rest for as long as the limit in force by now allows."""
+        """Apply the idle timeout that is in force at the end of a request."""
         self._idle_limit = self.site.backend.get_limits().idle_seconds
         if self._savedTimeOut:
             self._savedTimeOut = self._idle_limit
         super().requestDone(request)
 
     def timeoutConnection(self) -> None:  # noqa: N802
-        """Hang up, unless a longer limit came into force meanwhile."""
+        """Disconnect, unless a longer idle timeout has come into force."""
         limit = self.site.backend.get_limits().idle_seconds
-        longer = limit - self._idle_limit
-        if longer <= 0:
+        extension = limit - self._idle_limit
+        if extension <= 0:
             super().timeoutConnection()
             return
         self._idle_limit = limit
-        self.setTimeout(longer)
+        self.setTimeout(extension)
         self.timeOut = limit
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Take in a line; the first one of a head starts its time limit."""
+        """Parse a line; the first one of a request head starts its timeout."""
         if self._head_timer is None and line:
             limits = self.site.backend.get_limits()
             self._head_timer = self.callLater(
-                limits.header_seconds, self._give_up_head
+                limits.header_seconds, self._refuse_slow_head
             )
         super().lineReceived(line)
 
     def allHeadersReceived(self) -> None:  # noqa: N802
-        """Stop the head's time limit."""
-        self._stop_head_timer()
+        """Cancel the timeout of the request head."""
+        self._cancel_head_timer()
         super().allHeadersReceived()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Stop the head's time limit."""
-        self._stop_head_timer()
+        """Cancel the timeout of the request head."""
+        self._cancel_head_timer()
         super().connectionLost(reason)
 
-    def _stop_head_timer(self) -> None:
+    def _cancel_head_timer(self) -> None:
         timer = self._head_timer
         self._head_timer = None
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _give_up_head(self) -> None:
+    def _refuse_slow_head(self) -> None:
         self.write_refusal(Refusal(Code.HEAD_TOO_SLOW))
 
 
 class FrontSite(BaseCallerSite):
-    """Makes the requests of callers on the platform."""
+    """Site that serves callers on the platform."""
 
     protocol = FrontChannel
     request_class = FrontRequest
--- a/waywell/connection/hop_headers.py
+++ b/waywell/connection/hop_headers.py
@@ -1,4 +1,4 @@
-"""Headers of HTTP that concern one connection."""
+"""Hop-by-hop headers of HTTP."""
 
 from __future__ import annotations
 
@@ -14,4 +14,5 @@
         'upgrade',
     ),
 )
-"""Headers that belong to one connection and are not passed on."""
+"""Headers that apply to a single connection and are not forwarded.  The body
+length is among them, since each connection frames the body anew."""
--- a/waywell/connection/http_client.py
+++ b/waywell/connection/http_client.py
@@ -1,4 +1,4 @@
-"""Single HTTP calls, each answered whole or failed with a reason."""
+"""HTTP client that returns either a complete response or a fault."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """Response with its complete body."""
 
     status: int
-    """HTTP status."""
+    """HTTP status code."""
 
     raw: bytes
-    """Body."""
+    """Response body."""
 
     headers: Headers = _NO_HEADERS
-    """Headers."""
+    """Response headers."""
 
     def find_header(self, name: str) -> str | None:
-        """Return the last value of a header, or ``None`` without one."""
+        """Return the last value of a header, or ``None`` if it is missing."""
         texts = self.headers.getRawHeaders(name) or []
         return texts[-1] if texts else None
 
 
 class HttpClient:
-    """Makes calls at a base address over kept connections.
+    """Sends requests to paths below a base URL.
 
     Parameters
     ----------
     url
-        Base address, ``http://IP:PORT``.
+        Base URL, ``http://IP:PORT``.
     timeout
-        Seconds until a call counts as unanswered.
+        Seconds after which a request counts as unanswered.
     headers
-        Headers of every call.
+        Headers of every request.
     keeps_connections
-        Whether connections are kept for later calls.
+        Whether idle connections are kept open for later requests.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         headers: Mapping[str, str] | None = None,
         keeps_connections: bool = True,
     ) -> None:
-        """Open no connection yet."""
+        """Create the connection pool; no connection is open yet."""
         self._url = url.rstrip('/')
         self._timeout = timeout
         self._headers = Headers(
@@ -78,38 +78,39 @@
         body: bytes | None = None,
         extra: float = 0,
     ) -> Result[HttpResponse, PlatformFault]:
-        """Return the answer, whatever its status.
+        """Send a request and return the response, whatever its status.
 
         Parameters
         ----------
         method
             HTTP method.
         path
-            Path with query.
+            Path and query.
         body
-            Body, or ``None`` for none.
+            Request body, or ``None`` for none.
         extra
-            Seconds beyond the usual time, where the answer may wait.
+            Seconds added to the timeout, for requests whose response the
+            server may delay.
         """
         try:
-            return Success(await self._exchange(method, path, body, extra))
+            return Success(await self._request(method, path, body, extra))
         except ConnectionRefusedError:
             return Failure(PlatformFault.NOT_LISTENING)
         except ConnectError:
             return Failure(PlatformFault.NOT_SENT)
         except Exception:
-            # Whatever broke after the connection stood: a write may have
-            # been carried out.
+            # The connection was open, so the server may have carried out
+            # a write.
             return Failure(PlatformFault.UNANSWERED)
 
-    async def _exchange(
+    async def _request(
         self,
         method: str,
         path: str,
         body: bytes | None,
         extra: float,
     ) -> HttpResponse:
-        limit = self._timeout + extra
+        timeout = self._timeout + extra
         response: Any = await await_deferred(
             self._agent.request(
                 method.encode(),
@@ -117,7 +118,7 @@
                 self._headers,
                 None if body is None else BytesBodyProducer(body),
             ),
-            limit,
+            timeout,
         )
-        raw = await read_body(response, limit)
+        raw = await read_body(response, timeout)
         return HttpResponse(response.code, raw, response.headers)
--- a/waywell/connection/relay.py
+++ b/waywell/connection/relay.py
@@ -1,4 +1,4 @@
-"""Passing an answer on, so that a cut answer never looks whole."""
+"""Relay of an answer that never makes a truncated body look complete."""
 
 from __future__ import annotations
 
@@ -21,27 +21,28 @@
     from waywell.connection.target import TargetAnswer
 
 STREAM_END = b'data: [DONE]'
-"""End marker of a streamed answer of a model."""
+"""Event that ends a streamed answer of a model."""
 
 TAIL_BYTES = 64
-"""Bytes at the end of a stream in which the marker is looked for."""
+"""Length of the end of a stream that is searched for the end marker, in
+bytes."""
 
 
 @implementer(IPushProducer)
 class AnswerRelay(Protocol):
     """Receives the body of an answer and writes it to a caller.
 
-    The target's connection is paused while the caller reads slowly, so
-    no more than the sockets' own buffers wait in memory.
+    The connection to the target is paused while the send buffer of the
+    caller is full, so no more than the buffers of the sockets is held.
 
     Parameters
     ----------
     request
-        The caller's request.
+        Request of the caller, to which the answer is written.
     answer
-        The target's answer.
-    wants_marker
-        Whether a stream is whole only with its end marker.
+        Answer of the target.
+    needs_end_marker
+        Whether a stream without the end marker counts as truncated.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         answer: TargetAnswer,
         needs_end_marker: bool,
     ) -> None:
-        """Start before the first byte."""
+        """Initialize the relay; ``start`` writes the first bytes."""
         self.completion: asyncio.Future[bool] = (
             asyncio.get_running_loop().create_future()
         )
@@ -63,13 +64,14 @@
         self._is_cancelled = False
 
     def start(self) -> None:
-        """Write the head and let the body come."""
+        """Write the status and headers and start to receive the body."""
         request = self._request
         request.setResponseCode(self._answer.status)
         for name, text in self._answer.headers:
             request.responseHeaders.addRawHeader(name, text)
         if self._answer.length is not None and not self._is_stream:
-            # A stream that breaks off must not reach a length that fits.
+            # Without a content length, a truncated stream can't happen to
+            # look complete by having the announced length.
             length = str(self._answer.length).encode()
             request.setHeader(b'content-length', length)
         request.notifyFinish().addErrback(self._cancel)
@@ -77,7 +79,7 @@
         self._answer.deliver(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, WPS110
-        """Write a piece of the body."""
+        """Write bytes of the body to the caller."""
         if not self._is_cancelled:
             self._track_stream(data)
             self._request.write(data)
@@ -86,24 +88,25 @@
         self,
         reason: TwistedFailure = connectionDone,
     ) -> None:
-        """End the answer, or break it where it is not whole."""
+        """Finish the answer, or abort it if the body is incomplete."""
         if self._is_cancelled:
             return
         end = classify_body_end(reason, self._answer.was_closed)
         self._finish(
-            self._make_outcome(end).is_complete and self._has_required_marker()
+            self._make_outcome(end).is_complete
+            and self._has_required_end_marker()
         )
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading: the caller is slow."""
+        """Stop reading from the target: the send buffer is full."""
         self._call_transport_method('pauseProducing')
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on: the caller has caught up."""
+        """Continue to read: the send buffer has room again."""
         self._call_transport_method('resumeProducing')
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Stop for good: the caller is gone."""
+        """Do nothing: ``_cancel`` handles the disconnect of the caller."""
 
     def _call_transport_method(self, name: str) -> None:
         transport: Any = self.transport
@@ -111,19 +114,19 @@
             getattr(transport, name)()
 
     def _track_stream(self, raw: bytes) -> None:
-        """Keep what the verdict on a stream needs."""
+        """Update what decides whether an event stream is complete."""
         if self._is_stream:
             self._tail = (self._tail + raw)[-TAIL_BYTES:]
             self._boundary.feed(raw)
 
     def _make_outcome(self, end: BodyEnd) -> BodyOutcome:
-        """Return whether the body is complete."""
+        """Return how the body ended."""
         if not self._is_stream:
             return BodyOutcome(end)
         unfinished = len(self._tail) if self._boundary.is_inside_event else 0
         return BodyOutcome(end, unfinished, self._boundary.has_events)
 
-    def _has_required_marker(self) -> bool:
+    def _has_required_end_marker(self) -> bool:
         if not self._is_stream or not self._needs_end_marker:
             return True
         return STREAM_END in self._tail
@@ -133,12 +136,13 @@
         if is_complete:
             self._request.finish()
         else:
-            # What has come is flushed; the missing end shows the cut.
+            # The bytes so far are flushed; the missing end of the body shows
+            # the caller that the answer is truncated.
             self._request.loseConnection()
         self._set_completion(is_complete)
 
     def _cancel(self, _reason: object) -> None:
-        """Cancel at the target: the caller has gone."""
+        """Abandon the answer of the target: the caller has disconnected."""
         if self.completion.done():
             return
         self._is_cancelled = True
--- a/waywell/connection/wire_format.py
+++ b/waywell/connection/wire_format.py
@@ -1,4 +1,4 @@
-"""How requests and answers look on the wire, for callers and replicas."""
+"""Wire format of requests and answers, for callers and replicas."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
     from waywell.version.fleet import FleetBox
 
 RawHeaders = tuple[tuple[bytes, bytes], ...]
-"""Header names and values in the order in which they came."""
+"""Names and values of headers, in the order of arrival."""
 
 
 class WireFormat(abc.ABC):
-    """Decodes asks and answers; another protocol is another subclass."""
+    """Decodes and encodes request and answer headers.
+
+    Each protocol of callers and replicas has its own subclass.
+    """
 
     @abc.abstractmethod
     def read_request(
@@ -25,12 +28,12 @@
         headers: RawHeaders,
         body: bytes,
     ) -> Ask:
-        """Return what a caller asks.
+        """Decode the request of a caller.
 
         Raises
         ------
         waywell.codes.Refusal
-            When a header is not understood.
+            If a header is malformed.
         """
 
     @abc.abstractmethod
@@ -40,7 +43,7 @@
         delivery: Delivery,
         box: FleetBox,
     ) -> RawHeaders:
-        """Return the headers of a request to a replica's head."""
+        """Return the headers of a request to the head box of a replica."""
 
     @abc.abstractmethod
     def make_forward_headers(
@@ -55,15 +58,17 @@
         Parameters
         ----------
         ask
-            What the caller asks.
+            Request of the caller.
         mark
-            Who forwards it.
+            Name of the forwarding node, and the number of replicas to which
+            the receiver may send the request.
         seconds
-            For which the caller will still wait.
+            Seconds for which the caller will still wait.
         resume_after
-            Last event that the caller has by now.
+            Number of the last event that the caller has received, or
+            ``None`` for none.
         """
 
     @abc.abstractmethod
     def read_mark(self, status: int, headers: RawHeaders) -> AnswerMark:
-        """Return what a replica says of its answer."""
+        """Decode what a replica reports about its answer."""
