--- a/tests/loops.py
+++ b/tests/loops.py
@@ -1,4 +1,4 @@
-"""Tests that are coroutines run in an event loop of their own."""
+"""Helpers for tests that are coroutines."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
     from collections.abc import Callable, Coroutine
 
 SECONDS = 30.0
-"""After which a test that waits for something counts as failed."""
+"""Timeout of each such test, in seconds."""
 
 
 def in_loop(
     test: Callable[..., Coroutine[Any, Any, None]],
 ) -> Callable[..., None]:
-    """Run a coroutine as a test."""
+    """Run a coroutine function as a test in a new event loop."""
 
     @functools.wraps(test)
-    def run(*args: Any, **named: Any) -> None:
-        asyncio.run(asyncio.wait_for(test(*args, **named), SECONDS))
+    def run(*args: Any, **kwargs: Any) -> None:
+        asyncio.run(asyncio.wait_for(test(*args, **kwargs), SECONDS))
 
     return run
 
 
-async def wait_until(holds: Callable[[], bool]) -> None:
-    """Wait until something holds."""
-    while not holds():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Poll until a condition is true."""
+    while not condition():
         await asyncio.sleep(0.002)
--- a/tests/rerouted.py
+++ b/tests/rerouted.py
@@ -1,7 +1,8 @@
-"""A daemon that reaches some ports through others.
+"""Runner of a module whose outgoing connections are redirected by port.
 
-``python -m tests.rerouted FILE MODULE WORDS`` runs a module that connects to
-the ports that the JSON object in the file names by their numbers instead.
+``python -m tests.rerouted FILE MODULE ARGS`` runs a module.  A connection to
+a port that is a key of the JSON object in FILE goes to the port that is its
+value.
 """
 
 from __future__ import annotations
@@ -18,57 +19,59 @@
 
 
 class PortMap:
-    """Ports by those that are asked for, as a file shows them.
+    """Replacement of ports, read from a JSON file.
 
     Parameters
     ----------
     path
-        The file; it may be replaced while it is used.
+        JSON file, which is read again after each change.
     """
 
     def __init__(self, path: Path) -> None:
-        """Read nothing yet."""
+        """Keep the path; the file is read at the first lookup."""
         self._path = path
-        self._read_at = 0
+        self._modified_at = 0
         self._ports: dict[int, int] = {}
 
     def find(self, port: int) -> int:
-        """Return the port to connect to."""
-        changed_at = self._path.stat().st_mtime_ns
-        if changed_at != self._read_at:
-            self._read_at = changed_at
-            found = json.loads(self._path.read_text(encoding='utf-8'))
-            self._ports = {int(one): other for one, other in found.items()}
+        """Return the port to connect to in place of the given one."""
+        modified_at = self._path.stat().st_mtime_ns
+        if modified_at != self._modified_at:
+            self._modified_at = modified_at
+            loaded = json.loads(self._path.read_text(encoding='utf-8'))
+            self._ports = {
+                int(port): replacement for port, replacement in loaded.items()
+            }
         return self._ports.get(port, port)
 
 
 def write_port_map(path: Path, ports: dict[int, int]) -> None:
-    """Write or replace the file."""
-    written = path.with_suffix('.new')
-    written.write_text(json.dumps(ports), encoding='utf-8')
-    written.replace(path)
+    """Write the file, replacing an older one atomically."""
+    temporary = path.with_suffix('.new')
+    temporary.write_text(json.dumps(ports), encoding='utf-8')
+    temporary.replace(path)
 
 
-def reroute(ports: PortMap) -> None:
-    """Let all connections to some ports go to others."""
+def reroute(port_map: PortMap) -> None:
+    """Redirect all connections of this process to the replaced ports."""
     for name in ('connect', 'connect_ex'):
-        _reroute_call(name, getattr(socket.socket, name), ports)
+        _reroute_call(name, getattr(socket.socket, name), port_map)
 
 
 def _reroute_call(
     name: str,
     call: Callable[[socket.socket, Any], Any],
-    ports: PortMap,
+    port_map: PortMap,
 ) -> None:
     def call_rerouted(self: socket.socket, address: Any) -> Any:
         host, port = address
-        return call(self, (host, ports.find(port)))
+        return call(self, (host, port_map.find(port)))
 
     setattr(socket.socket, name, call_rerouted)
 
 
 def main() -> None:
-    """Reroute, then run the module."""
+    """Redirect connections, then run the module."""
     reroute(PortMap(Path(sys.argv[1])))
     sys.argv = sys.argv[2:]
     runpy.run_module(sys.argv[0], run_name='__main__', alter_sys=True)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of answers that are given up."""
+"""Tests of reading complete response bodies with a timeout."""
 
 from __future__ import annotations
 
@@ -21,70 +21,70 @@
 
 
 class _Response:
-    """An answer whose body comes as the test says."""
+    """Response whose body the test delivers."""
 
     def __init__(self) -> None:
         self.transport = _Transport()
-        self.body: Any = None
+        self.reader: Any = None
         self.was_closed = True
 
-    def deliverBody(self, body: Any) -> None:  # noqa: N802
-        self.body = body
-        body.makeConnection(self.transport)
+    def deliverBody(self, reader: Any) -> None:  # noqa: N802
+        self.reader = reader
+        reader.makeConnection(self.transport)
 
 
-def test_a_body_is_returned_whole() -> None:
-    async def play() -> bytes:
+def test_a_complete_body_is_returned() -> None:
+    async def run() -> bytes:
         response = _Response()
         reading = asyncio.ensure_future(read_body(response, 20.0))
         await asyncio.sleep(0)
-        response.body.dataReceived(b'a')
-        response.body.dataReceived(b'b')
-        response.body.connectionLost(Failure(ResponseDone()))
+        response.reader.dataReceived(b'a')
+        response.reader.dataReceived(b'b')
+        response.reader.connectionLost(Failure(ResponseDone()))
         return await reading
 
-    assert asyncio.run(play()) == b'ab'
+    assert asyncio.run(run()) == b'ab'
 
 
-def test_a_body_that_breaks_off_is_an_error() -> None:
-    async def play() -> None:
+def test_a_truncated_body_raises_an_error() -> None:
+    async def run() -> None:
         response = _Response()
         reading = asyncio.ensure_future(read_body(response, 20.0))
         await asyncio.sleep(0)
-        response.body.dataReceived(b'a')
-        response.body.connectionLost(Failure(ConnectionLost()))
+        response.reader.dataReceived(b'a')
+        response.reader.connectionLost(Failure(ConnectionLost()))
         await reading
 
     with pytest.raises(ConnectionLost):
-        asyncio.run(play())
+        asyncio.run(run())
 
 
-def test_a_body_that_ends_after_it_was_given_up_fails_nothing() -> None:
-    async def play() -> _Response:
+def test_a_body_that_ends_after_the_timeout_raises_no_error() -> None:
+    async def run() -> _Response:
         response = _Response()
         with pytest.raises(TimeoutError):
             await read_body(response, 0.0)
-        response.body.dataReceived(b'late')
-        response.body.connectionLost(Failure(ResponseDone()))
+        response.reader.dataReceived(b'late')
+        response.reader.connectionLost(Failure(ResponseDone()))
         return response
 
-    assert asyncio.run(play()).transport.is_closed
+    assert asyncio.run(run()).transport.is_closed
 
 
-def test_a_body_without_a_length_ends_with_an_orderly_close() -> None:
-    assert asyncio.run(_read_closed(was_closed=True)) == b'a'
+def test_a_body_without_length_is_complete_after_an_orderly_close() -> None:
+    assert asyncio.run(_read_body_without_length(was_closed=True)) == b'a'
 
 
-def test_a_body_without_a_length_that_is_reset_is_an_error() -> None:
+def test_a_body_without_length_raises_an_error_after_a_reset() -> None:
     with pytest.raises(PotentialDataLoss):
-        asyncio.run(_read_closed(was_closed=False))
+        asyncio.run(_read_body_without_length(was_closed=False))
 
 
-async def _read_closed(was_closed: bool) -> bytes:
+async def _read_body_without_length(was_closed: bool) -> bytes:
     response = _Response()
     response.was_closed = was_closed
     reading = asyncio.ensure_future(read_body(response, 20.0))
     await asyncio.sleep(0)
-    response.body.dataReceived(b'a')
-    response.body.connectionLost(Failure(PotentialDataLoss()))
+    response.reader.dataReceived(b'a')
+    response.reader.connectionLost(Failure(PotentialDataLoss()))
     return await reading
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -1,4 +1,4 @@
-"""How a response without a length ends, on a connection that is played."""
+"""Tests of the end of responses without a length, on a fake transport."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 HEAD = b'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n'
 
 
-class _Sink(BodySink):
+class _RecordingSink(BodySink):
+    """Records how the body ended; may fail while it reads."""
+
     def __init__(self, exchange: Exchange, fails: bool) -> None:
         self._exchange = exchange
         self._fails = fails
@@ -35,17 +37,19 @@
         self.ends.append(end)
 
 
-def open_response(fails: bool = False) -> tuple[ClientConnection, _Sink]:
-    """Return a connection whose response has begun, and its reader."""
+def open_response(
+    fails: bool = False,
+) -> tuple[ClientConnection, _RecordingSink]:
+    """Return a connection that has received a response head, and its sink."""
     connection = ClientConnection()
     connection.makeConnection(StringTransport())
-    answered: list[Any] = []
+    responses: list[Any] = []
     headers = Headers({'host': ['x']})
     request = Request(b'GET', b'/', headers, None, persistent=False)
-    connection.request(request).addCallback(answered.append)
+    connection.request(request).addCallback(responses.append)
     connection.dataReceived(HEAD)
-    exchange = Exchange(connection, answered[0])
-    sink = _Sink(exchange, fails)
+    exchange = Exchange(connection, responses[0])
+    sink = _RecordingSink(exchange, fails)
     exchange.deliver(sink)
     return connection, sink
 
@@ -64,7 +68,7 @@
     assert sink.ends == [end]
 
 
-def test_a_reader_that_fails_ends_no_body_in_order() -> None:
+def test_an_exception_in_the_sink_does_not_count_as_an_orderly_close() -> None:
     connection, sink = open_response(fails=True)
     connection.dataReceived(b'a')
     assert sink.ends == [BodyEnd.RESET]
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Peer messages over TCP: whole, in order, and nothing made of broken bytes."""
+"""Tests of the framing of peer messages over TCP."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from waywell.connection.peer import Beat, FeedAsk
 from waywell.connection.peer_stream import PeerStream, StreamListener, pack
 
-WIRE: Any = Union[Beat, FeedAsk]  # noqa: UP007
+MESSAGES: Any = Union[Beat, FeedAsk]  # noqa: UP007
 
 
-class Taker(StreamListener):
-    """Keeps what it hears."""
+class RecordingListener(StreamListener):
+    """Records the events of a stream."""
 
     def __init__(self) -> None:
         self.streams: list[PeerStream] = []
@@ -41,8 +41,8 @@
         self.ends.append(why)
 
 
-class Wire:
-    """Stands in for the connection of one stream."""
+class FakeTransport:
+    """Transport that records what a stream writes."""
 
     def __init__(self) -> None:
         self.written = b''
@@ -65,12 +65,12 @@
         self.is_aborted = True
 
 
-def open_held() -> tuple[FrameStream, Taker, Any]:
-    """Return a stream on a connection that is no socket."""
-    taker, wire = Taker(), Wire()
-    stream = FrameStream(msgspec.msgpack.Decoder(WIRE), taker)
-    stream.connection_made(wire)  # type: ignore[arg-type]
-    return stream, taker, wire
+def open_stream() -> tuple[FrameStream, RecordingListener, Any]:
+    """Return a stream on a fake transport, with its listener."""
+    listener, transport = RecordingListener(), FakeTransport()
+    stream = FrameStream(msgspec.msgpack.Decoder(MESSAGES), listener)
+    stream.connection_made(transport)  # type: ignore[arg-type]
+    return stream, listener, transport
 
 
 def frame(message: Any) -> bytes:
@@ -82,103 +82,117 @@
     st.lists(st.integers(0, 2**40), max_size=12),
     st.lists(st.integers(1, 60), min_size=1, max_size=40),
 )
-def test_messages_come_whole_and_in_order_however_they_are_cut(
-    numbers: list[int], cuts: list[int]
+def test_messages_arrive_complete_and_in_order_however_bytes_are_split(
+    numbers: list[int], sizes: list[int]
 ) -> None:
     messages = [Beat(number, 0, 0, 0.5) for number in numbers]
-    rest = b''.join(frame(message) for message in messages)
-    stream, taker, _wire = open_held()
-    while rest:
-        for cut in cuts:
-            if rest[:cut]:
-                stream.data_received(rest[:cut])
-            rest = rest[cut:]
-    assert taker.messages == messages
+    unsent = b''.join(frame(message) for message in messages)
+    stream, listener, _transport = open_stream()
+    while unsent:
+        for size in sizes:
+            if unsent[:size]:
+                stream.data_received(unsent[:size])
+            unsent = unsent[size:]
+    assert listener.messages == messages
 
 
 @given(st.binary(min_size=1, max_size=200))
-def test_bytes_that_are_no_message_end_the_stream(raw: bytes) -> None:
-    stream, taker, wire = open_held()
+def test_an_undecodable_message_closes_the_stream(raw: bytes) -> None:
+    stream, listener, transport = open_stream()
     stream.data_received(len(raw).to_bytes(LENGTH_BYTES, 'big') + raw)
-    good = bool(taker.messages)
-    assert wire.is_aborted is not good
+    is_decodable = bool(listener.messages)
+    assert transport.is_aborted is not is_decodable
     stream.data_received(frame(Beat(1, 1, 1, 0)))
-    assert len(taker.messages) == 2 * good
+    assert len(listener.messages) == 2 * is_decodable
 
 
-def test_message_that_is_too_long_ends_the_stream() -> None:
-    stream, taker, wire = open_held()
+def test_an_oversized_message_closes_the_stream() -> None:
+    stream, listener, transport = open_stream()
     length = MAX_FRAME_BYTES + 1
     stream.data_received(length.to_bytes(LENGTH_BYTES, 'big'))
-    assert wire.is_aborted
-    assert not taker.messages
+    assert transport.is_aborted
+    assert not listener.messages
 
 
-def test_peer_that_does_not_read_loses_its_stream() -> None:
-    stream, _taker, wire = open_held()
+def test_the_stream_of_a_peer_that_stops_reading_is_closed() -> None:
+    stream, _listener, transport = open_stream()
     stream.send(pack(Beat(1, 1, 1, 0)))
-    assert wire.written == frame(Beat(1, 1, 1, 0))
-    wire.waiting = MAX_FRAME_BYTES
+    assert transport.written == frame(Beat(1, 1, 1, 0))
+    transport.waiting = MAX_FRAME_BYTES
     stream.send(pack(Beat(2, 1, 1, 0)))
-    assert wire.is_aborted
+    assert transport.is_aborted
     stream.send(pack(Beat(3, 1, 1, 0)))
-    assert wire.written == frame(Beat(1, 1, 1, 0))
+    assert transport.written == frame(Beat(1, 1, 1, 0))
 
 
 @in_loop
-async def test_messages_go_both_ways_over_sockets() -> None:
-    transport, taken, dialled = FrameTransport(WIRE), Taker(), Taker()
-    port = await transport.listen('127.0.0.1', 0, lambda: taken)
-    stream = transport.dial('127.0.0.1', port, dialled)
-    await wait_until(lambda: bool(dialled.streams and taken.streams))
+async def test_sockets_carry_messages_in_both_directions() -> None:
+    transport, accepted, dialed = (
+        FrameTransport(MESSAGES),
+        RecordingListener(),
+        RecordingListener(),
+    )
+    port = await transport.listen('127.0.0.1', 0, lambda: accepted)
+    stream = transport.dial('127.0.0.1', port, dialed)
+    await wait_until(lambda: bool(dialed.streams and accepted.streams))
     large = FeedAsk(1, 2, 3, 4, hall='h' * 300_000)
     for message in (Beat(1, 2, 3, 0.5), large, Beat(2, 2, 3, 0.5)):
         stream.send(pack(message))
-        taken.streams[0].send(pack(message))
-    await wait_until(lambda: len(taken.messages) + len(dialled.messages) == 6)
-    assert taken.messages == dialled.messages
-    assert taken.messages[1] == large
+        accepted.streams[0].send(pack(message))
+    await wait_until(
+        lambda: len(accepted.messages) + len(dialed.messages) == 6
+    )
+    assert accepted.messages == dialed.messages
+    assert accepted.messages[1] == large
     stream.close()
-    await wait_until(lambda: bool(taken.ends and dialled.ends))
-    assert len(taken.ends) == len(dialled.ends) == 1
+    await wait_until(lambda: bool(accepted.ends and dialed.ends))
+    assert len(accepted.ends) == len(dialed.ends) == 1
     transport.close()
 
 
 @in_loop
-async def test_dialled_address_that_refuses_is_told_once() -> None:
-    transport, taken, dialled = FrameTransport(WIRE), Taker(), Taker()
-    port = await transport.listen('127.0.0.1', 0, lambda: taken)
+async def test_a_refused_connection_is_reported_once() -> None:
+    transport, accepted, dialed = (
+        FrameTransport(MESSAGES),
+        RecordingListener(),
+        RecordingListener(),
+    )
+    port = await transport.listen('127.0.0.1', 0, lambda: accepted)
     transport.close()
     await asyncio.sleep(0)
-    transport.dial('127.0.0.1', port, dialled)
-    await wait_until(lambda: bool(dialled.ends))
-    assert not dialled.streams
-    assert len(dialled.ends) == 1
+    transport.dial('127.0.0.1', port, dialed)
+    await wait_until(lambda: bool(dialed.ends))
+    assert not dialed.streams
+    assert len(dialed.ends) == 1
 
 
 @in_loop
-async def test_stream_given_up_while_it_opens_is_told_once() -> None:
-    transport, taken, dialled = FrameTransport(WIRE), Taker(), Taker()
-    port = await transport.listen('127.0.0.1', 0, lambda: taken)
-    transport.dial('127.0.0.1', port, dialled).close()
-    await wait_until(lambda: bool(dialled.ends))
+async def test_a_stream_closed_while_connecting_is_reported_once() -> None:
+    transport, accepted, dialed = (
+        FrameTransport(MESSAGES),
+        RecordingListener(),
+        RecordingListener(),
+    )
+    port = await transport.listen('127.0.0.1', 0, lambda: accepted)
+    transport.dial('127.0.0.1', port, dialed).close()
+    await wait_until(lambda: bool(dialed.ends))
     await asyncio.sleep(0.01)
-    assert len(dialled.ends) == 1
+    assert len(dialed.ends) == 1
     transport.close()
 
 
 @in_loop
-async def test_no_stream_is_taken_before_the_node_has_started() -> None:
-    transport, dialled = FrameTransport(WIRE), Taker()
+async def test_no_stream_is_accepted_without_a_listener() -> None:
+    transport, dialed = FrameTransport(MESSAGES), RecordingListener()
     port = await transport.listen('127.0.0.1', 0, lambda: None)
-    transport.dial('127.0.0.1', port, dialled)
-    await wait_until(lambda: bool(dialled.ends))
+    transport.dial('127.0.0.1', port, dialed)
+    await wait_until(lambda: bool(dialed.ends))
     transport.close()
 
 
 @pytest.mark.parametrize('raw', [b'', b'\x00\x00\x00'])
-def test_part_of_a_length_waits_for_the_rest(raw: bytes) -> None:
-    stream, taker, wire = open_held()
+def test_an_incomplete_length_prefix_waits_for_more_bytes(raw: bytes) -> None:
+    stream, listener, transport = open_stream()
     stream.data_received(raw)
-    assert not taker.messages
-    assert not wire.is_aborted
+    assert not listener.messages
+    assert not transport.is_aborted
--- a/tests/test_truncated_calls.py
+++ b/tests/test_truncated_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the store take no part of an answer for the whole."""
+"""Tests that the store client never accepts a truncated answer."""
 
 from __future__ import annotations
 
@@ -34,23 +34,23 @@
 ).encode()
 
 
-class _Calls:
-    """Answers each call with the same bytes."""
+class _FixedClient:
+    """HTTP client that returns the same body for each request."""
 
     def __init__(self, raw: bytes) -> None:
         self._raw = raw
 
-    async def call(self, *_words: Any, **_named: Any) -> Result:
+    async def call(self, *_args: Any, **_kwargs: Any) -> Result:
         return Success(HttpResponse(200, self._raw))
 
 
 def make_platform(monkeypatch: pytest.MonkeyPatch, raw: bytes) -> HttpPlatform:
     platform = HttpPlatform('http://127.0.0.1:1', 1.0)
-    monkeypatch.setattr(platform, '_calls', _Calls(raw))
+    monkeypatch.setattr(platform, '_calls', _FixedClient(raw))
     return platform
 
 
-def test_a_part_of_an_object_is_no_answer(
+def test_a_truncated_object_counts_as_no_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for end in range(len(STORED)):
@@ -61,7 +61,7 @@
         assert written == Failure(PlatformFault.UNANSWERED)
 
 
-def test_a_part_of_a_list_is_no_answer(
+def test_a_truncated_list_counts_as_no_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for end in range(len(CHANGES)):
@@ -70,7 +70,7 @@
         assert listed == Failure(PlatformFault.UNANSWERED)
 
 
-def test_a_part_of_a_page_is_no_page() -> None:
+def test_a_truncated_page_is_rejected() -> None:
     assert len(decode_page(PAGE).objects) == 2
     for end in range(len(PAGE)):
         with pytest.raises(ValueError, match='.'):
--- a/tests/test_truncated_targets.py
+++ b/tests/test_truncated_targets.py
@@ -1,4 +1,10 @@
-"""The entry daemon: whole answers pass in each framing, cut ones break off."""
+"""Tests that callers of the entry daemon notice truncated answers.
+
+The end of an answer's connection can look like the end of its body: a body
+without a length ends with the connection, and a length or last chunk can follow
+a stream that stops within an event.  The daemon must pass on complete answers
+of each framing and abort the others.
+"""
 
 from __future__ import annotations
 
@@ -18,34 +24,39 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PLAIN = b'the whole answer'
+PLAIN_BODY = b'the whole answer'
 
-CHAT = b'data: {"token": 1}\n\ndata: [DONE]\n\n'
-"""A whole stream of a model, with its end marker."""
+CHAT_STREAM = b'data: {"token": 1}\n\ndata: [DONE]\n\n'
+"""Complete stream of a model, with its end marker."""
 
-EVENT = len(b'id: 1\ndata: t1\n\n')
+EVENT_BYTES = len(b'id: 1\ndata: t1\n\n')
+"""Length of each of the first events of ``WHOLE``."""
 
-WITHIN_EVENT = (EVENT + 1, EVENT + len(b'id: 2\n'), 2 * EVENT - 1)
-"""Bytes that are sent of a stream that ends within an event."""
+CUTS_WITHIN_EVENT = (
+    EVENT_BYTES + 1,
+    EVENT_BYTES + len(b'id: 2\n'),
+    2 * EVENT_BYTES - 1,
+)
+"""Lengths at which a stream is truncated within an event."""
 
 ALL_ENDS = list(itertools.product(Framing, Ending))
 
-SEEN_ENDS = [
+TRUNCATED_ENDS = [
     (framing, ending)
     for framing, ending in ALL_ENDS
     if ending is Ending.RESET
     or (ending is Ending.CLOSE and framing is not Framing.CLOSE)
 ]
-"""Ends that no whole body has."""
+"""Ends that by themselves show that a body is truncated."""
 
-WHOLE_ENDS = [end for end in ALL_ENDS if end not in SEEN_ENDS]
+COMPLETE_ENDS = [end for end in ALL_ENDS if end not in TRUNCATED_ENDS]
 
 
 class ScriptedBox:
-    """A box that answers requests by a script, and probes as a sound one."""
+    """Box that answers requests by a script, and probes as a healthy one."""
 
     def __init__(self) -> None:
-        self.script = BodyScript(Framing.LENGTH, Ending.ANNOUNCED, PLAIN)
+        self.script = BodyScript(Framing.LENGTH, Ending.ANNOUNCED, PLAIN_BODY)
         self.requests = 0
         self._socket = socket.create_server(('127.0.0.1', 0))
         self.port = self._socket.getsockname()[1]
@@ -57,21 +68,21 @@
     def _accept(self) -> None:
         while True:
             try:
-                line, _ = self._socket.accept()
+                connection, _ = self._socket.accept()
             except OSError:
                 return
             threading.Thread(
-                target=self._serve, args=(line,), daemon=True
+                target=self._serve, args=(connection,), daemon=True
             ).start()
 
-    def _serve(self, line: socket.socket) -> None:
+    def _serve(self, connection: socket.socket) -> None:
         request = b''
         while b'\r\n\r\n' not in request:
-            piece = line.recv(65536)
-            if not piece:
-                line.close()
+            received = connection.recv(65536)
+            if not received:
+                connection.close()
                 return
-            request += piece
+            request += received
         if b'/waywell/health' in request:
             probe = b'{"box": "scripted"}'
             script = BodyScript(
@@ -80,24 +91,24 @@
         else:
             self.requests += 1
             script = self.script
-        line.sendall(script.make_raw())
+        connection.sendall(script.make_raw())
         if script.ending is Ending.RESET:
-            reset(line)
+            reset(connection)
         else:
-            line.close()
+            connection.close()
 
 
 @pytest.fixture
 def box() -> Iterator[ScriptedBox]:
-    made = ScriptedBox()
-    yield made
-    made.close()
+    scripted = ScriptedBox()
+    yield scripted
+    scripted.close()
 
 
 @pytest.fixture
 def served(bench: Bench, box: ScriptedBox) -> Bench:
-    """Start an entry box before one box that both services run on."""
-    service: list[dict[str, Any]] = [
+    """Start an entry box in front of one box that runs both services."""
+    services: list[dict[str, Any]] = [
         {'name': 'llm', 'type': 'model', 'fenced': False},
         {'name': 'app', 'type': 'plain', 'fenced': False},
     ]
@@ -106,7 +117,7 @@
             BoxSpec(name, fenced=False, labels={'pool': name}), box.port
         )
     bench.start_entry('entry-1', timing=QUICK)
-    configuration = make_configuration(boxes_per_group=1, service=service)
+    configuration = make_configuration(boxes_per_group=1, service=services)
     assert bench.apply('entry-1', configuration).status == 200
     for name in ('llm', 'app'):
         bench.wait_serving('entry-1', f'{name}-main', 1)
@@ -114,9 +125,9 @@
 
 
 def ask(bench: Bench, box: ScriptedBox, service: str) -> bytes | None:
-    """Return the body of an answer; ``None`` where it is seen to break off."""
+    """Return the body of an answer, or ``None`` if it is visibly truncated."""
     caller = bench.get_caller('entry-1')
-    asked = box.requests
+    requests_before = box.requests
     try:
         answer = caller.call(
             f'/services/{service}/x',
@@ -126,50 +137,50 @@
         )
     except UnreachableError:
         answer = None
-    assert box.requests == asked + 1
+    assert box.requests == requests_before + 1
     return answer.body if answer and answer.status == 200 else None
 
 
-def test_whole_answers_pass_in_each_framing(
+def test_complete_answers_pass_in_each_framing(
     served: Bench, box: ScriptedBox
 ) -> None:
-    for framing, ending in WHOLE_ENDS:
-        box.script = BodyScript(framing, ending, PLAIN, 'text/plain')
-        assert (framing, ask(served, box, 'app')) == (framing, PLAIN)
+    for framing, ending in COMPLETE_ENDS:
+        box.script = BodyScript(framing, ending, PLAIN_BODY, 'text/plain')
+        assert (framing, ask(served, box, 'app')) == (framing, PLAIN_BODY)
         box.script = BodyScript(framing, ending, WHOLE)
         assert (framing, ask(served, box, 'app')) == (framing, WHOLE)
-        box.script = BodyScript(framing, ending, CHAT)
-        assert (framing, ask(served, box, 'llm')) == (framing, CHAT)
+        box.script = BodyScript(framing, ending, CHAT_STREAM)
+        assert (framing, ask(served, box, 'llm')) == (framing, CHAT_STREAM)
 
 
-def test_answers_that_break_off_are_seen(
+def test_truncated_answers_reach_the_caller_as_truncated(
     served: Bench, box: ScriptedBox
 ) -> None:
-    for framing, ending in SEEN_ENDS:
-        box.script = BodyScript(framing, ending, PLAIN[:7], 'text/plain')
+    for framing, ending in TRUNCATED_ENDS:
+        box.script = BodyScript(framing, ending, PLAIN_BODY[:7], 'text/plain')
         assert (framing, ask(served, box, 'app')) == (framing, None)
-        for sent in (EVENT, *WITHIN_EVENT):
-            box.script = BodyScript(framing, ending, WHOLE[:sent])
+        for length in (EVENT_BYTES, *CUTS_WITHIN_EVENT):
+            box.script = BodyScript(framing, ending, WHOLE[:length])
             assert (framing, ask(served, box, 'app')) == (framing, None)
 
 
-def test_a_stream_that_ends_within_an_event_breaks_off_for_its_caller(
+def test_a_stream_that_ends_within_an_event_is_aborted(
     served: Bench, box: ScriptedBox
 ) -> None:
     for line_end in (b'\n', b'\r\n'):
-        for (framing, ending), sent in itertools.product(
-            WHOLE_ENDS, WITHIN_EVENT
+        for (framing, ending), length in itertools.product(
+            COMPLETE_ENDS, CUTS_WITHIN_EVENT
         ):
-            part = WHOLE[:sent].replace(b'\n', line_end)
-            box.script = BodyScript(framing, ending, part)
-            assert (framing, sent, ask(served, box, 'app')) == (
+            body = WHOLE[:length].replace(b'\n', line_end)
+            box.script = BodyScript(framing, ending, body)
+            assert (framing, length, ask(served, box, 'app')) == (
                 framing,
-                sent,
+                length,
                 None,
             )
 
 
-def test_a_closed_stream_without_an_event_breaks_off_for_its_caller(
+def test_a_stream_closed_before_its_first_event_is_aborted(
     served: Bench, box: ScriptedBox
 ) -> None:
     for body in (b'', b': ping\n\n', b'\n'):
@@ -177,30 +188,30 @@
         assert (body, ask(served, box, 'app')) == (body, None)
 
 
-def test_whole_compressed_streams_pass(
+def test_complete_compressed_streams_pass(
     served: Bench, box: ScriptedBox
 ) -> None:
     body = b'\x1f\x8b\x08 compressed'
-    for framing, ending in WHOLE_ENDS:
+    for framing, ending in COMPLETE_ENDS:
         box.script = BodyScript(framing, ending, body, encoding='gzip')
         assert (framing, ask(served, box, 'app')) == (framing, body)
 
 
-def test_the_type_of_a_stream_is_told_without_regard_to_case(
+def test_the_content_type_of_a_stream_is_matched_without_case(
     served: Bench, box: ScriptedBox
 ) -> None:
     box.script = BodyScript(
         Framing.CHUNKED,
         Ending.ANNOUNCED,
-        CHAT[:20],
+        CHAT_STREAM[:20],
         'Text/Event-Stream; charset=utf-8',
     )
     assert ask(served, box, 'llm') is None
 
 
-def test_a_stream_without_its_end_marker_breaks_off_for_its_caller(
+def test_a_model_stream_without_its_end_marker_is_aborted(
     served: Bench, box: ScriptedBox
 ) -> None:
-    for framing, ending in WHOLE_ENDS:
-        box.script = BodyScript(framing, ending, CHAT[:20])
+    for framing, ending in COMPLETE_ENDS:
+        box.script = BodyScript(framing, ending, CHAT_STREAM[:20])
         assert (framing, ask(served, box, 'llm')) == (framing, None)
--- a/waywell/connection/caller_base.py
+++ b/waywell/connection/caller_base.py
@@ -24,9 +24,9 @@
 class BaseCallerRequest(Request):
     """Request of a caller; subclasses implement how it is served."""
 
-    def __init__(self, channel: HTTPChannel, *rest: Any) -> None:
+    def __init__(self, channel: HTTPChannel, *args: Any) -> None:
         """Initialize before the request line is received."""
-        super().__init__(channel, *rest)
+        super().__init__(channel, *args)
         self.backend: Any = channel.site.backend
         self.is_disconnected = False
         self.is_relaying = False
--- a/waywell/connection/frames.py
+++ b/waywell/connection/frames.py
@@ -76,18 +76,18 @@
     def data_received(self, data: bytes) -> None:  # noqa: WPS110
         """Pass on all complete messages and keep the rest of the bytes."""
         received = self._buffered + data if self._buffered else data
-        start = 0
-        while len(received) - start >= LENGTH_BYTES:
-            begin = start + LENGTH_BYTES
-            length = int.from_bytes(received[start:begin], 'big')
+        frame_start = 0
+        while len(received) - frame_start >= LENGTH_BYTES:
+            body_start = frame_start + LENGTH_BYTES
+            length = int.from_bytes(received[frame_start:body_start], 'big')
             if length > MAX_FRAME_BYTES:
                 self._abort(f'a message of {length} bytes exceeds the limit')
                 return
-            if len(received) - begin < length:
+            if len(received) - body_start < length:
                 break
-            start = begin + length
-            self._receive_message(received[begin:start])
-        self._buffered = received[start:]
+            frame_start = body_start + length
+            self._receive_message(received[body_start:frame_start])
+        self._buffered = received[frame_start:]
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Notify the listener."""
--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -70,9 +70,9 @@
 
     backend: Any
 
-    def __init__(self, channel: HTTPChannel, *rest: Any) -> None:
+    def __init__(self, channel: HTTPChannel, *args: Any) -> None:
         """Initialize before the request line is received."""
-        super().__init__(channel, *rest)
+        super().__init__(channel, *args)
         # The caller's id of this attempt; empty until the request is
         # decoded.
         self.attempt_id = ''
