--- a/tests/test_truncated_targets.py
+++ b/tests/test_truncated_targets.py
@@ -1,9 +1,9 @@
 """Tests that callers of the entry daemon notice truncated answers.
 
-The end of an answer's connection can look like the end of its body: a body
-without a length ends with the connection, and a length or last chunk can follow
-a stream that stops within an event.  The daemon must pass on complete answers
-of each framing and abort the others.
+The end of a truncated answer can look like a regular one: a body without a
+length ends with the connection, and a stream that stops within an event can
+still have its announced length or last chunk.  The daemon must pass on
+complete answers of each framing and abort the others.
 """
 
 from __future__ import annotations
--- a/waywell/connection/event_boundary.py
+++ b/waywell/connection/event_boundary.py
@@ -13,7 +13,8 @@
     """Tracks whether a stream is between two events, without buffering it.
 
     An event consists of one or more lines other than comments and ends with
-    an empty line (https://html.spec.whatwg.org/multipage/server-sent-events.html).
+    an empty line, as in
+    https://html.spec.whatwg.org/multipage/server-sent-events.html.
     """
 
     def __init__(self) -> None:
--- a/waywell/connection/exchange.py
+++ b/waywell/connection/exchange.py
@@ -55,8 +55,8 @@
     """The replica is rate-limited, and no permit was granted."""
 
     HELD_BACK = 'held_back'
-    """Replicas crashed while they ran the request, so it is kept away from
-    this one."""
+    """The request shares a trait with requests that crashed replicas; the
+    attempt was stopped to protect its replica."""
 
 
 class OutgoingRequest(msgspec.Struct, frozen=True):
