--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -185,7 +185,7 @@
     ) -> None:
         attempt.started_at = now
         if not self._has_permit(attempt):
-            attempt.post(Attempt.Fault(attempt, SendFault.NO_TURN))
+            attempt.post(Attempt.Fault(attempt, SendFault.NO_PERMIT))
             return
         assert not self.connects_at_once or may_send()
         self.may_send = may_send
@@ -244,7 +244,7 @@
     async def deliver_end(
         self, attempt: Attempt, is_whole: bool = True
     ) -> None:
-        end = BodyEnd.ANNOUNCED if is_whole else BodyEnd.CUT
+        end = BodyEnd.DELIMITED if is_whole else BodyEnd.TRUNCATED
         attempt.post(Attempt.End(attempt, BodyOutcome(end)))
         await self.run_pending()
 
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -241,11 +241,11 @@
         (b'X-Deadline-Ms', b'8000'),
         (b'X-Own', b'kept'),
     )
-    request = wire.read_ask('POST', '/notes/1', headers, b'body')
+    request = wire.read_request('POST', '/notes/1', headers, b'body')
     sent = wire.make_forward_headers(
         request, ForwardingHeader('own', 3), 2.5, 4
     )
-    received = wire.read_ask('POST', '/notes/1', sent, b'body')
+    received = wire.read_request('POST', '/notes/1', sent, b'body')
     assert received.forwarded == ForwardingHeader('own', 3)
     assert (received.host, received.attempt_id) == ('shop.example', 'a1')
     assert (
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -30,7 +30,9 @@
 
 
 def read_ask(*extra: tuple[bytes, bytes]) -> DecodedRequest:
-    return WIRE.read_ask('POST', '/notes/1?x=2', (*HEADERS, *extra), b'body')
+    return WIRE.read_request(
+        'POST', '/notes/1?x=2', (*HEADERS, *extra), b'body'
+    )
 
 
 def make_headers(ask: DecodedRequest, **changes: object) -> dict[bytes, bytes]:
--- a/waywell/connection/body_end.py
+++ b/waywell/connection/body_end.py
@@ -1,4 +1,4 @@
-"""How the body of a response ended, and whether all of it came."""
+"""How the body of a response ended, and whether it is complete."""
 
 from __future__ import annotations
 
@@ -13,66 +13,68 @@
 
 
 class BodyEnd(enum.Enum):
-    """What ended a body."""
+    """What ended the body of a response."""
 
-    ANNOUNCED = 'announced'
-    """Its length was reached, or its last chunk came."""
+    DELIMITED = 'announced'
+    """The content length was reached, or the last chunk received."""
 
     CLOSED = 'closed'
-    """An orderly close; it had neither a length nor chunks."""
+    """Orderly close of a body with neither a length nor chunks."""
 
     RESET = 'reset'
-    """A broken connection; it had neither a length nor chunks."""
+    """Connection error in a body with neither a length nor chunks."""
 
-    CUT = 'cut'
-    """The connection ended before the length or the last chunk."""
+    TRUNCATED = 'cut'
+    """End of the connection before the content length or the last chunk."""
 
 
-def read_body_end(reason: Failure, was_closed: bool) -> BodyEnd:
-    """Return what ended a body.
+def classify_body_end(reason: Failure, was_closed: bool) -> BodyEnd:
+    """Return what ended the body of a response.
 
     Parameters
     ----------
     reason
-        What twisted's HTTP client gives as the reason.
+        Reason that twisted passes to ``connectionLost`` of the body's reader.
     was_closed
         Whether the connection ended with an orderly close.
     """
     if reason.check(ResponseDone):
-        return BodyEnd.ANNOUNCED
+        return BodyEnd.DELIMITED
     if reason.check(PotentialDataLoss):
         return BodyEnd.CLOSED if was_closed else BodyEnd.RESET
-    return BodyEnd.CUT
+    return BodyEnd.TRUNCATED
 
 
 class BodyOutcome(msgspec.Struct, frozen=True):
-    """Whether a body is complete: the one verdict for every reader."""
+    """Whether a body is complete, decided by one rule for all readers."""
 
-    end: BodyEnd = BodyEnd.ANNOUNCED
-    """What ended it."""
+    end: BodyEnd = BodyEnd.DELIMITED
+    """What ended the body."""
 
     unfinished_bytes: int = 0
-    """Bytes of an event that had begun; 0 outside of event streams."""
+    """Bytes of an incomplete last event; 0 for bodies without events."""
 
     has_events: bool = True
-    """Whether an event has come, of an event stream."""
+    """Whether an event stream had at least one complete event; true for
+    bodies without events."""
 
     @property
     def is_complete(self) -> bool:
-        """Return whether all of it came.
+        """Return whether the body was received completely.
 
-        A stream that ends within an event was broken off, however it ends.
-        One that closes without any event holds no answer; only a length or
-        a last chunk says that there is none.
+        An event stream that ends within an event is truncated, whatever
+        ended it.  A stream that is closed before its first event holds no
+        answer; only a content length or a last chunk shows that it is
+        meant to be empty.
         """
         if self.unfinished_bytes:
             return False
         if self.end is BodyEnd.CLOSED:
             return self.has_events
-        return self.end is BodyEnd.ANNOUNCED
+        return self.end is BodyEnd.DELIMITED
 
     def describe(self) -> dict[str, object]:
-        """Return what log lines tell of it."""
+        """Return the values for log lines."""
         return {
             'ended': self.end.value,
             'unfinished_bytes': self.unfinished_bytes,
--- a/waywell/connection/caller.py
+++ b/waywell/connection/caller.py
@@ -1,4 +1,4 @@
-"""The port for callers: entry list and requests, over HTTP/1.1."""
+"""HTTP/1.1 port that serves requests and the entry list to callers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     BaseCallerSite,
 )
 from waywell.connection.forwarding import CODE_HEADER, RAN_HEADER
-from waywell.connection.hop_headers import HOP_HEADERS
+from waywell.connection.hop_headers import HOP_BY_HOP_HEADERS
 from waywell.connection.relay import AnswerRelay
 from waywell.connection.target import (
     EPOCH_HEADER,
@@ -27,14 +27,15 @@
     from waywell.connection.target import TargetAnswer
 
 ENTRIES_PATH = b'/entries'
-"""Path of the entry list."""
+"""Path at which callers fetch the list of entry boxes."""
 
 
 CONFIGURATION_HEADER = 'waywell-configuration'
-"""Version of the configuration that a request was served by."""
+"""Response header with the version of the configuration in force when the
+request was served."""
 
 
-_DROPPED = HOP_HEADERS | {
+_STRIPPED_HEADERS = HOP_BY_HOP_HEADERS | {
     'authorization',
     'host',
     'expect',
@@ -45,36 +46,36 @@
 }
 
 
-LONGEST_RETRY = 3600
-"""Longest advice to come back, in seconds."""
+MAX_RETRY_AFTER_SECONDS = 3600
+"""Upper bound of the ``retry-after`` header, in seconds."""
 
 
 class CallerBackend(msgspec.Struct, frozen=True):
-    """What the port needs of the node."""
+    """Functions and limits of the node that the port uses."""
 
     serve: Callable[[Submission, CallerConnection], Awaitable[None]]
-    """Serves a request; raises a refusal."""
+    """Serves a request; raises ``Refusal`` if it can't."""
 
     list_entries: Callable[[], dict[str, Any]]
-    """Returns the entry list."""
+    """Returns the entry list as values that JSON can encode."""
 
     get_configuration: Callable[[], int]
     """Returns the version of the configuration in force."""
 
     report: Callable[[CallerRequest, Code, Ran], None]
-    """Takes in how a request ended."""
+    """Records the result code of a request and whether the request ran."""
 
     body_bytes: int
-    """Largest request body."""
+    """Largest request body, in bytes."""
 
 
 class CallerRequest(BaseCallerRequest):
-    """One request of a caller of the entry daemon."""
+    """Request of a caller to the entry daemon."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer with a refusal, at once."""
+        """Record a refusal and send it as the response."""
         self.backend.report(self, refusal.code, refusal.ran)
-        if self.is_gone:
+        if self.is_disconnected:
             return
         raw = msgspec.json.encode(refusal.describe())
         self.setResponseCode(refusal.status)
@@ -83,34 +84,38 @@
         self.setHeader(CODE_HEADER.encode(), str(int(refusal.code)).encode())
         self.setHeader(RAN_HEADER.encode(), refusal.ran.value.encode())
         if refusal.retry_after is not None:
-            seconds = max(1, round(min(refusal.retry_after, LONGEST_RETRY)))
+            seconds = max(
+                1, round(min(refusal.retry_after, MAX_RETRY_AFTER_SECONDS))
+            )
             self.setHeader(b'retry-after', str(seconds).encode())
         self.write(raw)
         self.finish()
 
     def read_text(self, header: str) -> str:
-        """Return a header's last value as text, or an empty one."""
+        """Return the last value of a header, or an empty string."""
         texts = self.requestHeaders.getRawHeaders(header.encode(), [b''])
         return str(texts[-1].decode('latin-1'))
 
     async def serve_path(self) -> None:
-        """Answer the entry list, or serve a request."""
+        """Respond with the entry list, or serve a request to a service."""
         if self.path == ENTRIES_PATH:
-            self._answer_entries()
+            self._send_entries()
             return
         number = str(self.backend.get_configuration()).encode()
         self.setHeader(CONFIGURATION_HEADER.encode(), number)
-        await self.backend.serve(self._submit(), _RequestPort(self))
+        await self.backend.serve(
+            self._make_submission(), _RequestAdapter(self)
+        )
         self.backend.report(self, Code.OK, Ran.RAN)
 
-    def _answer_entries(self) -> None:
+    def _send_entries(self) -> None:
         raw = msgspec.json.encode(self.backend.list_entries())
         self.setHeader(b'content-type', b'application/json')
         self.setHeader(b'content-length', str(len(raw)).encode())
         self.write(raw)
         self.finish()
 
-    def _submit(self) -> Submission:
+    def _make_submission(self) -> Submission:
         headers = {
             name.decode('latin-1').lower(): texts
             for name, texts in self.requestHeaders.getAllRawHeaders()
@@ -118,7 +123,7 @@
         passed = tuple(
             (name.encode('latin-1'), text)
             for name, texts in headers.items()
-            if name not in _DROPPED
+            if name not in _STRIPPED_HEADERS
             for text in texts
         )
         return Submission(
@@ -133,25 +138,27 @@
         )
 
 
-class _RequestPort(CallerConnection):
+class _RequestAdapter(CallerConnection):
+    """Makes a twisted request usable by the dispatcher."""
+
     def __init__(self, request: CallerRequest) -> None:
         self._request = request
 
     def is_disconnected(self) -> bool:
-        return self._request.is_gone
+        return self._request.is_disconnected
 
     async def relay(self, answer: TargetAnswer, service: Service) -> bool:
-        if self._request.is_gone:
+        if self._request.is_disconnected:
             answer.abandon()
             return False
-        wants_marker = service.type is ServiceType.MODEL
-        relay = AnswerRelay(self._request, answer, wants_marker)
+        needs_end_marker = service.type is ServiceType.MODEL
+        relay = AnswerRelay(self._request, answer, needs_end_marker)
         self._request.is_relaying = True
         relay.start()
-        return await relay.whole
+        return await relay.completion
 
 
 class CallerSite(BaseCallerSite):
-    """Makes the requests of the entry daemon's callers."""
+    """Site that serves the callers of the entry daemon."""
 
     request_class = CallerRequest
--- a/waywell/connection/relay.py
+++ b/waywell/connection/relay.py
@@ -1,4 +1,4 @@
-"""Passing an answer on, so that a cut answer never looks whole."""
+"""Relay of an answer that never makes a truncated body look complete."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from zope.interface import implementer
 
-from waywell.connection.body_end import BodyOutcome, read_body_end
+from waywell.connection.body_end import BodyOutcome, classify_body_end
 from waywell.connection.content_type import is_event_stream
-from waywell.connection.event_boundary import EventBoundary
+from waywell.connection.event_boundary import EventBoundaryTracker
 
 if TYPE_CHECKING:
     from twisted.python.failure import Failure as TwistedFailure
@@ -21,128 +21,134 @@
     from waywell.connection.target import TargetAnswer
 
 STREAM_END = b'data: [DONE]'
-"""End marker of a streamed answer of a model."""
+"""Event that ends a streamed answer of a model."""
 
 TAIL_BYTES = 64
-"""Bytes at the end of a stream in which the marker is looked for."""
+"""Length of the end of a stream that is searched for the end marker, in
+bytes."""
 
 
 @implementer(IPushProducer)
 class AnswerRelay(Protocol):
     """Receives the body of an answer and writes it to a caller.
 
-    The target's connection is paused while the caller reads slowly, so
-    no more than the sockets' own buffers wait in memory.
+    The connection to the target is paused while the send buffer of the
+    caller is full, so no more than the buffers of the sockets is held.
 
     Parameters
     ----------
     request
-        The caller's request.
+        Request of the caller, to which the answer is written.
     answer
-        The target's answer.
-    wants_marker
-        Whether a stream is whole only with its end marker.
+        Answer of the target.
+    needs_end_marker
+        Whether a stream without the end marker counts as truncated.
     """
 
     def __init__(
         self,
         request: Request,
         answer: TargetAnswer,
-        wants_marker: bool,
+        needs_end_marker: bool,
     ) -> None:
-        """Start before the first byte."""
-        self.whole: asyncio.Future[bool] = (
+        """Initialize the relay; ``start`` writes the first bytes."""
+        self.completion: asyncio.Future[bool] = (
             asyncio.get_running_loop().create_future()
         )
         self._request = request
         self._answer = answer
-        self._wants_marker = wants_marker
+        self._needs_end_marker = needs_end_marker
         self._is_stream = is_event_stream(answer.headers)
-        self._boundary = EventBoundary()
+        self._boundary = EventBoundaryTracker()
         self._tail = b''
-        self._given_up = False
+        self._is_cancelled = False
 
     def start(self) -> None:
-        """Write the head and let the body come."""
+        """Write the status and headers and start to receive the body."""
         request = self._request
         request.setResponseCode(self._answer.status)
         for name, text in self._answer.headers:
             request.responseHeaders.addRawHeader(name, text)
         if self._answer.length is not None and not self._is_stream:
-            # A stream that breaks off must not reach a length that fits.
+            # Without a content length, a truncated stream can't happen to
+            # look complete by having the announced length.
             length = str(self._answer.length).encode()
             request.setHeader(b'content-length', length)
-        request.notifyFinish().addErrback(self._give_up)
+        request.notifyFinish().addErrback(self._cancel)
         request.registerProducer(self, True)
         self._answer.deliver(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, WPS110
-        """Write a piece of the body."""
-        if not self._given_up:
-            self._follow(data)
+        """Write bytes of the body to the caller."""
+        if not self._is_cancelled:
+            self._track_stream(data)
             self._request.write(data)
 
     def connectionLost(  # noqa: N802
         self,
         reason: TwistedFailure = connectionDone,
     ) -> None:
-        """End the answer, or break it where it is not whole."""
-        if self._given_up:
+        """Finish the answer, or abort it if the body is incomplete."""
+        if self._is_cancelled:
             return
-        end = read_body_end(reason, self._answer.was_closed)
-        self._end(self._judge(end).is_complete and self._has_end())
+        end = classify_body_end(reason, self._answer.was_closed)
+        self._finish(
+            self._make_outcome(end).is_complete
+            and self._has_required_end_marker()
+        )
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading: the caller is slow."""
-        self._call_transport('pauseProducing')
+        """Stop reading from the target: the send buffer is full."""
+        self._call_transport_method('pauseProducing')
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on: the caller has caught up."""
-        self._call_transport('resumeProducing')
+        """Continue to read: the send buffer has room again."""
+        self._call_transport_method('resumeProducing')
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Stop for good: the caller is gone."""
+        """Do nothing: ``_cancel`` handles the disconnect of the caller."""
 
-    def _call_transport(self, name: str) -> None:
+    def _call_transport_method(self, name: str) -> None:
         transport: Any = self.transport
         if transport is not None:
             getattr(transport, name)()
 
-    def _follow(self, raw: bytes) -> None:
-        """Keep what the verdict on a stream needs."""
+    def _track_stream(self, raw: bytes) -> None:
+        """Update what decides whether an event stream is complete."""
         if self._is_stream:
             self._tail = (self._tail + raw)[-TAIL_BYTES:]
             self._boundary.feed(raw)
 
-    def _judge(self, end: BodyEnd) -> BodyOutcome:
-        """Return whether the body is complete."""
+    def _make_outcome(self, end: BodyEnd) -> BodyOutcome:
+        """Return how the body ended."""
         if not self._is_stream:
             return BodyOutcome(end)
         unfinished = len(self._tail) if self._boundary.is_inside_event else 0
         return BodyOutcome(end, unfinished, self._boundary.has_events)
 
-    def _has_end(self) -> bool:
-        if not self._is_stream or not self._wants_marker:
+    def _has_required_end_marker(self) -> bool:
+        if not self._is_stream or not self._needs_end_marker:
             return True
         return STREAM_END in self._tail
 
-    def _end(self, whole: bool) -> None:
+    def _finish(self, is_complete: bool) -> None:
         self._request.unregisterProducer()
-        if whole:
+        if is_complete:
             self._request.finish()
         else:
-            # What has come is flushed; the missing end shows the cut.
+            # The bytes so far are flushed; the missing end of the body shows
+            # the caller that the answer is truncated.
             self._request.loseConnection()
-        self._settle(whole)
+        self._set_completion(is_complete)
 
-    def _give_up(self, _reason: object) -> None:
-        """Cancel at the target: the caller has gone."""
-        if self.whole.done():
+    def _cancel(self, _reason: object) -> None:
+        """Abandon the answer of the target: the caller has disconnected."""
+        if self.completion.done():
             return
-        self._given_up = True
+        self._is_cancelled = True
         self._answer.abandon()
-        self._settle(whole=False)
+        self._set_completion(is_complete=False)
 
-    def _settle(self, whole: bool) -> None:
-        if not self.whole.done():
-            self.whole.set_result(whole)
+    def _set_completion(self, is_complete: bool) -> None:
+        if not self.completion.done():
+            self.completion.set_result(is_complete)
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -5,11 +5,11 @@
 import abc
 from typing import TYPE_CHECKING
 
-from waywell.connection.exchange import Outgoing
+from waywell.connection.exchange import OutgoingRequest
 from waywell.request.decoded_request import DeliveryParameters
 
 if TYPE_CHECKING:
-    from waywell.connection.wire import RawHeaders
+    from waywell.connection.wire_format import RawHeaders
     from waywell.request.decoded_request import AnswerMetadata
     from waywell.request.permit_source import Permit
     from waywell.request.replica_table import ReplicaTable
@@ -37,7 +37,7 @@
         """Return the fields that identify the destination in log lines."""
 
     @abc.abstractmethod
-    def make_outgoing(self, now: float) -> Outgoing:
+    def make_outgoing(self, now: float) -> OutgoingRequest:
         """Return the request in the form in which it is sent at ``now``."""
 
     @abc.abstractmethod
@@ -125,7 +125,7 @@
         """Return the fields that identify the destination in log lines."""
         return {'box': self.key.box, 'group': self.replica.group}
 
-    def make_outgoing(self, now: float) -> Outgoing:
+    def make_outgoing(self, now: float) -> OutgoingRequest:
         """Return the request in the form in which it is sent at ``now``."""
         context = self._context
         holder = context.holder
@@ -136,7 +136,7 @@
             priority=context.priority if context.engine else None,
         )
         head = self.replica.head
-        return Outgoing(
+        return OutgoingRequest(
             head.host,
             head.port,
             context.request.method,
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from waywell.connection.exchange import Outgoing
+from waywell.connection.exchange import OutgoingRequest
 from waywell.connection.forwarding import ForwardingHeader, read_refusal
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.request.destination import Destination
 from waywell.request.peer_chooser import make_peer_key
 
 if TYPE_CHECKING:
-    from waywell.connection.wire import RawHeaders
+    from waywell.connection.wire_format import RawHeaders
     from waywell.membership.membership import NodeRecord
     from waywell.request.request_context import (
         ForwarderDependencies,
@@ -53,10 +53,10 @@
         """Return the fields that identify the peer in log lines."""
         return {'peer': self._peer.node}
 
-    def make_outgoing(self, now: float) -> Outgoing:
+    def make_outgoing(self, now: float) -> OutgoingRequest:
         """Return the request in the form in which it is sent at ``now``."""
         context = self._context
-        return Outgoing(
+        return OutgoingRequest(
             self._peer.host,
             self._peer.caller_port,
             context.request.method,
--- a/waywell/request/stream_events.py
+++ b/waywell/request/stream_events.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from waywell.connection.event_boundary import EventBoundary
+from waywell.connection.event_boundary import EventBoundaryTracker
 
 EVENT_END = re.compile(rb'(?>\r\n|\n|\r){2}')
 """Line end followed by an empty line; lines end in CR LF, LF or CR."""
@@ -36,7 +36,7 @@
         """Return whether it holds more than comments and empty lines."""
         if self.number is not None:
             return True
-        boundary = EventBoundary()
+        boundary = EventBoundaryTracker()
         boundary.feed(self.raw)
         return boundary.has_events or boundary.is_inside_event
 
@@ -55,7 +55,7 @@
 
     def count_unfinished_bytes(self) -> int:
         """Return the size of an unfinished event in bytes, or 0."""
-        boundary = EventBoundary()
+        boundary = EventBoundaryTracker()
         boundary.feed(self._remainder)
         return len(self._remainder) if boundary.is_inside_event else 0
 
