--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -17,9 +17,9 @@
 from waywell.cli import run_command
 from waywell.experiment.comparison import estimate_interval
 from waywell.experiment.load_file import Load, check_load, read_load
-from waywell.experiment.play import Play, play
 from waywell.experiment.policy import POLICIES, find_policy
-from waywell.experiment.runner import Experiment, play_seeds
+from waywell.experiment.runner import Experiment, simulate_seeds
+from waywell.experiment.simulation import Simulation, simulate
 from waywell.experiment.timeline import Timeline
 from waywell.version.input_validation import InvalidInputError
 
@@ -99,15 +99,15 @@
 SEEDS = st.integers(0, 1_000_000)
 
 
-def check_groups(played: Play) -> None:
+def check_groups(simulation: Simulation) -> None:
     """No box runs two groups; a group has one model; places fit the boxes."""
-    groups = played.fleet_model.groups
+    groups = simulation.simulated_fleet.groups
     running = [
         group for group in groups.values() if not group.engine.is_stalled
     ]
     members = Counter(name for group in running for name in group.join.members)
     assert not [name for name, count in members.items() if count > 1]
-    assert sum(members.values()) <= len(played.fleet_model.boxes)
+    assert sum(members.values()) <= len(simulation.simulated_fleet.boxes)
     for name, group in groups.items():
         assert name.rpartition('.')[0] == group.join.model
         assert group.engine.running <= ENGINE['places']
@@ -116,25 +116,30 @@
 @settings(max_examples=25, deadline=None)
 @given(load=LOADS, seed=SEEDS, policy=st.sampled_from(sorted(POLICIES)))
 def test_what_holds_of_any_play(load: Load, seed: int, policy: str) -> None:
-    played = Play(load, POLICIES[policy], seed)
-    played.timeline.schedule(
-        0, lambda: played.timeline.repeat(0.1, lambda: check_groups(played))
+    simulation = Simulation(load, POLICIES[policy], seed)
+    simulation.timeline.schedule(
+        0,
+        lambda: simulation.timeline.repeat(
+            0.1, lambda: check_groups(simulation)
+        ),
     )
-    figures = played.run()
+    figures = simulation.run()
     # A second ending raises, so that each request ended once.
-    assert all(call.ending is not None for call in played.calls)
-    assert sum(figures.endings.values()) == len(played.calls)
-    assert figures.requests == len(played.calls)
+    assert all(
+        request.ending is not None for request in simulation.simulated_requests
+    )
+    assert sum(figures.endings.values()) == len(simulation.simulated_requests)
+    assert figures.requests == len(simulation.simulated_requests)
     assert math.isclose(
         figures.worth + sum(figures.prices.values()),
         figures.possible,
         abs_tol=1e-6,
     )
-    assert not played.fleet_model.broken_promises
+    assert not simulation.simulated_fleet.invariant_violations
     assert all(
         not record.in_flight
-        for node in played.parts.nodes
-        for record in node.book._records.values()
+        for node in simulation.context.nodes
+        for record in node.replica_table._records.values()
     )
 
 
@@ -146,8 +151,8 @@
     worse = [
         seed
         for seed in range(PAIRED_SEEDS)
-        if play(great, CURRENT, seed).served
-        < play(small, CURRENT, seed).served
+        if simulate(great, CURRENT, seed).served
+        < simulate(small, CURRENT, seed).served
     ]
     assert not worse
 
@@ -158,23 +163,23 @@
         CURRENT,
         POLICIES['no-resends'],
     )
-    alone = play_seeds(experiment, 3, 1, lambda *_told: None)
-    beside = play_seeds(experiment, 3, 2, lambda *_told: None)
+    alone = simulate_seeds(experiment, 3, 1, lambda *_told: None)
+    beside = simulate_seeds(experiment, 3, 2, lambda *_told: None)
     assert alone == beside
     assert alone[0].base != alone[1].base
 
 
 def test_callers_return_once_after_the_advice() -> None:
     load = make_load(boxes=1, rate=20.0)
-    figures = play(load, CURRENT, 1)
+    figures = simulate(load, CURRENT, 1)
     assert figures.endings['refused'] == figures.requests
     assert figures.refusals == 2 * figures.requests
 
 
 def test_a_lost_domain_costs_worth() -> None:
-    calm = play(make_load(boxes=3), CURRENT, 1)
+    calm = simulate(make_load(boxes=3), CURRENT, 1)
     lost = make_load(boxes=3, faults=({'kind': 'domain', 'at': [1, 1]},))
-    assert play(lost, CURRENT, 1).worth < calm.worth
+    assert simulate(lost, CURRENT, 1).worth < calm.worth
 
 
 def test_events_run_in_the_order_of_their_time() -> None:
@@ -342,5 +347,7 @@
     def interrupt(*_told: object) -> None:
         raise KeyboardInterrupt
 
-    pairs = play_seeds(Experiment(make_load(), CURRENT), 5, jobs, interrupt)
+    pairs = simulate_seeds(
+        Experiment(make_load(), CURRENT), 5, jobs, interrupt
+    )
     assert len(pairs) == 1
--- a/waywell/experiment/arrivals.py
+++ b/waywell/experiment/arrivals.py
@@ -47,14 +47,14 @@
     return Random(f'{purpose}:{seed}')
 
 
-def draw(random: Random, ends: Range) -> float:
+def draw_number(random: Random, bounds: Range) -> float:
     """Return a figure within a range."""
-    return random.uniform(*ends)
+    return random.uniform(*bounds)
 
 
-def draw_whole(random: Random, ends: Range) -> int:
+def draw_integer(random: Random, bounds: Range) -> int:
     """Return a whole number within a range."""
-    return random.randint(int(ends[0]), int(ends[1]))
+    return random.randint(int(bounds[0]), int(bounds[1]))
 
 
 def draw_arrivals(load: Load, seed: int, nodes: int) -> list[Arrival]:
@@ -62,16 +62,16 @@
     arrivals = [
         arrival
         for kind in load.kind
-        for arrival in _draw_kind(load, kind, seed, nodes)
+        for arrival in _draw_arrivals_of_kind(load, kind, seed, nodes)
     ]
-    return sorted(arrivals, key=_get_time)
+    return sorted(arrivals, key=_get_arrival_time)
 
 
-def _get_time(arrival: Arrival) -> float:
+def _get_arrival_time(arrival: Arrival) -> float:
     return arrival.at
 
 
-def _draw_kind(
+def _draw_arrivals_of_kind(
     load: Load,
     kind: KindSettings,
     seed: int,
@@ -79,25 +79,25 @@
 ) -> Iterator[Arrival]:
     random = make_random(seed, f'arrivals.{kind.name}')
     settings = load.arrivals
-    peak = draw(random, kind.per_second) * (1 + settings.swing)
-    clumps = peak / (sum(settings.clump) / 2)
+    peak = draw_number(random, kind.per_second) * (1 + settings.swing)
+    bursts_per_second = peak / (sum(settings.clump) / 2)
     phase = random.random()
-    at = random.expovariate(clumps)
+    at = random.expovariate(bursts_per_second)
     while at < load.seconds:
-        if random.random() < _measure_part(settings, at, phase):
-            for _ in range(draw_whole(random, settings.clump)):
+        if random.random() < _compute_rate_fraction(settings, at, phase):
+            for _ in range(draw_integer(random, settings.clump)):
                 yield _draw_request(random, kind, at, nodes)
-        at += random.expovariate(clumps)
+        at += random.expovariate(bursts_per_second)
 
 
-def _measure_part(
+def _compute_rate_fraction(
     settings: ArrivalSettings,
     at: float,
     phase: float,
 ) -> float:
     """Return the rate at a moment as a part of the highest one."""
-    turn = math.tau * (at / settings.period + phase)
-    return (1 + settings.swing * math.sin(turn)) / (1 + settings.swing)
+    angle = math.tau * (at / settings.period + phase)
+    return (1 + settings.swing * math.sin(angle)) / (1 + settings.swing)
 
 
 def _draw_request(
@@ -109,7 +109,7 @@
     return Arrival(
         at,
         kind,
-        draw_whole(random, kind.prompt_tokens),
-        draw_whole(random, kind.answer_tokens),
+        draw_integer(random, kind.prompt_tokens),
+        draw_integer(random, kind.answer_tokens),
         random.randrange(nodes),
     )
--- a/waywell/experiment/commands.py
+++ b/waywell/experiment/commands.py
@@ -8,7 +8,7 @@
 
 from waywell.experiment.load_file import read_load
 from waywell.experiment.policy import CURRENT, POLICIES, find_policy
-from waywell.experiment.runner import Experiment, play_seeds
+from waywell.experiment.runner import Experiment, simulate_seeds
 from waywell.experiment.sweep import format_sweep, make_variants
 from waywell.experiment.table import format_json, format_table
 from waywell.version.input_validation import InvalidInputError
@@ -16,10 +16,10 @@
 if TYPE_CHECKING:
     from waywell.experiment.comparison import Pair
 
-JOBS = 1
+DEFAULT_JOBS = 1
 """Processes that play unless told otherwise."""
 
-SEEDS = 20
+DEFAULT_SEEDS = 20
 """Seeds that are played unless told otherwise."""
 
 
@@ -32,10 +32,10 @@
     def run(
         self,
         load: str,
-        seeds: int = SEEDS,
+        seeds: int = DEFAULT_SEEDS,
         against: str = 'no-resends',
         base: str = CURRENT,
-        jobs: int = JOBS,
+        jobs: int = DEFAULT_JOBS,
         json: bool = False,
     ) -> str:
         """Compare two policies on a load file over the same seeds.
@@ -50,7 +50,7 @@
             find_policy(str(base)),
             find_policy(str(against)),
         )
-        pairs = _play(experiment, seeds, jobs)
+        pairs = _simulate_seeds(experiment, seeds, jobs)
         if not pairs:
             raise InvalidInputError(
                 ['interrupted before the first seed was done']
@@ -63,9 +63,9 @@
         load: str,
         setting: str,
         values: tuple[object, ...],
-        seeds: int = SEEDS,
+        seeds: int = DEFAULT_SEEDS,
         base: str = CURRENT,
-        jobs: int = JOBS,
+        jobs: int = DEFAULT_JOBS,
     ) -> str:
         """Play one policy for each value of a setting of a load file.
 
@@ -74,16 +74,16 @@
         """
         _check_count('seeds', seeds)
         _check_count('jobs', jobs)
-        listed = values if isinstance(values, tuple) else (values,)
+        setting_values = values if isinstance(values, tuple) else (values,)
         policy = find_policy(str(base))
-        played = []
-        for variant in make_variants(str(load), str(setting), listed):
+        variant_results = []
+        for variant in make_variants(str(load), str(setting), setting_values):
             experiment = Experiment(variant.load, policy)
-            pairs = _play(experiment, seeds, jobs)
+            pairs = _simulate_seeds(experiment, seeds, jobs)
             if len(pairs) < seeds:
                 break
-            played.append((variant, pairs))
-        return format_sweep(str(setting), played)
+            variant_results.append((variant, pairs))
+        return format_sweep(str(setting), variant_results)
 
     def list(self, folder: str = '.') -> str:
         """Show the policies, and the load files of a folder."""
@@ -92,9 +92,11 @@
         return '\n'.join((*lines, *(f'load {file}' for file in loads)))
 
 
-def _play(experiment: Experiment, seeds: int, jobs: int) -> list[Pair]:
+def _simulate_seeds(
+    experiment: Experiment, seeds: int, jobs: int
+) -> list[Pair]:
     """Play the seeds, or as many as were done before an interrupt."""
-    pairs = play_seeds(experiment, seeds, jobs, _show_progress)
+    pairs = simulate_seeds(experiment, seeds, jobs, _show_progress)
     if len(pairs) < seeds:
         done = f'{len(pairs)} of {seeds} seeds are done'
         sys.stderr.write(f'waywell: interrupted: {done}\n')
@@ -106,9 +108,11 @@
         raise InvalidInputError([f'--{name}: {count!r} is no number above 0'])
 
 
-def _show_progress(done: int, seeds: int, left: float) -> None:
+def _show_progress(done: int, seeds: int, seconds_left: float) -> None:
     """Show how far it is, where somebody looks."""
     if sys.stderr.isatty():
         end = '\n' if done == seeds else ''
-        sys.stderr.write(f'\r{done}/{seeds} seeds, {left:.0f} s left {end}')
+        sys.stderr.write(
+            f'\r{done}/{seeds} seeds, {seconds_left:.0f} s left {end}'
+        )
         sys.stderr.flush()
--- a/waywell/experiment/comparison.py
+++ b/waywell/experiment/comparison.py
@@ -15,13 +15,13 @@
     from collections.abc import Sequence
 
 
-RESAMPLES = 2000
+BOOTSTRAP_SAMPLES = 2000
 """Bootstrap samples."""
 
-TAIL = 0.025
+TAIL_FRACTION = 0.025
 """Part of the samples beyond each end of the interval: it holds 95%."""
 
-SEEN_DEVIATIONS = 2.8
+DETECTABLE_STANDARD_ERRORS = 2.8
 """Standard errors by which a mean must differ from 0 to be told from it with
 a power of 80% at the level of the interval."""
 
@@ -98,10 +98,12 @@
     random = make_random(len(differences), 'bootstrap')
     means = sorted(
         statistics.fmean(random.choices(differences, k=len(differences)))
-        for _sample in range(RESAMPLES)
+        for _sample in range(BOOTSTRAP_SAMPLES)
     )
-    last = RESAMPLES - 1
-    return means[round(TAIL * last)], means[round((1 - TAIL) * last)]
+    last = BOOTSTRAP_SAMPLES - 1
+    return means[round(TAIL_FRACTION * last)], means[
+        round((1 - TAIL_FRACTION) * last)
+    ]
 
 
 def _count_seeds_needed(differences: Sequence[float]) -> int | None:
@@ -109,4 +111,6 @@
     if not mean or len(differences) < 2:
         return None
     deviation = statistics.stdev(differences)
-    return max(2, math.ceil((SEEN_DEVIATIONS * deviation / mean) ** 2))
+    return max(
+        2, math.ceil((DETECTABLE_STANDARD_ERRORS * deviation / mean) ** 2)
+    )
--- a/waywell/experiment/faults.py
+++ b/waywell/experiment/faults.py
@@ -7,9 +7,9 @@
 
 import attrs
 
-from waywell.experiment.arrivals import draw, draw_whole, make_random
+from waywell.experiment.arrivals import draw_integer, draw_number, make_random
 from waywell.experiment.load_file import FaultKind
-from waywell.experiment.model_box import ModelBox
+from waywell.experiment.simulated_box import SimulatedBox
 from waywell.version.box_report import NORMAL_PACE
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from random import Random
 
     from waywell.experiment.load_file import FaultSettings, Load
-    from waywell.experiment.simulated_boxes import SimulatedBoxes
+    from waywell.experiment.simulated_fleet import SimulatedFleet
     from waywell.experiment.timeline import Timeline
 
 
@@ -31,7 +31,7 @@
     at: float
     """When, in seconds from the first caller."""
 
-    boxes: tuple[ModelBox, ...]
+    boxes: tuple[SimulatedBox, ...]
     """Boxes that it meets."""
 
     lasts: float
@@ -44,7 +44,7 @@
 def draw_faults(
     load: Load,
     seed: int,
-    boxes: Sequence[ModelBox],
+    boxes: Sequence[SimulatedBox],
 ) -> list[Fault]:
     """Return the faults of a load."""
     return [
@@ -55,55 +55,62 @@
 
 def schedule_fault(
     fault: Fault,
-    fleet_model: SimulatedBoxes,
+    simulated_fleet: SimulatedFleet,
     timeline: Timeline,
-    begins_at: float,
+    load_start: float,
 ) -> None:
     """Let a fault begin, and end where it does."""
-    at = begins_at + fault.at
+    at = load_start + fault.at
     for box in fault.boxes:
-        timeline.schedule(at, partial(_begin, fault, fleet_model, box))
+        timeline.schedule(
+            at, partial(_begin_fault, fault, simulated_fleet, box)
+        )
         if fault.lasts:
             timeline.schedule(
-                at + fault.lasts, partial(_end, fault, fleet_model, box)
+                at + fault.lasts,
+                partial(_end_fault, fault, simulated_fleet, box),
             )
 
 
 def _draw_fault(
     settings: FaultSettings,
     random: Random,
-    boxes: Sequence[ModelBox],
+    boxes: Sequence[SimulatedBox],
 ) -> Fault:
     return Fault(
         settings.kind,
-        draw(random, settings.at),
+        draw_number(random, settings.at),
         _draw_boxes(settings, random, boxes),
-        draw(random, settings.lasts),
-        draw(random, settings.pace),
+        draw_number(random, settings.lasts),
+        draw_number(random, settings.pace),
     )
 
 
 def _draw_boxes(
     settings: FaultSettings,
     random: Random,
-    boxes: Sequence[ModelBox],
-) -> tuple[ModelBox, ...]:
+    boxes: Sequence[SimulatedBox],
+) -> tuple[SimulatedBox, ...]:
     if settings.kind is FaultKind.DOMAIN:
         domain = random.choice(boxes).domain
         return tuple(box for box in boxes if box.domain == domain)
-    count = min(len(boxes), draw_whole(random, settings.count))
+    count = min(len(boxes), draw_integer(random, settings.count))
     return tuple(random.sample(boxes, count))
 
 
-def _begin(fault: Fault, fleet_model: SimulatedBoxes, box: ModelBox) -> None:
+def _begin_fault(
+    fault: Fault, simulated_fleet: SimulatedFleet, box: SimulatedBox
+) -> None:
     if fault.kind is FaultKind.SLOW:
-        fleet_model.change_pace(box, fault.pace)
+        simulated_fleet.change_pace(box, fault.pace)
     else:
-        fleet_model.lose(box)
+        simulated_fleet.lose_box(box)
 
 
-def _end(fault: Fault, fleet_model: SimulatedBoxes, box: ModelBox) -> None:
+def _end_fault(
+    fault: Fault, simulated_fleet: SimulatedFleet, box: SimulatedBox
+) -> None:
     if fault.kind is FaultKind.SLOW:
-        fleet_model.change_pace(box, NORMAL_PACE)
+        simulated_fleet.change_pace(box, NORMAL_PACE)
     else:
-        fleet_model.restart(box)
+        simulated_fleet.restart_box(box)
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -8,7 +8,7 @@
 
 from waywell.duties.box_monitor import BoxMonitor
 from waywell.duties.forming import EPOCHS_PER_TERM, PLAN_SECONDS
-from waywell.experiment.model_box import SERVICE
+from waywell.experiment.simulated_box import SERVICE
 from waywell.request.demand import (
     DemandEstimator,
     count_by_model,
@@ -25,7 +25,7 @@
 
     from waywell.experiment.load_file import PlatformSettings
     from waywell.experiment.node import Node
-    from waywell.experiment.simulated_boxes import SimulatedBoxes
+    from waywell.experiment.simulated_fleet import SimulatedFleet
     from waywell.experiment.timeline import Timeline
     from waywell.ids import GroupId, ModelName
     from waywell.knowledge.cluster_view import ClusterView
@@ -57,7 +57,7 @@
         self,
         engine: Engine,
         cluster: ClusterView,
-        fleet_model: SimulatedBoxes,
+        simulated_fleet: SimulatedFleet,
         node: Node,
         timeline: Timeline,
         delays: PlatformSettings,
@@ -66,11 +66,11 @@
         self.measures_demand = True
         self._engine = engine
         self._cluster = cluster
-        self._fleet_model = fleet_model
+        self._simulated_fleet = simulated_fleet
         self._node = node
         self._timeline = timeline
         self._delays = delays
-        self._gauge = DemandEstimator()
+        self._demand_estimator = DemandEstimator()
         self._memory = FormingMemory(
             next_epoch=EPOCHS_PER_TERM + 1,
             last_models=cluster.last_models,
@@ -87,10 +87,10 @@
     def raise_doubt(self, replica: Replica) -> None:
         """Take in, a moment later, that a node hears nothing of a group."""
         self._timeline.schedule_in(
-            self._delays.order_seconds, lambda: self._record_suspicion(replica)
+            self._delays.order_seconds, lambda: self._record_doubt(replica)
         )
 
-    def _record_suspicion(self, replica: Replica) -> None:
+    def _record_doubt(self, replica: Replica) -> None:
         group = self._cluster.fleet.groups.get(replica.group)
         if group is not None:
             self._monitor.record_doubt(group, self._timeline.now)
@@ -99,7 +99,10 @@
         now = self._timeline.now
         self._monitor.probe_failing(self._memory, now)
         view = FormingView(
-            SERVICE, self._engine, self._list_present(), self._read_demand()
+            SERVICE,
+            self._engine,
+            self._list_live_boxes(),
+            self._measure_demand(),
         )
         planner = FormingPlanner(view, self._memory, now)
         joins: dict[GroupId, list[Assignment]] = defaultdict(list)
@@ -107,11 +110,11 @@
             if isinstance(assignment.order, Join):
                 joins[assignment.order.group].append(assignment)
             else:
-                self._give(assignment)
+                self._send_order(assignment)
         for group, members in joins.items():
-            self._ask_members(group, tuple(members))
+            self._check_members(group, tuple(members))
 
-    def _list_present(self) -> Fleet:
+    def _list_live_boxes(self) -> Fleet:
         """Return the listed boxes that give signs of life."""
         boxes = self._cluster.fleet.boxes
         lost = self._memory.lost
@@ -119,23 +122,25 @@
             {name: box for name, box in boxes.items() if box.life not in lost},
         )
 
-    def _read_demand(self) -> Mapping[ModelName, float]:
-        loads = self._node.loads.sum_loads()
-        loads.update(self._node.book.list_loads())
+    def _measure_demand(self) -> Mapping[ModelName, float]:
+        loads = self._node.shared_loads.sum_loads()
+        loads.update(self._node.replica_table.list_loads())
         in_flight = count_by_model(loads, self._cluster.fleet)
-        means = self._gauge.observe(in_flight, self._timeline.now)
+        means = self._demand_estimator.observe(in_flight, self._timeline.now)
         return means if self.measures_demand else {}
 
     def _count_requests(self, life: BoxLife) -> int:
-        return count_in_flight_at(self._node.book, self._node.loads, life)
+        return count_in_flight_at(
+            self._node.replica_table, self._node.shared_loads, life
+        )
 
     def _begin_probe(self, box: FleetBox) -> None:
         self._probe(box)
 
     def _probe(self, box: FleetBox) -> BoxReport | None:
         """Ask a box; the survey hears it when the answer or none has come."""
-        asked = self._fleet_model.boxes[box.box]
-        report = asked.report() if asked.is_alive else None
+        target_box = self._simulated_fleet.boxes[box.box]
+        report = target_box.make_report() if target_box.is_alive else None
         delay = 2 * self._delays.order_seconds
         if report is None:
             delay = self._delays.answer_seconds
@@ -147,24 +152,24 @@
         )
         return report
 
-    def _ask_members(
+    def _check_members(
         self,
         group: GroupId,
         joins: tuple[Assignment, ...],
     ) -> None:
         """Ask the boxes of a new group; order the joins if all fit."""
-        told = {join.box.life: self._probe(join.box) for join in joins}
-        reports = {life: told_by for life, told_by in told.items() if told_by}
+        answers = {join.box.life: self._probe(join.box) for join in joins}
+        reports = {life: report for life, report in answers.items() if report}
         is_whole = len(reports) == len(joins)
         delay = 2 * self._delays.order_seconds
         if not is_whole:
             delay = self._delays.answer_seconds
 
         self._timeline.schedule_in(
-            delay, partial(self._conclude, group, joins, reports)
+            delay, partial(self._order_joins, group, joins, reports)
         )
 
-    def _conclude(
+    def _order_joins(
         self,
         group: GroupId,
         joins: tuple[Assignment, ...],
@@ -176,23 +181,23 @@
                 group, check.unfit, self._timeline.now
             )
         for join in check.joins:
-            self._give(join)
+            self._send_order(join)
 
-    def _give(self, assignment: Assignment) -> None:
+    def _send_order(self, assignment: Assignment) -> None:
         if self._cluster.fleet.has_restarted(assignment.box):
             self._record_result(assignment, OrderResult.ENDED)
             return
         self._timeline.schedule_in(
-            self._delays.order_seconds, lambda: self._carry_out(assignment)
+            self._delays.order_seconds, lambda: self._deliver_order(assignment)
         )
 
-    def _carry_out(self, assignment: Assignment) -> None:
+    def _deliver_order(self, assignment: Assignment) -> None:
         name = assignment.box.box
-        is_there = self._fleet_model.boxes[name].is_alive
-        result = self._fleet_model.take(name, assignment.order)
+        was_alive = self._simulated_fleet.boxes[name].is_alive
+        result = self._simulated_fleet.execute_order(name, assignment.order)
         self._timeline.schedule_in(
             self._delays.order_seconds
-            if is_there
+            if was_alive
             else self._delays.answer_seconds,
             lambda: self._record_result(assignment, result),
         )
--- a/waywell/experiment/group_engine.py
+++ b/waywell/experiment/group_engine.py
@@ -17,7 +17,7 @@
     from waywell.experiment.load_file import EngineSettings
     from waywell.experiment.timeline import Timeline
 
-ROUNDING = 1e-6
+STEP_TOLERANCE = 1e-6
 """Part of a step that counts as nothing."""
 
 
@@ -25,7 +25,7 @@
     """Is told what becomes of work at an engine."""
 
     @abc.abstractmethod
-    def on_first(self) -> None:
+    def on_first_event(self) -> None:
         """Take in the first event."""
 
     @abc.abstractmethod
@@ -42,7 +42,7 @@
 
 
 @attrs.define(eq=False)
-class Work:
+class EngineRequest:
     """A request at an engine."""
 
     client: EngineClient
@@ -85,12 +85,12 @@
         self._pace = pace
         self._steps = 0.0
         self._updated_at = timeline.now
-        self._reads_until = timeline.now
-        self._marks: list[tuple[float, int, Work, bool]] = []
+        self._prefill_until = timeline.now
+        self._milestones: list[tuple[float, int, EngineRequest, bool]] = []
         self._count = 0
         self._wake_number = 0
-        self._running: dict[Work, None] = {}
-        self._waiting: deque[Work] = deque()
+        self._running: dict[EngineRequest, None] = {}
+        self._waiting: deque[EngineRequest] = deque()
 
     @property
     def running(self) -> int:
@@ -102,30 +102,30 @@
         """Return whether it has no requests."""
         return not self._running and not self._waiting
 
-    def submit(self, work: Work) -> bool:
+    def submit(self, request: EngineRequest) -> bool:
         """Take a request; answer whether there was room for it."""
         if self.is_closing or self._is_full():
             return False
-        self._waiting.append(work)
+        self._waiting.append(request)
         self._update()
         return True
 
-    def drop(self, work: Work) -> None:
+    def cancel(self, request: EngineRequest) -> None:
         """Forget a request."""
-        if work in self._running:
+        if request in self._running:
             self._advance()
-            self._running.pop(work)
-        elif work in self._waiting:
-            self._waiting.remove(work)
+            self._running.pop(request)
+        elif request in self._waiting:
+            self._waiting.remove(request)
         self._update()
 
-    def count_made(self, work: Work) -> int:
+    def count_generated_tokens(self, request: EngineRequest) -> int:
         """Return the tokens that a request has got."""
-        if work.started_at is None:
+        if request.started_at is None:
             return 0
         self._advance()
-        made = int(self._steps - work.started_at + ROUNDING)
-        return min(work.answer_tokens, made)
+        generated = int(self._steps - request.started_at + STEP_TOLERANCE)
+        return min(request.answer_tokens, generated)
 
     def change_pace(self, pace: float) -> None:
         """Change the factor on all times."""
@@ -137,14 +137,14 @@
         """Make no more steps."""
         self._advance()
         self.is_stalled = True
-        for work in (*self._running, *self._waiting):
-            work.client.on_stalled()
+        for request in (*self._running, *self._waiting):
+            request.client.on_stalled()
 
-    def break_off(self) -> None:
+    def break_connections(self) -> None:
         """End all requests at once."""
         self.is_closing = True
-        for work in (*self._running, *self._waiting):
-            work.client.on_broken()
+        for request in (*self._running, *self._waiting):
+            request.client.on_broken()
 
     def _is_full(self) -> bool:
         room = self._settings.places + self._settings.queue
@@ -153,12 +153,12 @@
     def _advance(self) -> None:
         """Make the steps up to now."""
         now = self._timeline.now
-        since = max(self._updated_at, self._reads_until)
+        since = max(self._updated_at, self._prefill_until)
         if now > since and not self.is_stalled:
-            self._steps += (now - since) / self._measure_step()
+            self._steps += (now - since) / self._compute_step_seconds()
         self._updated_at = now
 
-    def _measure_step(self) -> float:
+    def _compute_step_seconds(self) -> float:
         settings = self._settings
         seconds = settings.step_seconds
         seconds += settings.sequence_seconds * len(self._running)
@@ -171,48 +171,55 @@
             return
         while self._waiting and len(self._running) < self._settings.places:
             self._start(self._waiting.popleft())
-        self._plan_wake()
-
-    def _start(self, work: Work) -> None:
-        reading = work.prompt_tokens / self._settings.read_per_second
-        begun = max(self._reads_until, self._timeline.now)
-        self._reads_until = begun + reading * self._pace
-        work.started_at = self._steps
-        self._running[work] = None
-        first = min(self._settings.steps_a_pass, work.answer_tokens)
-        self._mark(work, first, is_end=False)
-        self._mark(work, work.answer_tokens, is_end=True)
-
-    def _mark(self, work: Work, tokens: int, *, is_end: bool) -> None:
+        self._schedule_wake()
+
+    def _start(self, request: EngineRequest) -> None:
+        prefill_seconds = (
+            request.prompt_tokens / self._settings.read_per_second
+        )
+        begins_at = max(self._prefill_until, self._timeline.now)
+        self._prefill_until = begins_at + prefill_seconds * self._pace
+        request.started_at = self._steps
+        self._running[request] = None
+        first = min(self._settings.steps_a_pass, request.answer_tokens)
+        self._add_milestone(request, first, is_end=False)
+        self._add_milestone(request, request.answer_tokens, is_end=True)
+
+    def _add_milestone(
+        self, request: EngineRequest, tokens: int, *, is_end: bool
+    ) -> None:
         self._count += 1
-        mark = (self._steps + tokens, self._count, work, is_end)
-        heapq.heappush(self._marks, mark)
+        milestone = (self._steps + tokens, self._count, request, is_end)
+        heapq.heappush(self._milestones, milestone)
 
-    def _plan_wake(self) -> None:
-        while self._marks and self._marks[0][2] not in self._running:
-            heapq.heappop(self._marks)
+    def _schedule_wake(self) -> None:
+        while self._milestones and self._milestones[0][2] not in self._running:
+            heapq.heappop(self._milestones)
         self._wake_number += 1
-        if not self._marks:
+        if not self._milestones:
             return
         number = self._wake_number
-        steps = max(0.0, self._marks[0][0] - self._steps)
-        begun = max(self._reads_until, self._timeline.now)
-        wakes_at = begun + steps * self._measure_step()
+        steps = max(0.0, self._milestones[0][0] - self._steps)
+        begins_at = max(self._prefill_until, self._timeline.now)
+        wakes_at = begins_at + steps * self._compute_step_seconds()
         self._timeline.schedule(wakes_at, lambda: self._wake(number))
 
     def _wake(self, number: int) -> None:
         if number != self._wake_number or self.is_stalled:
             return
         self._advance()
-        while self._marks and self._marks[0][0] <= self._steps + ROUNDING:
-            _steps, _count, work, is_end = heapq.heappop(self._marks)
-            if work in self._running:
-                self._pass_on(work, is_end=is_end)
+        while (
+            self._milestones
+            and self._milestones[0][0] <= self._steps + STEP_TOLERANCE
+        ):
+            _steps, _count, request, is_end = heapq.heappop(self._milestones)
+            if request in self._running:
+                self._notify_client(request, is_end=is_end)
         self._update()
 
-    def _pass_on(self, work: Work, *, is_end: bool) -> None:
+    def _notify_client(self, request: EngineRequest, *, is_end: bool) -> None:
         if not is_end:
-            work.client.on_first()
+            request.client.on_first_event()
             return
-        self._running.pop(work)
-        work.client.on_end()
+        self._running.pop(request)
+        request.client.on_end()
--- a/waywell/experiment/load_file.py
+++ b/waywell/experiment/load_file.py
@@ -248,7 +248,7 @@
     return check_load(read_toml(read_text(path), path), path)
 
 
-def check_load(raw: Any, place: str) -> Load:
+def check_load(raw: Any, source: str) -> Load:
     """Turn plain values into a load that holds together.
 
     Raises
@@ -256,14 +256,14 @@
     InvalidInputError
         With every fault found.
     """
-    load = structure_input(raw, Load, place)
-    faults = [*_find_bad_figures(load), *_find_bad_names(load)]
+    load = structure_input(raw, Load, source)
+    faults = [*_find_invalid_values(load), *_find_invalid_names(load)]
     if faults:
-        raise InvalidInputError(f'{place}.{fault}' for fault in faults)
+        raise InvalidInputError(f'{source}.{fault}' for fault in faults)
     return load
 
 
-_POSITIVE = frozenset(
+_POSITIVE_FIELDS = frozenset(
     (
         'halls',
         'domains_per_hall',
@@ -295,64 +295,64 @@
 )
 """Figures that must be above 0; the others may be 0."""
 
-_WHOLE_RANGES = frozenset(
+_INTEGER_RANGES = frozenset(
     ('boxes_per_domain', 'prompt_tokens', 'answer_tokens', 'clump', 'count'),
 )
 """Ranges of whole numbers."""
 
 
-def _find_bad_figures(load: Load) -> Iterator[str]:
-    for place, settings in _list_tables(load):
-        for name, figure in attrs.asdict(settings, recurse=False).items():
-            if isinstance(figure, int | float | tuple):
-                for fault in _find_figure_faults(name, figure):
-                    yield f'{place}{name}: {figure!r} {fault}'
+def _find_invalid_values(load: Load) -> Iterator[str]:
+    for source, settings in _list_tables(load):
+        for name, value in attrs.asdict(settings, recurse=False).items():
+            if isinstance(value, int | float | tuple):
+                for fault in _find_value_faults(name, value):
+                    yield f'{source}{name}: {value!r} {fault}'
     if load.arrivals.swing > 1:
         yield f'arrivals.swing: {load.arrivals.swing!r} is above 1'
 
 
-def _find_figure_faults(
+def _find_value_faults(
     name: str,
-    figure: float | Range,
+    value: float | Range,
 ) -> Iterator[str]:
-    low, high = figure if isinstance(figure, tuple) else (figure, figure)
+    low, high = value if isinstance(value, tuple) else (value, value)
     if not math.isfinite(low) or not math.isfinite(high):
         yield 'is not finite'
     if low > high:
         yield 'is an empty range: the least value comes first'
-    if name in _POSITIVE and low <= 0:
+    if name in _POSITIVE_FIELDS and low <= 0:
         yield 'is not above 0'
     elif low < 0:
         yield 'is below 0'
-    if name in _WHOLE_RANGES and not _are_whole(low, high):
+    if name in _INTEGER_RANGES and not _are_integers(low, high):
         yield 'is no range of whole numbers'
 
 
-def _are_whole(*figures: float) -> bool:
-    return all(float(figure).is_integer() for figure in figures)
+def _are_integers(*values: float) -> bool:
+    return all(float(value).is_integer() for value in values)
 
 
 def _list_tables(load: Load) -> Iterator[tuple[str, Any]]:
     yield '', load
     for name in ('fleet', 'engine', 'platform', 'arrivals'):
         yield f'{name}.', getattr(load, name)
-    for listed in ('model', 'kind', 'fault'):
-        for index, settings in enumerate(getattr(load, listed)):
-            yield f'{listed}[{index}].', settings
+    for tables in ('model', 'kind', 'fault'):
+        for index, settings in enumerate(getattr(load, tables)):
+            yield f'{tables}[{index}].', settings
 
 
-def _find_bad_names(load: Load) -> Iterator[str]:
-    for name, listed in (('model', load.model), ('kind', load.kind)):
-        yield from _find_bad_list(name, [one.name for one in listed])
+def _find_invalid_names(load: Load) -> Iterator[str]:
+    for name, tables in (('model', load.model), ('kind', load.kind)):
+        yield from _find_invalid_list(name, [entry.name for entry in tables])
     models = [model.name for model in load.model]
     for index, kind in enumerate(load.kind):
         if kind.model not in models:
             yield f'kind[{index}].model: {kind.model!r} is none of {models}'
 
 
-def _find_bad_list(place: str, names: list[str]) -> Iterator[str]:
+def _find_invalid_list(source: str, names: list[str]) -> Iterator[str]:
     if not names:
-        yield f'{place}: at least one is needed'
+        yield f'{source}: at least one is needed'
     for name, count in Counter(names).items():
         if count > 1:
-            yield f'{place}: the name {name!r} stands twice'
+            yield f'{source}: the name {name!r} stands twice'
--- a/waywell/experiment/node.py
+++ b/waywell/experiment/node.py
@@ -27,7 +27,7 @@
     chooser: ReplicaChooser
     """Chooses replicas."""
 
-    loads: SharedLoads
+    shared_loads: SharedLoads
     """What other nodes tell; the chooser reads it too."""
 
     budget: ResendBudget
@@ -36,15 +36,15 @@
     random: Random
     """Draws when callers should come back."""
 
-    book: ReplicaTable = attrs.Factory(ReplicaTable)
+    replica_table: ReplicaTable = attrs.Factory(ReplicaTable)
     """What it has seen of replicas."""
 
 
 def share_loads(nodes: Iterable[Node], now: float) -> None:
     """Let each node tell all others of its requests in flight."""
-    listed = tuple(nodes)
-    for teller in listed:
-        told = teller.book.list_loads()
-        for hearer in listed:
-            if hearer is not teller:
-                hearer.loads.update(teller.name, told, now)
+    all_nodes = tuple(nodes)
+    for sender in all_nodes:
+        loads = sender.replica_table.list_loads()
+        for receiver in all_nodes:
+            if receiver is not sender:
+                receiver.shared_loads.update(sender.name, loads, now)
--- a/waywell/experiment/policy.py
+++ b/waywell/experiment/policy.py
@@ -20,7 +20,7 @@
 _LIMITS = ResendLimits()
 
 
-QUICK_SECONDS = 0.25
+QUICK_RETURN_SECONDS = 0.25
 """Retry-After of the policy ``quick-return``."""
 
 
@@ -49,7 +49,7 @@
         CURRENT: Policy(),
         'no-resends': Policy(resend_ratio=0, resend_slack=0),
         'first-draw': Policy(choosing_nodes=1000),
-        'quick-return': Policy(return_seconds=QUICK_SECONDS),
+        'quick-return': Policy(return_seconds=QUICK_RETURN_SECONDS),
         'expected-shares': Policy(measures_demand=False),
     },
 )
--- a/waywell/experiment/runner.py
+++ b/waywell/experiment/runner.py
@@ -14,14 +14,14 @@
 
 from waywell.experiment.comparison import Pair
 from waywell.experiment.load_file import Load
-from waywell.experiment.play import play
 from waywell.experiment.policy import Policy
+from waywell.experiment.simulation import simulate
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
 
-Progress = Callable[[int, int, float], None]
+ProgressCallback = Callable[[int, int, float], None]
 """Called with the seeds done, all seeds, and the seconds left."""
 
 
@@ -38,20 +38,20 @@
     other: Policy | None = None
     """The policy that it is compared with; ``None`` for no comparison."""
 
-    def play_seed(self, seed: int) -> Pair:
+    def simulate_seed(self, seed: int) -> Pair:
         """Play the policies with one seed."""
-        with _silence_log():
-            base = play(self.load, self.base, seed)
+        with _disable_log():
+            base = simulate(self.load, self.base, seed)
             if self.other is None:
                 return Pair(seed, base, base)
-            return Pair(seed, base, play(self.load, self.other, seed))
+            return Pair(seed, base, simulate(self.load, self.other, seed))
 
 
-def play_seeds(
+def simulate_seeds(
     experiment: Experiment,
     seeds: int,
     jobs: int,
-    report: Progress,
+    report_progress: ProgressCallback,
 ) -> list[Pair]:
     """Play the seeds from 0 on; return their pairs in order.
 
@@ -68,35 +68,35 @@
     report
         Called after each seed.
     """
-    begun_at = time.monotonic()
+    started_at = time.monotonic()
     pairs: list[Pair] = []
-    playing = _play_here if jobs == 1 else _play_beside
+    run_seeds = _simulate_in_process if jobs == 1 else _simulate_in_pool
     # Fewer pairs than seeds tell the caller of an interrupt.
     with suppress(KeyboardInterrupt):
-        for pair in playing(experiment, seeds, jobs):
+        for pair in run_seeds(experiment, seeds, jobs):
             pairs.append(pair)
-            passed = time.monotonic() - begun_at
-            left = passed / len(pairs) * (seeds - len(pairs))
-            report(len(pairs), seeds, left)
+            elapsed = time.monotonic() - started_at
+            seconds_left = elapsed / len(pairs) * (seeds - len(pairs))
+            report_progress(len(pairs), seeds, seconds_left)
     return sorted(pairs, key=_get_seed)
 
 
-def _play_here(
+def _simulate_in_process(
     experiment: Experiment,
     seeds: int,
     _jobs: int,
 ) -> Iterator[Pair]:
-    yield from map(experiment.play_seed, range(seeds))
+    yield from map(experiment.simulate_seed, range(seeds))
 
 
-def _play_beside(
+def _simulate_in_pool(
     experiment: Experiment,
     seeds: int,
     jobs: int,
 ) -> Iterator[Pair]:
     # Leaving the block ends the processes, whatever they play.
     with Pool(jobs, _ignore_interrupts) as pool:
-        yield from pool.imap_unordered(experiment.play_seed, range(seeds))
+        yield from pool.imap_unordered(experiment.simulate_seed, range(seeds))
 
 
 def _ignore_interrupts() -> None:
@@ -109,7 +109,7 @@
 
 
 @contextmanager
-def _silence_log() -> Iterator[None]:
+def _disable_log() -> Iterator[None]:
     """Write no log lines: those of the decisions tell of the model."""
     logger.disable('waywell')
     try:
--- a/waywell/experiment/model_box.py
+++ b/waywell/experiment/simulated_box.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Place:
+class Membership:
     """A box's place in a group."""
 
     join: Join
@@ -44,7 +44,7 @@
 
 
 @attrs.define(eq=False)
-class ModelBox:
+class SimulatedBox:
     """A target box."""
 
     name: BoxId
@@ -86,7 +86,7 @@
     is_staging: bool = False
     """Whether it loads a model to its host."""
 
-    place: Place | None = None
+    membership: Membership | None = None
     """Its place in a group."""
 
     entry_number: int = 0
@@ -94,21 +94,21 @@
 
     _entry: FleetBox | None = None
 
-    def mark_changed(self) -> None:
+    def invalidate_entry(self) -> None:
         """Write another entry."""
         self._entry = None
         self.entry_number += 1
 
-    def set_state(self, state: MemberState) -> None:
+    def set_member_state(self, state: MemberState) -> None:
         """Change what it says of its place."""
-        if self.place is not None:
-            self.place = attrs.evolve(self.place, state=state)
-            self.mark_changed()
+        if self.membership is not None:
+            self.membership = attrs.evolve(self.membership, state=state)
+            self.invalidate_entry()
 
-    def leave(self) -> None:
+    def leave_group(self) -> None:
         """Stand in no group."""
-        self.place = None
-        self.mark_changed()
+        self.membership = None
+        self.invalidate_entry()
 
     def restart(self) -> None:
         """Begin another life; only the host keeps what it had."""
@@ -119,7 +119,7 @@
         self.loaded = None
         self.is_staging = False
         self.entry_number = 0
-        self.leave()
+        self.leave_group()
 
     def make_entry(self) -> FleetBox:
         """Return its entry in the box list; the same one until it changes."""
@@ -133,17 +133,17 @@
                 self.domain,
                 self.places,
                 staged=self.staged,
-                standing=self.place.standing if self.place else None,
+                standing=self.membership.standing if self.membership else None,
                 incarnation=self.incarnation,
                 entry_number=self.entry_number,
             )
         return self._entry
 
-    def report(self) -> BoxReport:
+    def make_report(self) -> BoxReport:
         """Return what it tells when it is asked."""
         return BoxReport(
             self.pace,
             self.orders_begun,
-            self.place.standing if self.place else None,
+            self.membership.standing if self.membership else None,
             self.incarnation,
         )
--- a/waywell/experiment/simulated_boxes.py
+++ b/waywell/experiment/simulated_fleet.py
@@ -8,7 +8,7 @@
 import attrs
 
 from waywell.experiment.group_engine import GroupEngine
-from waywell.experiment.model_box import ModelBox, Place
+from waywell.experiment.simulated_box import Membership, SimulatedBox
 from waywell.experiment.weight_store import WeightStore
 from waywell.version.fleet import Fleet, MemberState
 from waywell.version.forming_memory import REJOIN_SECONDS
@@ -38,14 +38,14 @@
     join: Join
     """The order that formed it."""
 
-    head: ModelBox
+    head: SimulatedBox
     """Box that takes its requests."""
 
     engine: GroupEngine
     """Runs them."""
 
 
-class SimulatedBoxes:
+class SimulatedFleet:
     """All target boxes.
 
     Parameters
@@ -61,13 +61,13 @@
     def __init__(
         self,
         load: Load,
-        boxes: Iterable[ModelBox],
+        boxes: Iterable[SimulatedBox],
         timeline: Timeline,
     ) -> None:
         """Start without groups."""
         self.boxes = {box.name: box for box in boxes}
         self.groups: dict[GroupId, RunningGroup] = {}
-        self.broken_promises: list[str] = []
+        self.invariant_violations: list[str] = []
         self._load = load
         self._timeline = timeline
         self._models = {model.name: model for model in load.model}
@@ -84,109 +84,112 @@
             },
         )
 
-    def find_running(self, key: ReplicaKey) -> RunningGroup | None:
+    def find_running_group(self, key: ReplicaKey) -> RunningGroup | None:
         """Return the group that takes requests at a replica, if one does."""
         box = self.boxes[key.box]
-        if box.place is None or box.incarnation != key.incarnation:
+        if box.membership is None or box.incarnation != key.incarnation:
             return None
-        if box.place.join.epoch != key.epoch:
+        if box.membership.join.epoch != key.epoch:
             return None
-        return self.groups.get(box.place.join.group)
+        return self.groups.get(box.membership.join.group)
 
-    def take(self, name: BoxId, order: BoxOrder) -> OrderResult:
+    def execute_order(self, name: BoxId, order: BoxOrder) -> OrderResult:
         """Let a box carry out an order."""
         box = self.boxes[name]
         if not box.is_alive:
             return OrderResult.UNKNOWN
         if isinstance(order, Stage):
-            return self._take_stage(box, order)
+            return self._execute_stage(box, order)
         if isinstance(order, Join):
-            return self._take_join(box, order)
-        return self._take_group_order(box, order)
+            return self._execute_join(box, order)
+        return self._execute_group_order(box, order)
 
-    def lose(self, box: ModelBox) -> None:
+    def lose_box(self, box: SimulatedBox) -> None:
         """Let a box fall silent for good."""
         if not box.is_alive:
             return
         box.is_alive = False
         box.lost_at = self._timeline.now
-        running = self._find_group(box)
+        running = self._find_running_group(box)
         if running is not None:
-            self._stall(running)
+            self._stall_group(running)
 
-    def restart(self, box: ModelBox) -> None:
+    def restart_box(self, box: SimulatedBox) -> None:
         """Start a lost box again under its id."""
         if box.is_alive:
             return
-        running = self._find_group(box)
+        running = self._find_running_group(box)
         box.restart()
         if running is not None and running.head is box:
-            self._end(running)
+            self._end_group(running)
 
-    def change_pace(self, box: ModelBox, pace: float) -> None:
+    def change_pace(self, box: SimulatedBox, pace: float) -> None:
         """Change the factor on all times of a box."""
         box.pace = pace
-        running = self._find_group(box)
+        running = self._find_running_group(box)
         if running is not None:
-            running.engine.change_pace(self._measure_pace(running.join))
+            running.engine.change_pace(self._compute_pace(running.join))
 
-    def _take_group_order(
+    def _execute_group_order(
         self,
-        box: ModelBox,
+        box: SimulatedBox,
         order: Open | Close | Leave,
     ) -> OrderResult:
-        place = box.place
-        if place is None or place.join.epoch != order.epoch:
+        membership = box.membership
+        if membership is None or membership.join.epoch != order.epoch:
             return OrderResult.CONFLICT
         box.orders_begun += 1
         if isinstance(order, Open):
             self._timeline.schedule_in(
                 self._load.engine.form_seconds,
-                lambda: self._open(box, place.join),
+                lambda: self._open_group(box, membership.join),
             )
         elif isinstance(order, Close):
-            self._close(box)
+            self._close_group(box)
         else:
-            self._part(box)
-            box.leave()
+            self._detach_from_group(box)
+            box.leave_group()
         return OrderResult.ACCEPTED
 
-    def _take_stage(self, box: ModelBox, order: Stage) -> OrderResult:
+    def _execute_stage(self, box: SimulatedBox, order: Stage) -> OrderResult:
         if box.is_staging:
             return OrderResult.CONFLICT
         box.orders_begun += 1
         box.is_staging = True
         finish = partial(self._finish_staging, box, box.incarnation, order)
-        self._store.begin(self._models[order.model], finish)
+        self._store.start_load(self._models[order.model], finish)
         return OrderResult.ACCEPTED
 
     def _finish_staging(
         self,
-        box: ModelBox,
+        box: SimulatedBox,
         life: Incarnation,
         order: Stage,
     ) -> None:
         if box.is_alive and box.incarnation == life:
             box.is_staging = False
             box.staged = (order.model,)
-            box.mark_changed()
+            box.invalidate_entry()
 
-    def _take_join(self, box: ModelBox, order: Join) -> OrderResult:
+    def _execute_join(self, box: SimulatedBox, order: Join) -> OrderResult:
         if order.orders_begun not in {None, box.orders_begun}:
             return OrderResult.CONFLICT
         if order.epoch < box.highest_epoch:
             return OrderResult.OUTDATED
-        if box.place is not None and box.place.join.group == order.group:
+        if (
+            box.membership is not None
+            and box.membership.join.group == order.group
+        ):
             return OrderResult.ACCEPTED
-        self._part(box)
+        self._detach_from_group(box)
         box.highest_epoch = order.epoch
         box.orders_begun += 1
-        box.place = Place(order, order.members.index(box.name))
-        box.mark_changed()
+        box.membership = Membership(order, order.members.index(box.name))
+        box.invalidate_entry()
         self._load_member(box, order)
         return OrderResult.ACCEPTED
 
-    def _load_member(self, box: ModelBox, order: Join) -> None:
+    def _load_member(self, box: SimulatedBox, order: Join) -> None:
         model = self._models[order.model]
         finish = partial(self._finish_member, box, order)
         if box.loaded == order.model:
@@ -195,89 +198,96 @@
             self._timeline.schedule_in(model.warm_seconds, finish)
         else:
             box.staged = (order.model,)
-            self._store.begin(model, finish)
-
-    def _finish_member(self, box: ModelBox, order: Join) -> None:
-        place = box.place
-        if box.is_alive and place is not None and place.join is order:
+            self._store.start_load(model, finish)
+
+    def _finish_member(self, box: SimulatedBox, order: Join) -> None:
+        membership = box.membership
+        if (
+            box.is_alive
+            and membership is not None
+            and membership.join is order
+        ):
             box.loaded = order.model
-            box.set_state(MemberState.READY)
+            box.set_member_state(MemberState.READY)
 
-    def _open(self, head: ModelBox, join: Join) -> None:
+    def _open_group(self, head: SimulatedBox, join: Join) -> None:
         if not head.is_alive or not self._is_whole(join):
             return
-        pace = self._measure_pace(join)
+        pace = self._compute_pace(join)
         engine = GroupEngine(self._load.engine, self._timeline, pace)
         self.groups[join.group] = RunningGroup(join, head, engine)
-        head.set_state(MemberState.OPEN)
+        head.set_member_state(MemberState.OPEN)
 
     def _is_whole(self, join: Join) -> bool:
         """Answer whether all members are ready in the group."""
-        places = [self.boxes[name].place for name in join.members]
+        memberships = [self.boxes[name].membership for name in join.members]
         return all(
-            place is not None
-            and place.join.group == join.group
-            and place.state is MemberState.READY
-            for place in places
+            membership is not None
+            and membership.join.group == join.group
+            and membership.state is MemberState.READY
+            for membership in memberships
         )
 
-    def _close(self, head: ModelBox) -> None:
-        running = self._find_group(head)
+    def _close_group(self, head: SimulatedBox) -> None:
+        running = self._find_running_group(head)
         if running is None or running.head is not head:
             return
         running.engine.is_closing = True
-        head.set_state(MemberState.CLOSING)
-        self._await_empty(running)
+        head.set_member_state(MemberState.CLOSING)
+        self._close_when_empty(running)
 
-    def _await_empty(self, running: RunningGroup) -> None:
+    def _close_when_empty(self, running: RunningGroup) -> None:
         """End a closing group when its last request is done."""
         if self.groups.get(running.join.group) is not running:
             return
         if running.engine.is_empty:
             self.groups.pop(running.join.group)
-            running.head.set_state(MemberState.READY)
+            running.head.set_member_state(MemberState.READY)
             return
         seconds = self._load.platform.order_seconds
-        self._timeline.schedule_in(seconds, lambda: self._await_empty(running))
+        self._timeline.schedule_in(
+            seconds, lambda: self._close_when_empty(running)
+        )
 
-    def _part(self, box: ModelBox) -> None:
+    def _detach_from_group(self, box: SimulatedBox) -> None:
         """Take a box out of the group that it stands in."""
-        running = self._find_group(box)
+        running = self._find_running_group(box)
         if running is None:
             return
         if running.head is box:
-            self._end(running)
+            self._end_group(running)
         elif not running.engine.is_stalled:
-            self.broken_promises.append(
+            self.invariant_violations.append(
                 f'{box.name} leaves {running.join.group}, which serves'
             )
-            self._stall(running)
+            self._stall_group(running)
 
-    def _stall(self, running: RunningGroup) -> None:
+    def _stall_group(self, running: RunningGroup) -> None:
         """Stop a group that lacks a box; its head gives up later."""
         if running.engine.is_stalled:
             return
         running.engine.stall()
         self._timeline.schedule_in(
-            self._load.platform.stall_seconds, lambda: self._break(running)
+            self._load.platform.stall_seconds,
+            lambda: self._break_group(running),
         )
 
-    def _break(self, running: RunningGroup) -> None:
+    def _break_group(self, running: RunningGroup) -> None:
         if self.groups.get(running.join.group) is not running:
             return
         if running.head.is_alive:
-            running.head.set_state(MemberState.BROKEN)
-        self._end(running)
+            running.head.set_member_state(MemberState.BROKEN)
+        self._end_group(running)
 
-    def _end(self, running: RunningGroup) -> None:
+    def _end_group(self, running: RunningGroup) -> None:
         self.groups.pop(running.join.group, None)
-        running.engine.break_off()
+        running.engine.break_connections()
 
-    def _find_group(self, box: ModelBox) -> RunningGroup | None:
-        if box.place is None:
+    def _find_running_group(self, box: SimulatedBox) -> RunningGroup | None:
+        if box.membership is None:
             return None
-        return self.groups.get(box.place.join.group)
+        return self.groups.get(box.membership.join.group)
 
-    def _measure_pace(self, join: Join) -> float:
+    def _compute_pace(self, join: Join) -> float:
         slowest = max(self.boxes[name].pace for name in join.members)
         return slowest * self._models[join.model].pace
--- a/waywell/experiment/call.py
+++ b/waywell/experiment/simulated_request.py
@@ -8,11 +8,11 @@
 import attrs
 
 from waywell.experiment.forming_holder import FormingHolder
-from waywell.experiment.group_engine import EngineClient, Work
-from waywell.experiment.model_box import SERVICE
+from waywell.experiment.group_engine import EngineClient, EngineRequest
 from waywell.experiment.node import Node
 from waywell.experiment.policy import Policy
-from waywell.experiment.simulated_boxes import SimulatedBoxes
+from waywell.experiment.simulated_box import SERVICE
+from waywell.experiment.simulated_fleet import SimulatedFleet
 from waywell.experiment.tally import Ending, Tally
 from waywell.experiment.timeline import Timeline
 from waywell.ids import ModelName
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen(eq=False)
-class CallParts:
+class SimulationContext:
     """What all requests work with."""
 
     timeline: Timeline
@@ -46,7 +46,7 @@
     cluster: ClusterView
     """Box list that the nodes see."""
 
-    fleet_model: SimulatedBoxes
+    simulated_fleet: SimulatedFleet
     """The boxes."""
 
     holder: FormingHolder
@@ -68,7 +68,7 @@
     """Counts endings."""
 
 
-class Call:
+class SimulatedRequest:
     """One request of a caller.
 
     Parameters
@@ -79,19 +79,19 @@
         The request.
     """
 
-    def __init__(self, parts: CallParts, arrival: Arrival) -> None:
+    def __init__(self, context: SimulationContext, arrival: Arrival) -> None:
         """Ask nothing yet."""
-        self.parts = parts
+        self.context = context
         self.arrival = arrival
-        self.node = parts.nodes[arrival.node]
-        self.patience = self._measure_patience()
-        self.made = 0
+        self.node = context.nodes[arrival.node]
+        self.hedge_timeouts = self._compute_hedge_timeouts()
+        self.received_tokens = 0
         self.ending: Ending | None = None
-        self._route = parts.routes[arrival.kind.name]
+        self._route = context.routes[arrival.kind.name]
         self._arrived_at = 0.0
         self._ends_at = 0.0
-        self._first_at: float | None = None
-        self._quiet_since: float | None = None
+        self._first_event_at: float | None = None
+        self._paused_since: float | None = None
         self._longest_pause = 0.0
         self._attempts: list[_Attempt] = []
         self._tried: frozenset[ReplicaKey] = frozenset()
@@ -99,67 +99,67 @@
         self._rejections = 0
         self._returns_left = arrival.kind.returns
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Let the request arrive now."""
-        timeline = self.parts.timeline
+        timeline = self.context.timeline
         self._arrived_at = timeline.now
         self._ends_at = timeline.now + self._route.timeout
         timeline.schedule(self._ends_at, self._expire)
-        self._ask()
+        self._submit()
 
     def has_attempt(self, attempt: _Attempt) -> bool:
         """Answer whether an attempt goes on."""
         return attempt in self._attempts
 
-    def on_first(self, attempt: _Attempt) -> None:
+    def on_first_event(self, attempt: _Attempt) -> None:
         """Go on with the attempt that brought an event first."""
         for other in tuple(self._attempts):
             if other is not attempt:
-                self._drop(other)
-        now = self.parts.timeline.now
-        if self._first_at is None:
-            self._first_at = now
-        if self._quiet_since is not None:
-            pause = now - self._quiet_since
+                self._stop_attempt(other)
+        now = self.context.timeline.now
+        if self._first_event_at is None:
+            self._first_event_at = now
+        if self._paused_since is not None:
+            pause = now - self._paused_since
             self._longest_pause = max(self._longest_pause, pause)
-            self._quiet_since = None
+            self._paused_since = None
 
-    def on_quiet(self) -> None:
+    def on_pause(self) -> None:
         """Note since when a begun answer has paused."""
-        if self._quiet_since is None:
-            self._quiet_since = self.parts.timeline.now
+        if self._paused_since is None:
+            self._paused_since = self.context.timeline.now
 
     def on_end(self, attempt: _Attempt) -> None:
         """End the answered request."""
-        self._drop(attempt)
+        self._stop_attempt(attempt)
         self._finish(Ending.IN_AIM if self._is_in_aim() else Ending.LATE)
 
     def on_rejected(self, attempt: _Attempt) -> None:
         """Go on after a replica that has run nothing."""
         self._rejections += 1
         attempt.record_failure()
-        self._drop(attempt)
-        if not self._attempts and not self._send_paid():
-            self._give_up()
+        self._stop_attempt(attempt)
+        if not self._attempts and not self._resend_within_budget():
+            self._refuse()
 
     def on_broken(self, attempt: _Attempt) -> None:
         """Go on after a connection that broke."""
         attempt.record_failure()
-        self._drop(attempt)
-        if not self._attempts and not self._send_paid():
-            self._give_up()
+        self._stop_attempt(attempt)
+        if not self._attempts and not self._resend_within_budget():
+            self._refuse()
 
     def hedge(self, attempt: _Attempt) -> None:
         """Try elsewhere beside a silent attempt, or wait once more."""
         if len(self._attempts) > 1 or not self._has_sends_left():
             return
         attempt.record_silence()
-        if not self._send_paid():
-            attempt.wait_again()
+        if not self._resend_within_budget():
+            attempt.extend_wait()
 
-    def _measure_patience(self) -> HedgeTimeouts:
+    def _compute_hedge_timeouts(self) -> HedgeTimeouts:
         arrival = self.arrival
-        ask = DecodedRequest(
+        decoded_request = DecodedRequest(
             attempt_id='',
             method='POST',
             target='/',
@@ -170,47 +170,49 @@
             prompt_tokens=arrival.prompt_tokens,
             answer_tokens=arrival.answer_tokens,
         )
-        route = self.parts.routes[arrival.kind.name]
-        return compute_hedge_timeouts(route, self.parts.engine, ask)
+        route = self.context.routes[arrival.kind.name]
+        return compute_hedge_timeouts(
+            route, self.context.engine, decoded_request
+        )
 
-    def _ask(self) -> None:
+    def _submit(self) -> None:
         if self.ending is not None:
             return
-        now = self.parts.timeline.now
+        now = self.context.timeline.now
         self.node.budget.record_request(SERVICE, now)
         self._tried = frozenset()
         self._sends = 0
         self._rejections = 0
-        replica = self._choose()
+        replica = self._choose_replica()
         if replica is None:
-            self._give_up()
+            self._refuse()
         else:
             self._send(replica)
 
-    def _choose(self) -> Replica | None:
-        parts = self.parts
+    def _choose_replica(self) -> Replica | None:
+        context = self.context
         model = ModelName(self.arrival.kind.model)
         return self.node.chooser.choose(
-            parts.cluster.list_replicas(SERVICE, model),
+            context.cluster.list_replicas(SERVICE, model),
             self._tried,
-            self.node.book,
-            parts.timeline.now,
+            self.node.replica_table,
+            context.timeline.now,
         )
 
     def _has_sends_left(self) -> bool:
         return self._sends < self._route.most_targets
 
-    def _send_paid(self) -> bool:
+    def _resend_within_budget(self) -> bool:
         """Start a second attempt within the budget; answer whether so."""
         if self.ending is not None or not self._has_sends_left():
             return False
-        replica = self._choose()
-        now, nodes = self.parts.timeline.now, len(self.parts.nodes)
+        replica = self._choose_replica()
+        now, nodes = self.context.timeline.now, len(self.context.nodes)
         if replica is None:
             return False
         if not self.node.budget.spend(SERVICE, nodes, now):
             return False
-        self.parts.tally.resends += 1
+        self.context.tally.resends += 1
         self._send(replica)
         return True
 
@@ -221,29 +223,29 @@
         self._attempts.append(attempt)
         attempt.start()
 
-    def _drop(self, attempt: _Attempt) -> None:
+    def _stop_attempt(self, attempt: _Attempt) -> None:
         if attempt in self._attempts:
             self._attempts.remove(attempt)
             attempt.stop()
 
-    def _give_up(self) -> None:
+    def _refuse(self) -> None:
         """Refuse; the caller comes back as advised, or gives up."""
-        if self._first_at is not None:
+        if self._first_event_at is not None:
             self._finish(Ending.BROKEN)
             return
-        self.parts.tally.refusals += 1
-        back_at = self.parts.timeline.now + self._advise()
+        self.context.tally.refusals += 1
+        back_at = self.context.timeline.now + self._compute_retry_after()
         if not self._returns_left or back_at >= self._ends_at:
             self._finish(Ending.REFUSED)
             return
         self._returns_left -= 1
-        self.parts.timeline.schedule(back_at, self._ask)
+        self.context.timeline.schedule(back_at, self._submit)
 
-    def _advise(self) -> float:
-        if self.parts.policy.return_seconds:
-            return self.parts.policy.return_seconds
+    def _compute_retry_after(self) -> float:
+        if self.context.policy.return_seconds:
+            return self.context.policy.return_seconds
         unroutable = explain_unroutable(None, None, self._rejections)
-        seconds_left = self._ends_at - self.parts.timeline.now
+        seconds_left = self._ends_at - self.context.timeline.now
         draw = self.node.random.random()
         return compute_retry_after(
             unroutable.reason, seconds_left, draw, unroutable.wait
@@ -254,14 +256,14 @@
             return
         for attempt in tuple(self._attempts):
             attempt.record_silence()
-            self._drop(attempt)
+            self._stop_attempt(attempt)
         self._finish(Ending.EXPIRED)
 
     def _is_in_aim(self) -> bool:
-        if self._first_at is None:
+        if self._first_event_at is None:
             return False
         kind = self.arrival.kind
-        is_prompt = self._first_at - self._arrived_at <= kind.goal
+        is_prompt = self._first_event_at - self._arrived_at <= kind.goal
         has_gaps = 0 < kind.gap_goal < self._longest_pause
         return is_prompt and not has_gaps
 
@@ -269,125 +271,143 @@
         if self.ending is not None:
             raise EndedTwiceError(self.arrival, self.ending, ending)
         self.ending = ending
-        self.parts.tally.add(self.arrival.kind, ending)
+        self.context.tally.add(self.arrival.kind, ending)
 
 
 class _Attempt(EngineClient):
     """A request at one replica."""
 
-    def __init__(self, call: Call, replica: Replica) -> None:
-        self._call = call
+    def __init__(
+        self, simulated_request: SimulatedRequest, replica: Replica
+    ) -> None:
+        self._request = simulated_request
         self._replica = replica
-        self._book = call.node.book
-        self._timeline = call.parts.timeline
-        self._started_at = call.parts.timeline.now
+        self._replica_table = simulated_request.node.replica_table
+        self._timeline = simulated_request.context.timeline
+        self._started_at = simulated_request.context.timeline.now
         self._has_begun = False
         self._engine: GroupEngine | None = None
         # A replica that goes on elsewhere reads what was made as well.
-        self._skipped = call.made
-        self._work = Work(
+        self._prior_tokens = simulated_request.received_tokens
+        self._engine_request = EngineRequest(
             self,
-            call.arrival.prompt_tokens + call.made,
-            max(1, call.arrival.answer_tokens - call.made),
+            simulated_request.arrival.prompt_tokens
+            + simulated_request.received_tokens,
+            max(
+                1,
+                simulated_request.arrival.answer_tokens
+                - simulated_request.received_tokens,
+            ),
         )
 
     def start(self) -> None:
         """Send the request."""
         key, now = self._replica.key, self._timeline.now
-        record = self._book.get(key)
+        record = self._replica_table.get(key)
         if not record.in_flight:
             record.heard_at = now
-        self._book.record_start(key)
-        fleet_model = self._call.parts.fleet_model
+        self._replica_table.record_start(key)
+        simulated_fleet = self._request.context.simulated_fleet
         self._timeline.schedule_in(
-            self._call.patience.first, self._check_silence
+            self._request.hedge_timeouts.first, self._check_silence
         )
-        if not fleet_model.boxes[key.box].is_alive:
+        if not simulated_fleet.boxes[key.box].is_alive:
             return
-        running = fleet_model.find_running(key)
-        if running is None:
-            self._call.parts.cluster.exclude_replica(self._replica)
-            self._call.on_rejected(self)
-        elif running.engine.submit(self._work):
-            self._engine = running.engine
+        running_group = simulated_fleet.find_running_group(key)
+        if running_group is None:
+            self._request.context.cluster.exclude_replica(self._replica)
+            self._request.on_rejected(self)
+        elif running_group.engine.submit(self._engine_request):
+            self._engine = running_group.engine
         else:
-            self._call.on_rejected(self)
+            self._request.on_rejected(self)
 
     def stop(self) -> None:
         """Break it off."""
-        self._book.record_end(self._replica.key)
+        self._replica_table.record_end(self._replica.key)
         if self._engine is not None:
-            self._record_attempt()
-            self._engine.drop(self._work)
+            self._record_received_tokens()
+            self._engine.cancel(self._engine_request)
 
-    def on_first(self) -> None:
+    def on_first_event(self) -> None:
         """Take in the first event."""
         now = self._timeline.now
-        self._book.record_event(self._replica.key, now)
+        self._replica_table.record_event(self._replica.key, now)
         self._has_begun = True
-        expected = self._call.patience.expected_first
+        expected = self._request.hedge_timeouts.expected_first
         if expected > 0:
             ratio = (now - self._started_at) / expected
-            self._book.record_first_event(self._replica.key, ratio)
-        self._call.on_first(self)
+            self._replica_table.record_first_event(self._replica.key, ratio)
+        self._request.on_first_event(self)
 
     def on_end(self) -> None:
         """Take in the last event."""
-        self._book.record_event(self._replica.key, self._timeline.now)
-        self._call.on_end(self)
+        self._replica_table.record_event(self._replica.key, self._timeline.now)
+        self._request.on_end(self)
 
     def on_stalled(self) -> None:
         """Take in that nothing more comes."""
         if self._has_begun:
             now = self._timeline.now
-            self._book.record_event(self._replica.key, now)
-            self._record_attempt()
-            self._call.on_quiet()
+            self._replica_table.record_event(self._replica.key, now)
+            self._record_received_tokens()
+            self._request.on_pause()
             self._timeline.schedule_in(
-                self._call.patience.gap, self._check_silence
+                self._request.hedge_timeouts.gap, self._check_silence
             )
 
     def on_broken(self) -> None:
         """Take in that the connection broke."""
-        if not self._call.has_attempt(self):
+        if not self._request.has_attempt(self):
             return
         if self._has_begun:
-            self._record_attempt()
-            self._call.on_quiet()
-        self._call.on_broken(self)
+            self._record_received_tokens()
+            self._request.on_pause()
+        self._request.on_broken(self)
 
     def record_failure(self) -> None:
         """Let the replica rest."""
-        self._book.record_failure(self._replica.key, self._timeline.now)
+        self._replica_table.record_failure(
+            self._replica.key, self._timeline.now
+        )
 
     def record_silence(self) -> None:
         """Let a replica rest from which nothing comes, and doubt it."""
         key, now = self._replica.key, self._timeline.now
-        if self._is_sound():
-            self._book.record_message(key, now)
-        if self._book.is_silent(key, self._call.patience.gap, now):
-            self._book.record_failure(key, now)
-            self._call.parts.holder.raise_doubt(self._replica)
-
-    def wait_again(self) -> None:
+        if self._is_responsive():
+            self._replica_table.record_message(key, now)
+        if self._replica_table.is_silent(
+            key, self._request.hedge_timeouts.gap, now
+        ):
+            self._replica_table.record_failure(key, now)
+            self._request.context.holder.raise_doubt(self._replica)
+
+    def extend_wait(self) -> None:
         """Wait once more for as long as before."""
-        now, patience = self._timeline.now, self._call.patience
+        now, hedge_timeouts = self._timeline.now, self._request.hedge_timeouts
         self._started_at = now
-        self._book.get(self._replica.key).heard_at = now
-        seconds = patience.gap if self._has_begun else patience.first
+        self._replica_table.get(self._replica.key).heard_at = now
+        seconds = (
+            hedge_timeouts.gap if self._has_begun else hedge_timeouts.first
+        )
         self._timeline.schedule_in(seconds, self._check_silence)
 
     def _check_silence(self) -> None:
-        if not self._call.has_attempt(self):
+        if not self._request.has_attempt(self):
             return
-        if not self._has_begun or not self._is_sound():
-            self._call.hedge(self)
+        if not self._has_begun or not self._is_responsive():
+            self._request.hedge(self)
 
-    def _is_sound(self) -> bool:
+    def _is_responsive(self) -> bool:
         return self._engine is not None and not self._engine.is_stalled
 
-    def _record_attempt(self) -> None:
+    def _record_received_tokens(self) -> None:
         """Note the tokens that the caller has."""
         if self._engine is not None and self._has_begun:
-            made = self._skipped + self._engine.count_made(self._work)
-            self._call.made = max(self._call.made, made)
+            received_tokens = (
+                self._prior_tokens
+                + self._engine.count_generated_tokens(self._engine_request)
+            )
+            self._request.received_tokens = max(
+                self._request.received_tokens, received_tokens
+            )
--- a/waywell/experiment/play.py
+++ b/waywell/experiment/simulation.py
@@ -9,15 +9,18 @@
 
 from waywell.experiment.arrivals import (
     draw_arrivals,
-    draw_whole,
+    draw_integer,
     make_random,
 )
-from waywell.experiment.call import Call, CallParts
 from waywell.experiment.faults import draw_faults, schedule_fault
 from waywell.experiment.forming_holder import FormingHolder
-from waywell.experiment.model_box import SERVICE, ModelBox
 from waywell.experiment.node import Node, share_loads
-from waywell.experiment.simulated_boxes import SimulatedBoxes
+from waywell.experiment.simulated_box import SERVICE, SimulatedBox
+from waywell.experiment.simulated_fleet import SimulatedFleet
+from waywell.experiment.simulated_request import (
+    SimulatedRequest,
+    SimulationContext,
+)
 from waywell.experiment.tally import Tally
 from waywell.experiment.timeline import Timeline
 from waywell.ids import BoxId, DomainName, HallName, ModelName, NodeId
@@ -41,19 +44,19 @@
     from waywell.experiment.policy import Policy
     from waywell.experiment.tally import Summary
 
-FORGET_SECONDS = 5.0
+FORGET_INTERVAL_SECONDS = 5.0
 """Seconds between two looks for records of replicas that are gone."""
 
-KNOWN_SECONDS = 10.0
+NODE_AGE_SECONDS = 10.0
 """Seconds before the start at which nodes were started, so that their budgets
 are whole."""
 
 
-END_SECONDS = 1.0
+COMPLETION_CHECK_SECONDS = 1.0
 """Seconds between two looks whether all requests have ended."""
 
 
-class Play:
+class Simulation:
     """A model that is drawn and played once.
 
     Parameters
@@ -69,10 +72,10 @@
     def __init__(self, load: Load, policy: Policy, seed: int) -> None:
         """Draw the fleet, the requests and the faults."""
         self.timeline = Timeline()
-        self.fleet_model = SimulatedBoxes(
+        self.simulated_fleet = SimulatedFleet(
             load, _draw_boxes(load, seed), self.timeline
         )
-        self.calls: list[Call] = []
+        self.simulated_requests: list[SimulatedRequest] = []
         self._load = load
         stall = load.platform.stall_seconds / MS
         self._cluster = ClusterView(PromiseSettings(stalled_within_ms=stall))
@@ -82,16 +85,16 @@
         holder = FormingHolder(
             engine,
             self._cluster,
-            self.fleet_model,
+            self.simulated_fleet,
             nodes[0],
             self.timeline,
             load.platform,
         )
         holder.measures_demand = policy.measures_demand
-        self.parts = CallParts(
+        self.context = SimulationContext(
             self.timeline,
             self._cluster,
-            self.fleet_model,
+            self.simulated_fleet,
             holder,
             engine,
             {kind.name: make_route(kind) for kind in load.kind},
@@ -105,54 +108,62 @@
         """Play to the end of the last request; return the figures."""
         longest = max(kind.timeout for kind in self._load.kind)
         load, delays = self._load, self._load.platform
-        self.timeline.repeat(delays.list_seconds, self._list_boxes)
+        self.timeline.repeat(delays.list_seconds, self._update_box_list)
         self.timeline.repeat(delays.load_report_seconds, self._share_loads)
-        self.timeline.repeat(FORGET_SECONDS, self._forget_replicas)
-        self.parts.holder.start()
+        self.timeline.repeat(FORGET_INTERVAL_SECONDS, self._forget_replicas)
+        self.context.holder.start()
         end = load.warm_up + load.seconds
         self.timeline.run_until(end)
-        while not self._are_all_ended() and self.timeline.now < end + longest:
-            self.timeline.run_until(self.timeline.now + END_SECONDS)
-        return self.parts.tally.summarise()
+        while not self._have_all_ended() and self.timeline.now < end + longest:
+            self.timeline.run_until(
+                self.timeline.now + COMPLETION_CHECK_SECONDS
+            )
+        return self.context.tally.summarise()
 
-    def _are_all_ended(self) -> bool:
-        return self.parts.tally.requests == len(self.calls)
+    def _have_all_ended(self) -> bool:
+        return self.context.tally.requests == len(self.simulated_requests)
 
     def _make_nodes(self, policy: Policy, seed: int) -> tuple[Node, ...]:
         halls = _list_node_halls(self._load.fleet)
-        choosing = policy.choosing_nodes or len(halls)
+        choosing_nodes = policy.choosing_nodes or len(halls)
         return tuple(
-            _make_node(policy, seed, number, hall, choosing)
+            _make_node(policy, seed, number, hall, choosing_nodes)
             for number, hall in enumerate(halls)
         )
 
     def _draw_events(self, seed: int) -> None:
-        begins_at = self._load.warm_up
-        nodes = len(self.parts.nodes)
+        load_start = self._load.warm_up
+        nodes = len(self.context.nodes)
         for arrival in draw_arrivals(self._load, seed, nodes):
-            call = Call(self.parts, arrival)
-            self.calls.append(call)
-            self.timeline.schedule(begins_at + arrival.at, call.begin)
-        boxes = tuple(self.fleet_model.boxes.values())
+            simulated_request = SimulatedRequest(self.context, arrival)
+            self.simulated_requests.append(simulated_request)
+            self.timeline.schedule(
+                load_start + arrival.at, simulated_request.start
+            )
+        boxes = tuple(self.simulated_fleet.boxes.values())
         for fault in draw_faults(self._load, seed, boxes):
-            schedule_fault(fault, self.fleet_model, self.timeline, begins_at)
+            schedule_fault(
+                fault, self.simulated_fleet, self.timeline, load_start
+            )
 
-    def _list_boxes(self) -> None:
+    def _update_box_list(self) -> None:
         now = self.timeline.now
-        self._cluster.update_fleet(self.fleet_model.list_entries(), now, now)
+        self._cluster.update_fleet(
+            self.simulated_fleet.list_entries(), now, now
+        )
 
     def _share_loads(self) -> None:
-        share_loads(self.parts.nodes, self.timeline.now)
+        share_loads(self.context.nodes, self.timeline.now)
 
     def _forget_replicas(self) -> None:
         keys = self._cluster.list_replica_keys()
-        for node in self.parts.nodes:
-            node.book.forget_others(keys)
+        for node in self.context.nodes:
+            node.replica_table.forget_others(keys)
 
 
-def play(load: Load, policy: Policy, seed: int) -> Summary:
+def simulate(load: Load, policy: Policy, seed: int) -> Summary:
     """Draw a load by a seed and play it; return its figures."""
-    return Play(load, policy, seed).run()
+    return Simulation(load, policy, seed).run()
 
 
 def make_engine(load: Load) -> Engine:
@@ -213,28 +224,28 @@
     seed: int,
     number: int,
     hall: HallName,
-    choosing: int,
+    choosing_nodes: int,
 ) -> Node:
     loads = SharedLoads()
     draws = make_random(seed, f'choices.{number}')
     limits = ResendLimits(policy.resend_ratio, policy.resend_slack)
     return Node(
         NodeId(f'node-{number}'),
-        ReplicaChooser(hall, loads, draws, lambda: choosing),
+        ReplicaChooser(hall, loads, draws, lambda: choosing_nodes),
         loads,
-        ResendBudget(limits, -KNOWN_SECONDS),
+        ResendBudget(limits, -NODE_AGE_SECONDS),
         make_random(seed, f'returns.{number}'),
     )
 
 
-def _draw_boxes(load: Load, seed: int) -> list[ModelBox]:
+def _draw_boxes(load: Load, seed: int) -> list[SimulatedBox]:
     fleet = load.fleet
-    count = draw_whole(make_random(seed, 'fleet'), fleet.boxes_per_domain)
+    count = draw_integer(make_random(seed, 'fleet'), fleet.boxes_per_domain)
     domains = itertools.product(
         range(fleet.halls), range(fleet.domains_per_hall)
     )
     return [
-        ModelBox(
+        SimulatedBox(
             BoxId(f'box-{hall}-{domain}-{number}'),
             _name_hall(hall),
             DomainName(f'domain-{hall}-{domain}'),
--- a/waywell/experiment/sweep.py
+++ b/waywell/experiment/sweep.py
@@ -29,7 +29,7 @@
     """The load."""
 
 
-PlayedVariant = tuple[Variant, list[Pair]]
+VariantResults = tuple[Variant, list[Pair]]
 """A load with one setting changed, and its plays."""
 
 
@@ -56,18 +56,18 @@
     """
     raw = read_toml(read_text(path), path)
     return [
-        Variant(one, check_load(_replace(raw, key, one), path))
-        for one in settings
+        Variant(value, check_load(_replace_setting(raw, key, value), path))
+        for value in settings
     ]
 
 
 def format_sweep(
     key: str,
-    played: Sequence[PlayedVariant],
+    variant_results: Sequence[VariantResults],
 ) -> str:
     """Return the means of all measures for each value as a table."""
     lines = [format_line((key, *MEASURES, 'requests', 'seeds'))]
-    for variant, pairs in played:
+    for variant, pairs in variant_results:
         means = (
             statistics.fmean(getattr(pair.base, measure) for pair in pairs)
             for measure in MEASURES
@@ -87,24 +87,24 @@
     return '\n'.join(lines)
 
 
-def _replace(raw: dict[str, Any], key: str, setting: object) -> Any:
+def _replace_setting(raw: dict[str, Any], key: str, setting: object) -> Any:
     """Return a copy of a load with one setting changed."""
     changed = copy.deepcopy(raw)
     *path, name = key.split('.')
     table: Any = changed
-    for step in path:
-        table = _enter(table, step, key)
+    for part in path:
+        table = _get_child(table, part, key)
     if not isinstance(table, dict):
         raise InvalidInputError([f'{key}: no such setting'])
     is_range = isinstance(table.get(name), list)
-    is_alone = isinstance(setting, int | float)
-    table[name] = [setting, setting] if is_range and is_alone else setting
+    is_number = isinstance(setting, int | float)
+    table[name] = [setting, setting] if is_range and is_number else setting
     return changed
 
 
-def _enter(table: Any, step: str, key: str) -> Any:
+def _get_child(table: Any, part: str, key: str) -> Any:
     if isinstance(table, dict):
-        return table.setdefault(step, {})
-    if step.isdecimal() and int(step) < len(table):
-        return table[int(step)]
+        return table.setdefault(part, {})
+    if part.isdecimal() and int(part) < len(table):
+        return table[int(part)]
     raise InvalidInputError([f'{key}: no such setting'])
--- a/waywell/experiment/table.py
+++ b/waywell/experiment/table.py
@@ -35,7 +35,7 @@
     lines = [
         f'{len(pairs)} seeds; base: {names[0]}, other: {names[1]}',
         format_line(_HEAD),
-        *(_format_difference(one) for one in compare(pairs)),
+        *(_format_difference(difference) for difference in compare(pairs)),
         '',
         'requests a seed and worth lost a seed, in parts of all worth',
         *_list_endings(pairs),
@@ -45,10 +45,12 @@
 
 def format_json(names: tuple[str, str], pairs: Sequence[Pair]) -> str:
     """Return the comparison and each play as JSON."""
-    told = {
+    document = {
         'base': names[0],
         'other': names[1],
-        'differences': [attrs.asdict(one) for one in compare(pairs)],
+        'differences': [
+            attrs.asdict(difference) for difference in compare(pairs)
+        ],
         'plays': [
             {
                 'seed': pair.seed,
@@ -58,7 +60,7 @@
             for pair in pairs
         ],
     }
-    return json.dumps(told, indent=2, sort_keys=True)
+    return json.dumps(document, indent=2, sort_keys=True)
 
 
 def format_line(cells: Sequence[str]) -> str:
--- a/waywell/experiment/tally.py
+++ b/waywell/experiment/tally.py
@@ -61,7 +61,7 @@
         in_aim = self.counts[Ending.IN_AIM] * self.kind.worth
         return in_aim + self.counts[Ending.LATE] * self.kind.late_worth
 
-    def get_price(self, ending: Ending) -> float:
+    def get_lost_worth(self, ending: Ending) -> float:
         """Return the worth that was lost by an ending."""
         if ending is Ending.IN_AIM:
             return 0.0
@@ -108,7 +108,7 @@
             endings={ending.value: self.count(ending) for ending in Ending},
             prices={
                 ending.value: math.fsum(
-                    kind.get_price(ending) for kind in kinds
+                    kind.get_lost_worth(ending) for kind in kinds
                 )
                 for ending in Ending
                 if ending is not Ending.IN_AIM
--- a/waywell/experiment/weight_store.py
+++ b/waywell/experiment/weight_store.py
@@ -25,19 +25,19 @@
     timeline: Timeline
     """Events of the model."""
 
-    loads: int = 0
+    running_loads: int = 0
     """Loads that run."""
 
-    def begin(self, model: ModelSettings, finish: Action) -> None:
+    def start_load(self, model: ModelSettings, finish: Action) -> None:
         """Load a model; a load keeps the pace that it begins with."""
-        self.loads += 1
+        self.running_loads += 1
         engine = self.load.engine
-        crowd = self.loads / engine.loads_at_once
+        slowdown = self.running_loads / engine.loads_at_once
         if self.timeline.now < self.load.warm_up:
-            crowd = min(crowd, engine.first_crowd)
-        seconds = model.load_seconds * max(1.0, crowd)
-        self.timeline.schedule_in(seconds, partial(self._end, finish))
+            slowdown = min(slowdown, engine.first_crowd)
+        seconds = model.load_seconds * max(1.0, slowdown)
+        self.timeline.schedule_in(seconds, partial(self._finish_load, finish))
 
-    def _end(self, finish: Action) -> None:
-        self.loads -= 1
+    def _finish_load(self, finish: Action) -> None:
+        self.running_loads -= 1
         finish()
