--- a/tests/test_permit_issuer.py
+++ b/tests/test_permit_issuer.py
@@ -18,7 +18,7 @@
 )
 
 from tests.limits import WINDOW_SECONDS, count_allowed, count_most
-from waywell.bench.turn_fleet import HALL, LIFE, TurnFleet, TurnNode
+from waywell.bench.turn_fleet import BOX_LIFE, HALL, PermitFleet, PermitNode
 from waywell.connection.limit_header import NO_LIMIT
 from waywell.ids import HallName, Incarnation, NodeId
 from waywell.limits.issuer_assignment import (
@@ -56,22 +56,22 @@
     def start(self, count: int, limit: float) -> None:
         self.now = 100.0
         self.random = Random(count)
-        self.fleet = TurnFleet(self.random)
+        self.fleet = PermitFleet(self.random)
         self.serial = 0
         self.arrivals: list[float] = []
         self.changed_at: dict[NodeId, float] = {}
         for _node in range(count):
             self.add_node()
-        self.fleet.see_all()
+        self.fleet.update_visible_nodes()
         self.changed_at.clear()
         self.limit = limit
         self.reported_at = self.now
-        self.fleet.name_limit(limit, self.now)
+        self.fleet.report_limit(limit, self.now)
 
-    def add_node(self) -> TurnNode:
+    def add_node(self) -> PermitNode:
         self.serial += 1
         hall = HallName(HALLS[self.serial % len(HALLS)])
-        node = self.fleet.add(f'n{self.serial}', hall)
+        node = self.fleet.add_node(f'n{self.serial}', hall)
         self.record_change()
         return node
 
@@ -87,12 +87,12 @@
             for name, changed_at in tuple(self.changed_at.items()):
                 if self.now - changed_at >= VIEW_SECONDS:
                     self.update_view(name)
-            self.fleet.tend(self.now)
+            self.fleet.update_issuers(self.now)
 
     def update_view(self, name: NodeId) -> None:
         self.changed_at.pop(name, None)
         if name in self.fleet.nodes:
-            self.fleet.see(self.fleet.nodes[name])
+            self.fleet.show_partition(self.fleet.nodes[name])
 
     @rule(which=st.integers(min_value=0))
     def update_view_early(self, which: int) -> None:
@@ -108,13 +108,15 @@
         names = sorted(self.fleet.nodes)
         for _request in range(count):
             name = self.random.choice(names)
-            if self.fleet.ask(name, self.now, self.random.randrange(3)):
+            if self.fleet.request_permit(
+                name, self.now, self.random.randrange(3)
+            ):
                 self.arrivals.append(self.now + delay)
 
     @rule(parts=st.lists(PARTS, min_size=9, max_size=9))
     def partition(self, parts: list[int]) -> None:
         for node, part in zip(self.fleet.nodes.values(), parts, strict=False):
-            node.part = part
+            node.partition = part
         self.record_change()
 
     @rule()
@@ -139,7 +141,7 @@
                 self.reported_at,
                 HALL,
             )
-            node.limits.record(LIFE, report, 'test')
+            node.limits.record(BOX_LIFE, report, 'test')
 
     @rule(limit=st.sampled_from((0.0, 0.2, 1.0, 5.0, 50.0)))
     def change_limit(self, limit: float) -> None:
@@ -147,7 +149,7 @@
         if limit != self.limit:
             self.limit = limit
             self.reported_at = self.now
-        self.fleet.name_limit(limit, self.now)
+        self.fleet.report_limit(limit, self.now)
 
     @invariant()
     def nodes_together_keep_the_limit(self) -> None:
@@ -164,18 +166,20 @@
 TestPermits = PermitMachine.TestCase
 
 
-def make_fleet(count: int) -> TurnFleet:
-    fleet = TurnFleet(Random(1))
+def make_fleet(count: int) -> PermitFleet:
+    fleet = PermitFleet(Random(1))
     for number in range(count):
-        fleet.add(f'n{number}')
-    fleet.see_all()
+        fleet.add_node(f'n{number}')
+    fleet.update_visible_nodes()
     return fleet
 
 
-def request_all(fleet: TurnFleet, now: float) -> int:
+def request_all(fleet: PermitFleet, now: float) -> int:
     """Request permits at every node until all are refused."""
     return sum(
-        fleet.ask(name, now) for _round in range(20) for name in fleet.nodes
+        fleet.request_permit(name, now)
+        for _round in range(20)
+        for name in fleet.nodes
     )
 
 
@@ -183,70 +187,72 @@
 @pytest.mark.parametrize('limit', [0.0, 0.2, 1.0, 100.0])
 def test_bursts_do_not_add_up_over_the_nodes(count: int, limit: float) -> None:
     fleet = make_fleet(count)
-    fleet.name_limit(limit, 0.0)
+    fleet.report_limit(limit, 0.0)
     for step in range(1, 101):
-        fleet.tend(step * 0.1)
+        fleet.update_issuers(step * 0.1)
         request_all(fleet, step * 0.1)
-    assert fleet.sent
-    assert count_most(fleet.sent) <= count_allowed(limit)
+    assert fleet.sent_at
+    assert count_most(fleet.sent_at) <= count_allowed(limit)
 
 
 def test_partitions_together_keep_the_limit() -> None:
     fleet = make_fleet(9)
-    fleet.name_limit(1.0, 0.0)
+    fleet.report_limit(1.0, 0.0)
     for number, node in enumerate(fleet.nodes.values()):
-        node.part = number % 3
-    fleet.see_all()
+        node.partition = number % 3
+    fleet.update_visible_nodes()
     for step in range(1, 401):
-        fleet.tend(step * 0.05)
+        fleet.update_issuers(step * 0.05)
         request_all(fleet, step * 0.05)
-    late = [at for at in fleet.sent if at > 8]
+    late = [at for at in fleet.sent_at if at > 8]
     assert count_most(late) <= count_allowed(1.0)
 
 
 def test_a_new_issuer_starts_with_an_empty_bucket() -> None:
     fleet = make_fleet(3)
-    fleet.name_limit(1.0, 0.0)
-    fleet.tend(10.0)
-    (lost, *_others) = fleet.nodes['n0'].choice.choose(LIFE.box, HALL)
+    fleet.report_limit(1.0, 0.0)
+    fleet.update_issuers(10.0)
+    (lost, *_others) = fleet.nodes['n0'].assignment.choose(BOX_LIFE.box, HALL)
     fleet.nodes.pop(lost)
-    fleet.see_all()
-    fleet.tend(10.0)
+    fleet.update_visible_nodes()
+    fleet.update_issuers(10.0)
     (new,) = (
-        node.dealer
+        node.issuer
         for node in fleet.nodes.values()
-        if not node.dealer.dump().get(LIFE.box, {}).get('turns')
+        if not node.issuer.dump().get(BOX_LIFE.box, {}).get('turns')
     )
-    assert not new.grant(LIFE, 0, 10.0 + HANDOVER_SECONDS).permits
-    assert new.grant(LIFE, 0, 14.0 + HANDOVER_SECONDS).permits
+    assert not new.grant(BOX_LIFE, 0, 10.0 + HANDOVER_SECONDS).permits
+    assert new.grant(BOX_LIFE, 0, 14.0 + HANDOVER_SECONDS).permits
 
 
 def test_new_issuers_wait_until_other_nodes_know_them() -> None:
     limit = 20.0
     fleet = make_fleet(4)
     before = list(fleet.nodes.values())
-    fleet.name_limit(limit, 0.0)
+    fleet.report_limit(limit, 0.0)
     for number in range(40):
         # Nodes that join together know the earlier nodes, not each other.
-        node = fleet.add(f'joined{number}')
-        node.limits.record(LIFE, LimitReport(limit, 0, 0, 0, HALL), 'test')
-        node.see({seen.name: seen.hall for seen in (*before, node)}, 5)
+        node = fleet.add_node(f'joined{number}')
+        node.limits.record(BOX_LIFE, LimitReport(limit, 0, 0, 0, HALL), 'test')
+        node.set_visible_nodes(
+            {seen.name: seen.hall for seen in (*before, node)}, 5
+        )
     for step in range(1, 201):
         now = 6.0 + step * 0.05
         if step * 0.05 >= VIEW_SECONDS:
-            fleet.see_all()
-        fleet.tend(now)
+            fleet.update_visible_nodes()
+        fleet.update_issuers(now)
         request_all(fleet, now)
-    assert count_most(fleet.sent) <= count_allowed(limit)
+    assert count_most(fleet.sent_at) <= count_allowed(limit)
 
 
 def test_a_replica_with_limit_zero_is_probed_at_a_low_rate() -> None:
     fleet = make_fleet(3)
-    fleet.name_limit(0.0, 0.0)
+    fleet.report_limit(0.0, 0.0)
     for second in range(1, 61):
-        fleet.tend(second)
+        fleet.update_issuers(second)
         request_all(fleet, second)
-    assert 5 <= len(fleet.sent) <= 20
+    assert 5 <= len(fleet.sent_at) <= 20
 
 
 def test_less_urgent_requests_wait_but_are_not_starved() -> None:
@@ -268,22 +274,22 @@
     assignment = IssuerAssignment(
         MembershipView(NodeId('near'), halls | local, 7)
     )
-    assert assignment.choose(LIFE.box, HALL) == ('near',)
+    assert assignment.choose(BOX_LIFE.box, HALL) == ('near',)
     assignment = IssuerAssignment(MembershipView(NodeId('n0'), halls, 7))
-    assert len(assignment.choose(LIFE.box, HALL)) == ISSUERS_PER_REPLICA
+    assert len(assignment.choose(BOX_LIFE.box, HALL)) == ISSUERS_PER_REPLICA
 
 
 def test_a_limit_ends_with_the_life_of_its_box() -> None:
     limits = ReportedLimits()
-    limits.record(LIFE, LimitReport(1.0, 0.0, 0.0, 0.0, HALL), 'own')
+    limits.record(BOX_LIFE, LimitReport(1.0, 0.0, 0.0, 0.0, HALL), 'own')
     issuer = PermitIssuer(limits)
     assignment = IssuerAssignment(
         MembershipView(NodeId('a'), {NodeId('a'): HALL}, 1)
     )
     issuer.update(assignment, 0.0)
     assert issuer.dump()
-    limits.forget_ended([EndedLife(LIFE, None)])
+    limits.forget_ended([EndedLife(BOX_LIFE, None)])
     issuer.update(assignment, 0.1)
     assert not issuer.dump()
-    later = BoxLife(LIFE.box, Incarnation(2))
+    later = BoxLife(BOX_LIFE.box, Incarnation(2))
     assert limits.get(later) == NO_LIMIT
--- a/waywell/bench/control.py
+++ b/waywell/bench/control.py
@@ -31,7 +31,7 @@
 SIZES = '2,4,8,16,32'
 """Numbers of entry boxes."""
 
-WINDOW = 10.0
+IDLE_SECONDS = 10.0
 """Seconds over which an idle system is measured."""
 
 CHANGES = 5
@@ -54,14 +54,16 @@
         bench.start_entry(name, hall=f'hall-{number % 2}', top={'history': ''})
     bench.start_boxes([BoxSpec('app-1', fenced=False, labels={'pool': 'app'})])
     bench.apply(names[0], make_configuration())
-    wait_known(bench, names)
+    wait_until_known(bench, names)
     return names
 
 
-def wait_known(bench: Bench, names: list[str]) -> None:
+def wait_until_known(bench: Bench, names: list[str]) -> None:
     """Wait until nodes know of each other and of no other live one."""
     wait_until(
-        lambda: all(count_known(bench, name) == len(names) for name in names),
+        lambda: all(
+            count_live_nodes(bench, name) == len(names) for name in names
+        ),
         'all nodes to know each other',
         seconds=START_SECONDS,
     )
@@ -72,7 +74,7 @@
     return dict(bench.get_admin(name).call('GET', '/v1/dump').read_json())
 
 
-def count_known(bench: Bench, name: str) -> int:
+def count_live_nodes(bench: Bench, name: str) -> int:
     """Return how many nodes a node counts as live or leaving."""
     nodes = read_dump(bench, name)['tasks']['gossip']['nodes']
     return sum(node['state'] < 2 for node in nodes)
@@ -103,7 +105,7 @@
         return self.payload + self.messages * FRAME_BYTES
 
 
-def take_sample(bench: Bench, names: list[str]) -> Sample:
+def read_counters(bench: Bench, names: list[str]) -> Sample:
     """Read the counters of all nodes."""
     links = [read_dump(bench, name)['tasks']['links'] for name in names]
     calls = bench.set_platform_faults()
@@ -118,11 +120,11 @@
 
 def measure_idle(bench: Bench, names: list[str]) -> dict[str, Any]:
     """Measure a settled system without callers for a while."""
-    before = take_sample(bench, names)
-    time.sleep(WINDOW)
-    after = take_sample(bench, names)
-    passed = after.at - before.at
-    shares = len(names) * passed
+    before = read_counters(bench, names)
+    time.sleep(IDLE_SECONDS)
+    after = read_counters(bench, names)
+    elapsed = after.at - before.at
+    shares = len(names) * elapsed
     memory = [read_memory(bench.entries[name].pid) for name in names]
     return {
         'cpu_percent_a_node': (after.cpu - before.cpu) / shares * 100,
@@ -130,17 +132,17 @@
         'kb_a_node_s': (after.traffic - before.traffic) / shares / 1000,
         'memory_median_mb': find_quantile(memory, 0.5),
         'memory_max_mb': max(memory),
-        'platform_calls_s': (after.calls - before.calls) / passed,
+        'platform_calls_s': (after.calls - before.calls) / elapsed,
     }
 
 
 def measure_changes(bench: Bench, names: list[str]) -> dict[str, float]:
     """Measure configuration changes: their spread and what one costs."""
-    before = take_sample(bench, names)
+    before = read_counters(bench, names)
     spread = measure_spread(bench, names)
     # The nodes tell each other which version they have in force.
     time.sleep(2)
-    after = take_sample(bench, names)
+    after = read_counters(bench, names)
     shares = len(names) * CHANGES
     return {
         'spread_s': spread,
@@ -151,10 +153,12 @@
 
 def measure_spread(bench: Bench, names: list[str]) -> float:
     """Return the seconds until a version is in force everywhere."""
-    slowest = []
-    for turn in range(CHANGES):
-        began_at = time.monotonic()
-        answer = bench.apply(names[0], make_configuration(groups=1 + turn % 2))
+    spread_seconds = []
+    for change in range(CHANGES):
+        started_at = time.monotonic()
+        answer = bench.apply(
+            names[0], make_configuration(groups=1 + change % 2)
+        )
         if answer.status != HTTPStatus.OK:
             raise RuntimeError(answer.body)
         number = answer.read_json()['number']
@@ -164,18 +168,18 @@
                 headers = bench.get_caller(name).call('/services/none').headers
                 if int(headers['waywell-configuration']) >= number:
                     pending.discard(name)
-        slowest.append(time.monotonic() - began_at)
-    return find_quantile(slowest, 0.5)
+        spread_seconds.append(time.monotonic() - started_at)
+    return find_quantile(spread_seconds, 0.5)
 
 
 def measure_detection(bench: Bench, names: list[str]) -> float:
     """Kill the last node; return the seconds until all count it out."""
     victim = names[-1]
-    rest = names[:-1]
+    remaining = names[:-1]
     bench.entries[victim].kill()
-    began_at = time.monotonic()
-    wait_known(bench, rest)
-    return time.monotonic() - began_at
+    started_at = time.monotonic()
+    wait_until_known(bench, remaining)
+    return time.monotonic() - started_at
 
 
 def measure(count: int) -> dict[str, Any]:
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -55,10 +55,10 @@
 DOMAIN_BOXES = 32
 """Boxes of a fabric domain."""
 
-SPARE_SHARE = 1.03
+SPARE_FACTOR = 1.03
 """Boxes for each box in a group."""
 
-_SESSION = SessionId('a1/s')
+SESSION = SessionId('a1/s')
 
 REPEATS = 20
 """Times that a decision is timed."""
@@ -66,7 +66,7 @@
 
 def make_boxes(groups: int) -> dict[BoxId, Box]:
     """Return the boxes for some groups, with a few spares."""
-    count = round(groups * GROUP_BOXES * SPARE_SHARE)
+    count = round(groups * GROUP_BOXES * SPARE_FACTOR)
     boxes = [
         Box(
             box=BoxId(f'box-{number:04}'),
@@ -81,7 +81,7 @@
     return {box.box: box for box in boxes}
 
 
-def make_objects(groups: int) -> Configuration:
+def make_group_configuration(groups: int) -> Configuration:
     """Return a configuration with some groups and ten client accounts."""
     raw = {
         'service': [{'name': 'llm', 'model': 'm'}],
@@ -107,13 +107,15 @@
     """Return the milliseconds of one call, the least of several."""
     best = float('inf')
     for _ in range(REPEATS):
-        began_at = time.perf_counter()
+        started_at = time.perf_counter()
         work()
-        best = min(best, time.perf_counter() - began_at)
+        best = min(best, time.perf_counter() - started_at)
     return best * 1000
 
 
-def settle(boxes: dict[BoxId, Box], configuration: Configuration) -> Roster:
+def form_all_groups(
+    boxes: dict[BoxId, Box], configuration: Configuration
+) -> Roster:
     """Return the roster in which all groups serve."""
     roster = Roster(0)
     for _ in range(2):
@@ -129,7 +131,7 @@
     return roster
 
 
-def lose_one(
+def lose_one_box(
     boxes: dict[BoxId, Box],
     roster: Roster,
 ) -> dict[BoxId, Box]:
@@ -143,10 +145,10 @@
 def measure_assembly(groups: int) -> dict[str, Any]:
     """Measure plans and the roster document."""
     boxes = make_boxes(groups)
-    configuration = make_objects(groups)
-    roster = settle(boxes, configuration)
+    configuration = make_group_configuration(groups)
+    roster = form_all_groups(boxes, configuration)
     idle = AssemblyView(boxes, configuration, {})
-    broken = AssemblyView(lose_one(boxes, roster), configuration, {})
+    broken = AssemblyView(lose_one_box(boxes, roster), configuration, {})
     document = Document(roster.number, roster.to_entries())
     plan = plan_assembly(roster, broken, SparesOnly(), 0)
     later = roster.replace(roster.number + 1, plan.changed, plan.removed)
@@ -169,33 +171,33 @@
 
 def measure_routing(groups: int) -> dict[str, Any]:
     """Measure the choice of a group for one request."""
-    configuration = make_objects(groups)
+    configuration = make_group_configuration(groups)
     index = ServingIndex(
         configuration,
-        settle(make_boxes(groups), configuration),
+        form_all_groups(make_boxes(groups), configuration),
     )
-    found = index.list_groups(RequestShape('llm', 'a1', 'default'))
+    candidates = index.list_groups(RequestShape('llm', 'a1', 'default'))
     random = Random(1)
     health = HealthTable(6)
-    for group in found:
+    for group in candidates:
         health.record_answer(group.group, random.random(), 0)
-    balance = ServiceLoadCache(health, LoadTable())
-    loads = balance.build_loads('llm', found, 0)
+    load_cache = ServiceLoadCache(health, LoadTable())
+    loads = load_cache.build_loads('llm', candidates, 0)
     is_usable = partial(_is_usable, health)
     return {
         'groups': groups,
         'summary_us': time_call(
             lambda: ServiceLoadCache(health, LoadTable()).build_loads(
-                'llm', found, 0
+                'llm', candidates, 0
             ),
         )
         * 1000,
         'less_loaded_us': time_call(
-            lambda: choose_less_loaded(found, is_usable, loads, random),
+            lambda: choose_less_loaded(candidates, is_usable, loads, random),
         )
         * 1000,
         'session_us': time_call(
-            lambda: choose_for_session(_SESSION, found, is_usable, loads),
+            lambda: choose_for_session(SESSION, candidates, is_usable, loads),
         )
         * 1000,
     }
@@ -225,7 +227,7 @@
     records = [make_record(number) for number in range(1, nodes)]
     for record in records:
         table.merge(record, 0)
-    roster = settle(make_boxes(600), make_objects(600))
+    roster = form_all_groups(make_boxes(600), make_group_configuration(600))
     groups = list(roster)
     return {
         'nodes': nodes,
@@ -275,16 +277,16 @@
         for number in range(claims)
     ]
     tracemalloc.start()
-    began_at = time.perf_counter()
+    started_at = time.perf_counter()
     for key in keys:
         table.claim(key, NodeId('entry-1'), 1, 2)
-    passed = time.perf_counter() - began_at
-    kept, _ = tracemalloc.get_traced_memory()
+    elapsed = time.perf_counter() - started_at
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
         'claims': len(table),
-        'claim_us_traced': passed / claims * 1e6,
-        'bytes_a_claim': kept / claims,
+        'claim_us_traced': elapsed / claims * 1e6,
+        'bytes_a_claim': allocated_bytes / claims,
     }
 
 
--- a/waywell/bench/faults.py
+++ b/waywell/bench/faults.py
@@ -42,7 +42,7 @@
 """Headers of the account that doesn't."""
 
 
-def load_entries(
+def start_entry_load(
     bench: Bench,
     entries: list[str],
     headers: dict[str, str],
@@ -96,22 +96,24 @@
     with Bench() as bench:
         names = start_system(bench, choice)
         bench.set_target_faults('b0', slow=SLOW_SECONDS)
-        told = finish_load(
-            load_entries(bench, names, AUTH, workers=12, requests=150),
+        figures = finish_load(
+            start_entry_load(bench, names, AUTH, workers=12, requests=150),
         )
         runs = count_runs(bench)
         bench.set_target_faults('b0', slow=NORMAL_SECONDS)
-        finish_load(load_entries(bench, names, AUTH, workers=12, requests=600))
+        finish_load(
+            start_entry_load(bench, names, AUTH, workers=12, requests=600)
+        )
         later = count_runs(bench)
         share = (later['b0'] - runs['b0']) / (
             sum(later.values()) - sum(runs.values())
         )
         return {
             'choice': choice,
-            'median_ms': told['median'] * 1000,
-            'p95_ms': told['p95'] * 1000,
-            'p99_ms': told['p99'] * 1000,
-            'a_second': told['a_second'],
+            'median_ms': figures['median'] * 1000,
+            'p95_ms': figures['p95'] * 1000,
+            'p99_ms': figures['p99'] * 1000,
+            'a_second': figures['a_second'],
             'share_of_slow': runs['b0'] / sum(runs.values()),
             'share_when_well': share,
         }
@@ -123,16 +125,16 @@
         names = start_system(bench)
         for name in bench.targets:
             bench.set_target_faults(name, close_after_read=True)
-        told = finish_load(
-            load_entries(bench, names, AUTH, workers=8, requests=250),
+        figures = finish_load(
+            start_entry_load(bench, names, AUTH, workers=8, requests=250),
         )
-        asked = sum(told['statuses'].values())
-        ran = sum(count_runs(bench).values())
+        requests = sum(figures['statuses'].values())
+        attempts = sum(count_runs(bench).values())
         return {
-            'requests': asked,
-            'attempts': ran,
-            'extra': ran / asked - 1,
-            'statuses': json.dumps(told['statuses']),
+            'requests': requests,
+            'attempts': attempts,
+            'extra': attempts / requests - 1,
+            'statuses': json.dumps(figures['statuses']),
         }
 
 
@@ -149,7 +151,7 @@
         flood = None
         if flooding:
             headers = {'authorization': f'Bearer {FLOOD_KEY}'}
-            flood = load_entries(
+            flood = start_entry_load(
                 bench,
                 names,
                 headers,
@@ -157,20 +159,20 @@
                 requests=25,
                 gap=0.05,
             )
-        told = finish_load(
-            load_entries(bench, names, AUTH, workers=8, requests=15),
+        figures = finish_load(
+            start_entry_load(bench, names, AUTH, workers=8, requests=15),
         )
-        flooded: dict[str, Any] = {'whole': 0, 'statuses': {}}
+        flood_figures: dict[str, Any] = {'whole': 0, 'statuses': {}}
         if flood is not None:
-            flooded = finish_load(flood)
+            flood_figures = finish_load(flood)
         return {
             'flood': flooding,
-            'small_whole': told['whole'],
-            'small_asked': sum(told['statuses'].values()),
-            'small_p95_ms': told['p95'] * 1000,
-            'flood_whole': flooded['whole'],
-            'flood_refused': sum(flooded['statuses'].values())
-            - flooded['whole'],
+            'small_whole': figures['whole'],
+            'small_asked': sum(figures['statuses'].values()),
+            'small_p95_ms': figures['p95'] * 1000,
+            'flood_whole': flood_figures['whole'],
+            'flood_refused': sum(flood_figures['statuses'].values())
+            - flood_figures['whole'],
         }
 
 
@@ -178,7 +180,9 @@
     """Run the benchmarks."""
     write_figures('slow', [measure_slow(choice) for choice in CHOICES])
     write_figures('failing', [measure_failing()])
-    write_figures('flood', [measure_flood(on) for on in (False, True)])
+    write_figures(
+        'flood', [measure_flood(flooding) for flooding in (False, True)]
+    )
 
 
 if __name__ == '__main__':
--- a/waywell/bench/feed.py
+++ b/waywell/bench/feed.py
@@ -94,13 +94,13 @@
     )
 
 
-def measure(work: Callable[[], object]) -> float:
+def measure_cpu_ms(work: Callable[[], object]) -> float:
     """Return the least processor time of a piece of work, in ms."""
     times: list[float] = []
     while len(times) < ROUNDS:
-        began_at = time.process_time()
+        started_at = time.process_time()
         work()
-        times.append(time.process_time() - began_at)
+        times.append(time.process_time() - started_at)
     return min(times) * 1000
 
 
@@ -116,14 +116,14 @@
         'boxes': count,
         'whole_bytes': len(raw_whole),
         'same_bytes': len(raw_same),
-        'encode_same_ms': measure(lambda: msgspec.msgpack.encode(same)),
-        'decode_same_ms': measure(
+        'encode_same_ms': measure_cpu_ms(lambda: msgspec.msgpack.encode(same)),
+        'decode_same_ms': measure_cpu_ms(
             lambda: msgspec.msgpack.decode(raw_same, type=FeedAnswer)
         ),
-        'decode_whole_ms': measure(
+        'decode_whole_ms': measure_cpu_ms(
             lambda: msgspec.msgpack.decode(raw_whole, type=FeedAnswer)
         ),
-        'plan_ms': measure(
+        'plan_ms': measure_cpu_ms(
             lambda: FormingPlanner(
                 FormingView(SERVICE, engine, Fleet(fleet.boxes), demand),
                 FormingMemory(),
--- a/waywell/bench/figures.py
+++ b/waywell/bench/figures.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-FOLDER = Path('bench-results')
+RESULTS_FOLDER = Path('bench-results')
 """Folder of the JSON files."""
 
-TICKS_A_SECOND = os.sysconf('SC_CLK_TCK')
+TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
 """Unit of processor times in /proc."""
 
 PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
@@ -32,7 +32,7 @@
     text = Path(f'/proc/{pid}/stat').read_text()
     fields = text.rpartition(')')[2].split()
     user, system = fields[_UTIME_FIELD : _UTIME_FIELD + 2]
-    return (int(user) + int(system)) / TICKS_A_SECOND
+    return (int(user) + int(system)) / TICKS_PER_SECOND
 
 
 def read_memory(pid: int) -> float:
@@ -41,11 +41,11 @@
     return pages * PAGE_BYTES / MEGABYTE
 
 
-def find_quantile(numbers: Sequence[float], share: float) -> float:
+def find_quantile(values: Sequence[float], share: float) -> float:
     """Return the number below which a share of the numbers lies."""
-    ordered = sorted(numbers)
-    place = min(len(ordered) - 1, int(len(ordered) * share))
-    return ordered[place]
+    ordered = sorted(values)
+    index = min(len(ordered) - 1, int(len(ordered) * share))
+    return ordered[index]
 
 
 def fit_slope(points: Sequence[tuple[float, float]]) -> tuple[float, float]:
@@ -53,11 +53,11 @@
     count = len(points)
     mean_size = sum(size for size, _ in points) / count
     mean_cost = sum(cost for _, cost in points) / count
-    spread = sum((size - mean_size) ** 2 for size, _ in points)
-    shared = sum(
+    squares = sum((size - mean_size) ** 2 for size, _ in points)
+    products = sum(
         (size - mean_size) * (cost - mean_cost) for size, cost in points
     )
-    slope = shared / spread if spread else 0
+    slope = products / squares if squares else 0
     return slope, mean_cost - slope * mean_size
 
 
@@ -72,9 +72,11 @@
 
 def write_figures(name: str, rows: list[dict[str, Any]], **notes: Any) -> None:
     """Write a benchmark's rows as JSON and print them as a table."""
-    FOLDER.mkdir(exist_ok=True)
-    whole = {'machine': describe_machine(), 'notes': notes, 'rows': rows}
-    (FOLDER / f'{name}.json').write_text(json.dumps(whole, indent=2))
+    RESULTS_FOLDER.mkdir(exist_ok=True)
+    document = {'machine': describe_machine(), 'notes': notes, 'rows': rows}
+    (RESULTS_FOLDER / f'{name}.json').write_text(
+        json.dumps(document, indent=2)
+    )
     sys.stdout.write(f'\n## {name}\n{render_table(rows)}\n')
     for key, note in notes.items():
         sys.stdout.write(f'{key}: {note}\n')
@@ -88,10 +90,11 @@
     names = list(rows[0])
     lines = [' | '.join(names), ' | '.join('---' for _ in names)]
     lines.extend(
-        ' | '.join(_show(row.get(name, '')) for name in names) for row in rows
+        ' | '.join(_format_cell(row.get(name, '')) for name in names)
+        for row in rows
     )
     return '\n'.join(f'| {line} |' for line in lines)
 
 
-def _show(cell: Any) -> str:
+def _format_cell(cell: Any) -> str:
     return f'{cell:.4g}' if isinstance(cell, float) else str(cell)
--- a/waywell/bench/load.py
+++ b/waywell/bench/load.py
@@ -40,26 +40,30 @@
 
 
 @attrs.define
-class LoadCounts:
+class WorkerResults:
     """What came of the requests."""
 
     seconds: list[float] = attrs.Factory(list)
     """Time of each whole answer."""
 
-    first: list[float] = attrs.Factory(list)
+    head_seconds: list[float] = attrs.Factory(list)
     """Time to the head of each whole answer."""
 
     statuses: dict[int, int] = attrs.Factory(dict)
     """Answers by status; 0 for those cut short."""
 
 
-def run_worker(spec: LoadSpec, worker: int, counts: LoadCounts) -> None:
+def run_worker(
+    spec: LoadSpec, worker: int, worker_results: WorkerResults
+) -> None:
     """Make the requests of one worker."""
     host, port = spec.hosts[worker % len(spec.hosts)]
     connection = HTTPConnection(host, port, timeout=60)
     for _ in range(spec.requests):
-        status = make_request(connection, spec, counts)
-        counts.statuses[status] = counts.statuses.get(status, 0) + 1
+        status = make_request(connection, spec, worker_results)
+        worker_results.statuses[status] = (
+            worker_results.statuses.get(status, 0) + 1
+        )
         if not status:
             connection.close()
         if spec.gap:
@@ -70,18 +74,18 @@
 def make_request(
     connection: HTTPConnection,
     spec: LoadSpec,
-    counts: LoadCounts,
+    worker_results: WorkerResults,
 ) -> int:
     """Make one request; return its status, or 0 when it was cut."""
-    began_at = time.perf_counter()
+    started_at = time.perf_counter()
     try:
         status, head_at = read_answer(connection, spec)
     except (OSError, HTTPException):
         return 0
     ended_at = time.perf_counter()
     if status < 300:
-        counts.first.append(head_at - began_at)
-        counts.seconds.append(ended_at - began_at)
+        worker_results.head_seconds.append(head_at - started_at)
+        worker_results.seconds.append(ended_at - started_at)
     return status
 
 
@@ -99,27 +103,39 @@
 
 def run_load(spec: LoadSpec, workers: int) -> dict[str, Any]:
     """Run all workers; return the figures."""
-    tallies = [LoadCounts() for _ in range(workers)]
+    all_results = [WorkerResults() for _ in range(workers)]
     threads = [
-        threading.Thread(target=run_worker, args=(spec, number, tally))
-        for number, tally in enumerate(tallies)
+        threading.Thread(
+            target=run_worker, args=(spec, number, worker_results)
+        )
+        for number, worker_results in enumerate(all_results)
     ]
-    began_at = time.perf_counter()
+    started_at = time.perf_counter()
     for thread in threads:
         thread.start()
     for started in threads:
         started.join()
-    wall = time.perf_counter() - began_at
-    return sum_up(tallies, wall)
+    wall = time.perf_counter() - started_at
+    return summarise_results(all_results, wall)
 
 
-def sum_up(tallies: list[LoadCounts], wall: float) -> dict[str, Any]:
+def summarise_results(
+    all_results: list[WorkerResults], wall: float
+) -> dict[str, Any]:
     """Return the figures of several workers."""
-    seconds = [one for tally in tallies for one in tally.seconds]
-    first = [one for tally in tallies for one in tally.first]
+    seconds = [
+        duration
+        for worker_results in all_results
+        for duration in worker_results.seconds
+    ]
+    head_seconds = [
+        duration
+        for worker_results in all_results
+        for duration in worker_results.head_seconds
+    ]
     statuses: dict[int, int] = {}
-    for tally in tallies:
-        for status, count in tally.statuses.items():
+    for worker_results in all_results:
+        for status, count in worker_results.statuses.items():
             statuses[status] = statuses.get(status, 0) + count
     return {
         'wall': wall,
@@ -128,8 +144,10 @@
         'median': find_quantile(seconds, 0.5) if seconds else 0,
         'p95': find_quantile(seconds, 0.95) if seconds else 0,
         'p99': find_quantile(seconds, 0.99) if seconds else 0,
-        'first_median': find_quantile(first, 0.5) if first else 0,
-        'first_p95': find_quantile(first, 0.95) if first else 0,
+        'first_median': find_quantile(head_seconds, 0.5)
+        if head_seconds
+        else 0,
+        'first_p95': find_quantile(head_seconds, 0.95) if head_seconds else 0,
         'statuses': statuses,
     }
 
--- a/waywell/bench/memory.py
+++ b/waywell/bench/memory.py
@@ -10,13 +10,13 @@
 
 from waywell.bench.figures import write_figures
 
-READ = (
+PRINT_MEMORY_CODE = (
     'import os; pages = open("/proc/self/statm").read().split()[1]; '
     'print(int(pages) * os.sysconf("SC_PAGE_SIZE") / 1e6)'
 )
 """Prints the resident memory of the process that runs it, in megabytes."""
 
-REACTOR = (
+INSTALL_REACTOR_CODE = (
     'import asyncio; from twisted.internet import asyncioreactor; '
     'asyncioreactor.install(asyncio.new_event_loop()); '
 )
@@ -24,8 +24,8 @@
 
 STEPS = {
     'interpreter': '',
-    'reactor': REACTOR,
-    'whole daemon': f'{REACTOR} import waywell.process.entry; ',
+    'reactor': INSTALL_REACTOR_CODE,
+    'whole daemon': f'{INSTALL_REACTOR_CODE} import waywell.process.entry; ',
 }
 """What is imported before the memory is read."""
 
@@ -34,12 +34,12 @@
     """Run the benchmark."""
     rows = []
     for step, code in STEPS.items():
-        done = subprocess.run(
-            [sys.executable, '-c', f'{code}{READ}'],
+        completed = subprocess.run(
+            [sys.executable, '-c', f'{code}{PRINT_MEMORY_CODE}'],
             capture_output=True,
             check=True,
         )
-        rows.append({'step': step, 'memory_mb': float(done.stdout)})
+        rows.append({'step': step, 'memory_mb': float(completed.stdout)})
     write_figures('memory', rows)
 
 
--- a/waywell/bench/repair.py
+++ b/waywell/bench/repair.py
@@ -16,7 +16,11 @@
 import attrs
 import msgspec
 
-from waywell.bench.decisions import DOMAIN_BOXES, make_boxes, make_objects
+from waywell.bench.decisions import (
+    DOMAIN_BOXES,
+    make_boxes,
+    make_group_configuration,
+)
 from waywell.bench.figures import write_figures
 from waywell.ids import BoxId, GroupId
 from waywell.version.assembly import AssemblyView, plan_assembly
@@ -33,40 +37,40 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-DAY = 86_400.0
+DAY_SECONDS = 86_400.0
 """Seconds."""
 
 FULL_GROUPS = 600
 """Groups at which the daily numbers of events are given."""
 
-FAILS = 14
+FAILURES_PER_DAY = 14
 """Boxes that fail on a day, at full size."""
 
-RESTARTS = 68
+RESTARTS_PER_DAY = 68
 """Boxes that restart on a day, at full size."""
 
-PAUSES = 60
+PAUSES_PER_DAY = 60
 """Boxes that pause on a day, at full size: an assumption."""
 
-REPLACED_SECONDS = 7200.0
+REPLACEMENT_SECONDS = 7200.0
 """Seconds until a failed box is replaced, at the median."""
 
 RESTART_SECONDS = 60.0
 """Seconds of a restart, at the median."""
 
-DARK_SECONDS = 1800.0
+DOMAIN_OUTAGE_SECONDS = 1800.0
 """Seconds for which a domain is dark, once in a trace."""
 
-LIST_LAG = 3.0
+LIST_LAG_SECONDS = 3.0
 """Seconds by which the box list lags."""
 
 SIGMA = 0.6
 """Spread of the logarithm of durations."""
 
-KINDS = (
-    (FAILS, REPLACED_SECONDS, True),
-    (RESTARTS, RESTART_SECONDS, True),
-    (PAUSES, Goal().pause_seconds, False),
+EVENT_KINDS = (
+    (FAILURES_PER_DAY, REPLACEMENT_SECONDS, True),
+    (RESTARTS_PER_DAY, RESTART_SECONDS, True),
+    (PAUSES_PER_DAY, Goal().pause_seconds, False),
 )
 """Daily number, median absence, and whether the box was restarted."""
 
@@ -96,16 +100,18 @@
     random = Random(seed)
     names = sorted(make_boxes(groups))
     events: list[BoxEvent] = []
-    for daily, median, reboot in KINDS:
+    for daily, median, reboot in EVENT_KINDS:
         for _ in range(round(daily * days * groups / FULL_GROUPS)):
-            at = random.uniform(0, days * DAY)
-            away = random.lognormvariate(0, SIGMA) * median
+            at = random.uniform(0, days * DAY_SECONDS)
+            absence = random.lognormvariate(0, SIGMA) * median
             events.extend(
-                _make_absence(random.choice(names), at, away, reboot),
+                _make_absence(random.choice(names), at, absence, reboot),
             )
-    dark_at = random.uniform(0, days * DAY)
-    for dark in names[:DOMAIN_BOXES]:
-        events.extend(_make_absence(dark, dark_at, DARK_SECONDS, reboot=True))
+    outage_at = random.uniform(0, days * DAY_SECONDS)
+    for box in names[:DOMAIN_BOXES]:
+        events.extend(
+            _make_absence(box, outage_at, DOMAIN_OUTAGE_SECONDS, reboot=True)
+        )
     events.sort()
     return events
 
@@ -113,11 +119,13 @@
 def _make_absence(
     box: BoxId,
     at: float,
-    away: float,
+    absence: float,
     reboot: bool,
 ) -> Iterator[BoxEvent]:
-    yield BoxEvent(at + LIST_LAG, box, live=False, reboot=False)
-    yield BoxEvent(at + away + LIST_LAG, box, live=True, reboot=reboot)
+    yield BoxEvent(at + LIST_LAG_SECONDS, box, live=False, reboot=False)
+    yield BoxEvent(
+        at + absence + LIST_LAG_SECONDS, box, live=True, reboot=reboot
+    )
 
 
 class Replay:
@@ -166,26 +174,26 @@
             if at > end:
                 break
             self._advance(at)
-            self._take(event)
-            self._settle(queue[0][0] if queue else end)
+            self._apply_event(event)
+            self._plan_until(queue[0][0] if queue else end)
         self._advance(end)
 
-    def _settle(self, until: float) -> None:
+    def _plan_until(self, until: float) -> None:
         """Plan at once, and whenever time alone can change the plan."""
         self._plan()
-        moment = self._find_next_moment()
+        moment = self._find_next_plan_time()
         while moment < until:
             self._advance(moment)
             self._plan()
-            moment = self._find_next_moment()
+            moment = self._find_next_plan_time()
 
-    def _find_next_moment(self) -> float:
+    def _find_next_plan_time(self) -> float:
         """Return when a load ends or a group has waited long enough."""
         goal = self._configuration.goal
-        patience = MAX_TYPICAL_PAUSES * goal.pause_seconds
+        wait_limit = MAX_TYPICAL_PAUSES * goal.pause_seconds
         moments = [
             *self._loading.values(),
-            *(since + patience for since in self._broken_since.values()),
+            *(since + wait_limit for since in self._broken_since.values()),
         ]
         return min(
             (moment for moment in moments if moment > self._now),
@@ -193,7 +201,7 @@
         )
 
     def _advance(self, at: float) -> None:
-        passed = max(0, at - self._now)
+        elapsed = max(0, at - self._now)
         self._now = max(self._now, at)
         serving = [
             group
@@ -203,10 +211,10 @@
         wanted = self._configuration.group_set[0].groups
         busy = sum(len(group.members) for group in serving)
         live = sum(box.state is BoxState.LIVE for box in self._boxes.values())
-        self.downtime += max(0, wanted - len(serving)) * passed
-        self.stranded += max(0, live - busy) * passed
+        self.downtime += max(0, wanted - len(serving)) * elapsed
+        self.stranded += max(0, live - busy) * elapsed
 
-    def _take(self, event: BoxEvent) -> None:
+    def _apply_event(self, event: BoxEvent) -> None:
         box = self._boxes[event.box]
         self._boxes[event.box] = msgspec.structs.replace(
             box,
@@ -229,7 +237,7 @@
             self._roster = before.replace(number, plan.changed, plan.removed)
             self.writes += 1
             self.moves += self._count_moved(before)
-        self._note_states()
+        self._update_group_states()
 
     def _find_ready(self) -> frozenset[GroupId]:
         return frozenset(
@@ -243,7 +251,7 @@
             for member in group.members
         )
 
-    def _note_states(self) -> None:
+    def _update_group_states(self) -> None:
         load = self._configuration.goal.load_seconds
         loading = {}
         broken = {}
@@ -265,10 +273,12 @@
     days: float,
 ) -> dict[str, Any]:
     """Measure one policy on a trace."""
-    began_at = time.perf_counter()
-    replay = Replay(make_objects(groups), make_boxes(groups), policy)
-    replay.run(trace, days * DAY)
-    passed = time.perf_counter() - began_at
+    started_at = time.perf_counter()
+    replay = Replay(
+        make_group_configuration(groups), make_boxes(groups), policy
+    )
+    replay.run(trace, days * DAY_SECONDS)
+    elapsed = time.perf_counter() - started_at
     costs = {
         f'cost_{user}': down * replay.downtime + idle * replay.stranded
         for user, (down, idle) in WEIGHTS.items()
@@ -279,7 +289,7 @@
         **costs,
         'moves': replay.moves,
         'writes': replay.writes,
-        'plans_a_second': replay.plans / passed,
+        'plans_a_second': replay.plans / elapsed,
     }
 
 
--- a/waywell/bench/request.py
+++ b/waywell/bench/request.py
@@ -29,7 +29,7 @@
 """Headers that name the client account."""
 
 
-def start_one(bench: Bench) -> tuple[int, int, int]:
+def start_system(bench: Bench) -> tuple[int, int, int]:
     """Start one entry box before one model and one plain target.
 
     Returns
@@ -54,8 +54,8 @@
 
 def measure_small(caller: int, app: int, pid: int) -> dict[str, Any]:
     """Measure small requests, one worker at a time for the latency."""
-    straight = run_load([app], '/x', {}, workers=1, requests=REQUESTS)
-    through = run_load(
+    direct = run_load([app], '/x', {}, workers=1, requests=REQUESTS)
+    proxied = run_load(
         [caller],
         '/services/app/x',
         AUTH,
@@ -63,7 +63,7 @@
         requests=REQUESTS,
     )
     before = read_cpu(pid)
-    full = run_load(
+    loaded = run_load(
         [caller],
         '/services/app/x',
         AUTH,
@@ -72,14 +72,14 @@
     )
     used = read_cpu(pid) - before
     return {
-        'straight_median_ms': straight['median'] * 1000,
-        'through_median_ms': through['median'] * 1000,
-        'ratio_median': through['median'] / straight['median'],
-        'straight_p99_ms': straight['p99'] * 1000,
-        'through_p99_ms': through['p99'] * 1000,
-        'ratio_p99': through['p99'] / straight['p99'],
-        'requests_a_second': full['a_second'],
-        'cpu_ms_a_request': used / full['whole'] * 1000,
+        'straight_median_ms': direct['median'] * 1000,
+        'through_median_ms': proxied['median'] * 1000,
+        'ratio_median': proxied['median'] / direct['median'],
+        'straight_p99_ms': direct['p99'] * 1000,
+        'through_p99_ms': proxied['p99'] * 1000,
+        'ratio_p99': proxied['p99'] / direct['p99'],
+        'requests_a_second': loaded['a_second'],
+        'cpu_ms_a_request': used / loaded['whole'] * 1000,
     }
 
 
@@ -87,7 +87,7 @@
     """Measure tokens of streams through the entry box."""
     headers = {**AUTH, 'standin-tokens': str(TOKENS)}
     before = read_cpu(pid)
-    told = run_load(
+    figures = run_load(
         [caller],
         '/services/llm/v1/chat',
         headers,
@@ -95,19 +95,19 @@
         requests=2,
     )
     used = read_cpu(pid) - before
-    tokens = told['whole'] * TOKENS
+    tokens = figures['whole'] * TOKENS
     return {
         'tokens': tokens,
-        'tokens_a_second': tokens / told['wall'],
+        'tokens_a_second': tokens / figures['wall'],
         'cpu_us_a_token': used / tokens * 1e6,
-        'first_p95_ms': told['first_p95'] * 1000,
+        'first_p95_ms': figures['first_p95'] * 1000,
     }
 
 
 def main() -> None:
     """Run the benchmark."""
     with Bench() as bench:
-        caller, app, pid = start_one(bench)
+        caller, app, pid = start_system(bench)
         idle = read_memory(pid)
         rows = [measure_small(caller, app, pid) for _ in range(ROUNDS)]
         write_figures('request', rows, memory_idle_mb=idle)
--- a/waywell/bench/reserve.py
+++ b/waywell/bench/reserve.py
@@ -63,7 +63,7 @@
         """Return the next answer."""
 
 
-class Coin(Mixer):
+class RandomMixer(Mixer):
     """Throws a coin each time."""
 
     def __init__(self, share: float, random: Random) -> None:
@@ -76,26 +76,26 @@
         return self._random.random() < self._share
 
 
-class Balanced(Mixer):
+class BalancedMixer(Mixer):
     """Goes through a balanced sequence of the share."""
 
     def __init__(self, share: float, _random: Random) -> None:
         """Begin the sequence."""
         self._share = share
-        self._place = 0
+        self._index = 0
 
     def decide(self) -> bool:
         """Return the next answer."""
-        self._place += 1
-        before = math.floor((self._place - 1) * self._share)
-        return math.floor(self._place * self._share) > before
+        self._index += 1
+        previous = math.floor((self._index - 1) * self._share)
+        return math.floor(self._index * self._share) > previous
 
 
 @attrs.define
 class Group:
     """The state of a group's slots and queue."""
 
-    load: Workload
+    workload: Workload
     """Rates."""
 
     queue: int = 0
@@ -108,13 +108,13 @@
     """Deferrable requests that run."""
 
     @property
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return the free slots."""
-        return self.load.slots - self.interactive - self.deferrable
+        return self.workload.slots - self.interactive - self.deferrable
 
-    def begin_waiting(self) -> None:
+    def start_queued(self) -> None:
         """Give free slots to interactive requests."""
-        begun = min(self.free, self.queue)
+        begun = min(self.free_slots, self.queue)
         self.queue -= begun
         self.interactive += begun
 
@@ -123,53 +123,55 @@
     """Decides how many deferrable requests to begin."""
 
     @abc.abstractmethod
-    def begin(self, group: Group) -> None:
+    def start_deferrable(self, group: Group) -> None:
         """Begin deferrable requests in free slots."""
 
 
-class FlowRate(Policy):
+class RatePolicy(Policy):
     """Begins one in each free slot, or not, as a mixer says."""
 
     def __init__(self, mixer: Mixer) -> None:
         """Keep the mixer."""
         self._mixer = mixer
 
-    def begin(self, group: Group) -> None:
+    def start_deferrable(self, group: Group) -> None:
         """Ask the mixer once for each free slot."""
-        for _ in range(group.free):
+        for _ in range(group.free_slots):
             group.deferrable += self._mixer.decide()
 
 
-class Reserve(Policy):
+class ReservePolicy(Policy):
     """Keeps one of two numbers of slots free, as a mixer says."""
 
-    def __init__(self, mixer: Mixer, kept: int) -> None:
+    def __init__(self, mixer: Mixer, reserved_slots: int) -> None:
         """Keep the mixer and the higher of the two numbers."""
         self._mixer = mixer
-        self._kept = kept
+        self._reserved_slots = reserved_slots
 
-    def begin(self, group: Group) -> None:
+    def start_deferrable(self, group: Group) -> None:
         """Begin as many as leave the number free."""
-        kept = self._kept - self._mixer.decide()
-        group.deferrable += max(0, group.free - kept)
+        reserved_slots = self._reserved_slots - self._mixer.decide()
+        group.deferrable += max(0, group.free_slots - reserved_slots)
 
 
-def run(load: Workload, policy: Policy, seed: int) -> tuple[float, float]:
+def simulate(
+    workload: Workload, policy: Policy, seed: int
+) -> tuple[float, float]:
     """Return the mean waiting and the deferrable throughput of a run."""
     random = Random(seed)
-    group = Group(load)
+    group = Group(workload)
     now = 0.0
-    waited = 0.0
+    total_waiting = 0.0
     ended = 0
     for _ in range(EVENTS):
         rates = (
-            load.arrivals,
-            group.interactive * load.interactive,
-            group.deferrable * load.deferrable,
+            workload.arrivals,
+            group.interactive * workload.interactive,
+            group.deferrable * workload.deferrable,
         )
-        passed = random.expovariate(sum(rates))
-        now += passed
-        waited += group.queue * passed
+        elapsed = random.expovariate(sum(rates))
+        now += elapsed
+        total_waiting += group.queue * elapsed
         kind = random.choices((0, 1, 2), rates)[0]
         if kind == 0:
             group.queue += 1
@@ -178,85 +180,99 @@
         else:
             group.deferrable -= 1
             ended += 1
-        group.begin_waiting()
+        group.start_queued()
         if not group.queue:
-            policy.begin(group)
-    return waited / (load.arrivals * now), ended / now
+            policy.start_deferrable(group)
+    return total_waiting / (workload.arrivals * now), ended / now
 
 
 def find_throughput(
-    load: Workload,
+    workload: Workload,
     make_policy: Any,
     seed: int,
 ) -> tuple[float, float]:
     """Return share and throughput at which the waiting is the wanted one."""
-    before = (0.0, 0.0, 0.0)
+    previous = (0.0, 0.0, 0.0)
     for share in SHARES:
-        waiting, throughput = run(load, make_policy(share, Random(seed)), seed)
-        if waiting >= load.waiting and share:
-            part = (load.waiting - before[1]) / (waiting - before[1])
+        waiting, throughput = simulate(
+            workload, make_policy(share, Random(seed)), seed
+        )
+        if waiting >= workload.waiting and share:
+            fraction = (workload.waiting - previous[1]) / (
+                waiting - previous[1]
+            )
             return (
-                before[0] + part * (share - before[0]),
-                before[2] + part * (throughput - before[2]),
+                previous[0] + fraction * (share - previous[0]),
+                previous[2] + fraction * (throughput - previous[2]),
             )
-        before = (share, waiting, throughput)
-    return before[0], before[2]
+        previous = (share, waiting, throughput)
+    return previous[0], previous[2]
 
 
-LOADS = (
+WORKLOADS = (
     Workload('paper', 5, 1 / 2, 4 / 10, 3 / 10, 1 / 3),
     Workload('lookups', 16, 12, 2, 0.4, 0.02),
 )
 """The paper's example, in minutes; lookups beside exports, in seconds."""
 
 
-def find_reserve(load: Workload) -> int:
+def find_reserve(workload: Workload) -> int:
     """Return the least number of kept slots that keeps the waiting."""
-    for kept in range(load.slots + 1):
-        waiting, _ = run(load, Reserve(Coin(0, Random(1)), kept), 1)
-        if waiting <= load.waiting:
-            return kept
-    return load.slots
+    for reserved_slots in range(workload.slots + 1):
+        waiting, _ = simulate(
+            workload,
+            ReservePolicy(RandomMixer(0, Random(1)), reserved_slots),
+            1,
+        )
+        if waiting <= workload.waiting:
+            return reserved_slots
+    return workload.slots
 
 
-def measure(load: Workload, seed: int) -> list[dict[str, Any]]:
+def measure(workload: Workload, seed: int) -> list[dict[str, Any]]:
     """Measure every way at the wanted waiting."""
-    kept = find_reserve(load)
-    ways = {
-        'rate, coin': lambda share, random: FlowRate(Coin(share, random)),
-        'rate, balanced': lambda share, random: FlowRate(
-            Balanced(share, random),
+    reserved_slots = find_reserve(workload)
+    policies = {
+        'rate, coin': lambda share, random: RatePolicy(
+            RandomMixer(share, random)
+        ),
+        'rate, balanced': lambda share, random: RatePolicy(
+            BalancedMixer(share, random),
         ),
-        'reserve, coin': lambda share, random: Reserve(
-            Coin(share, random),
-            kept,
+        'reserve, coin': lambda share, random: ReservePolicy(
+            RandomMixer(share, random),
+            reserved_slots,
         ),
-        'reserve, balanced': lambda share, random: Reserve(
-            Balanced(share, random),
-            kept,
+        'reserve, balanced': lambda share, random: ReservePolicy(
+            BalancedMixer(share, random),
+            reserved_slots,
         ),
     }
-    waiting, throughput = run(load, Reserve(Coin(0, Random(1)), kept), seed)
+    waiting, throughput = simulate(
+        workload,
+        ReservePolicy(RandomMixer(0, Random(1)), reserved_slots),
+        seed,
+    )
     rows = [
         {
-            'load': load.name,
+            'load': workload.name,
             'seed': seed,
-            'way': f'reserve of {kept}',
+            'way': f'reserve of {reserved_slots}',
             'share': 0.0,
             'throughput': throughput,
             'waiting': waiting,
         },
     ]
-    for way, make_policy in ways.items():
-        share, found = find_throughput(load, make_policy, seed)
+    for name, make_policy in policies.items():
+        share, throughput_found = find_throughput(workload, make_policy, seed)
         rows.append(
             {
-                'load': load.name,
+                'load': workload.name,
                 'seed': seed,
-                'way': way,
+                'way': name,
                 'share': share,
-                'throughput': found,
-                'waiting': load.waiting,
+                'throughput': throughput_found,
+                'waiting': workload.waiting,
             },
         )
     return rows
@@ -265,9 +281,9 @@
 def main() -> None:
     """Run the benchmark."""
     rows: list[dict[str, Any]] = []
-    for load in LOADS:
+    for workload in WORKLOADS:
         for seed in SEEDS:
-            rows.extend(measure(load, seed))
+            rows.extend(measure(workload, seed))
     write_figures('reserve', rows)
 
 
--- a/waywell/bench/search.py
+++ b/waywell/bench/search.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from waywell.bench.feed import SERVICE, measure
+from waywell.bench.feed import SERVICE, measure_cpu_ms
 from waywell.bench.figures import write_figures
 from waywell.ids import BoxId, DomainName, Epoch, HallName, ModelName
 from waywell.version.fleet import (
@@ -44,15 +44,15 @@
 ENGINE = Engine(7, (BIG, SMALL), loads_per_second=63.0, loads_at_once=95)
 """The engine."""
 
-CHANGED = 2
+CHANGED_DOMAINS = 2
 """Domains that change between two searches."""
 
 
 def make_boxes(domain: int) -> list[FleetBox]:
     """Return the boxes of a domain: three groups, and idle ones."""
     boxes: list[FleetBox] = []
-    for place, model in enumerate(GROUP_MODELS):
-        epoch = Epoch(domain * len(GROUP_MODELS) + place + 1)
+    for index, model in enumerate(GROUP_MODELS):
+        epoch = Epoch(domain * len(GROUP_MODELS) + index + 1)
         group = make_group_name(model.name, epoch)
         other = BIG if model is SMALL else SMALL
         for rank in range(model.boxes_per_group):
@@ -83,7 +83,7 @@
     )
 
 
-class _Site:
+class _SimulatedSite:
     """A fleet and what the holder of the duty remembers of it."""
 
     def __init__(self, domains: int) -> None:
@@ -114,14 +114,14 @@
         need.serving.update(need.groups)
         RegroupSearch(need, self.memory, serving).list_best(self._list_idle())
 
-    def search_whole(self) -> None:
+    def search_without_cache(self) -> None:
         """Search as if nothing were known."""
         self.memory.candidate_changes.clear()
         self.search()
 
-    def search_changed(self) -> None:
+    def search_after_changes(self) -> None:
         """Search after boxes of two domains have changed."""
-        for domain in range(CHANGED):
+        for domain in range(CHANGED_DOMAINS):
             name = BoxId(f'idle{domain}-{DOMAIN_BOXES - 1}')
             box = self.fleet.boxes[name]
             self.fleet.boxes[name] = msgspec.structs.replace(
@@ -139,13 +139,13 @@
 
 def measure_domains(domains: int) -> dict[str, Any]:
     """Return the figures for a number of domains."""
-    site = _Site(domains)
+    site = _SimulatedSite(domains)
     return {
         'boxes': domains * DOMAIN_BOXES,
         'domains': domains,
-        'whole_ms': measure(site.search_whole),
-        'changed_ms': measure(site.search_changed),
-        'same_ms': measure(site.search),
+        'whole_ms': measure_cpu_ms(site.search_without_cache),
+        'changed_ms': measure_cpu_ms(site.search_after_changes),
+        'same_ms': measure_cpu_ms(site.search),
     }
 
 
--- a/waywell/bench/size.py
+++ b/waywell/bench/size.py
@@ -29,7 +29,7 @@
 NODES = 2
 """Entry boxes; each probes every group, as every group has two probers."""
 
-WINDOWS = 2
+PROBE_ROUNDS = 2
 """Rounds of probes over which processor time is measured."""
 
 
@@ -45,7 +45,7 @@
     return names
 
 
-def list_boxes(bench: Bench, count: int) -> None:
+def register_boxes(bench: Bench, count: int) -> None:
     """Put boxes on the box list that all lead to one target."""
     spec = BoxSpec('app-1', fenced=False, labels={'pool': 'app'})
     bench.restart_target(spec)
@@ -57,34 +57,34 @@
 
 def form_groups(bench: Bench, names: list[str], groups: int) -> float:
     """Form groups; return the seconds until all serve at each node."""
-    began_at = time.monotonic()
-    bench.apply(names[0], make_unfenced(groups))
+    started_at = time.monotonic()
+    bench.apply(names[0], make_unfenced_configuration(groups))
     for name in names:
         bench.wait_serving(name, 'llm-main', groups)
-    return time.monotonic() - began_at
+    return time.monotonic() - started_at
 
 
 def measure(groups: int) -> dict[str, Any]:
     """Measure two entry boxes with some groups."""
     with Bench() as bench:
         names = start_nodes(bench)
-        list_boxes(bench, groups * GROUP_BOXES)
-        formed = form_groups(bench, names, groups)
+        register_boxes(bench, groups * GROUP_BOXES)
+        forming_seconds = form_groups(bench, names, groups)
         time.sleep(PROBE_SECONDS)
         pids = [bench.entries[name].pid for name in names]
         before = sum(map(read_cpu, pids))
-        time.sleep(PROBE_SECONDS * WINDOWS)
+        time.sleep(PROBE_SECONDS * PROBE_ROUNDS)
         used = sum(map(read_cpu, pids)) - before
         return {
             'groups': groups,
-            'formed_s': formed,
+            'formed_s': forming_seconds,
             'memory_mb': max(map(read_memory, pids)),
-            'probes_a_node': groups * GROUP_BOXES * WINDOWS,
+            'probes_a_node': groups * GROUP_BOXES * PROBE_ROUNDS,
             'cpu_s_a_node': used / NODES,
         }
 
 
-def make_unfenced(groups: int) -> dict[str, Any]:
+def make_unfenced_configuration(groups: int) -> dict[str, Any]:
     """Return a configuration whose model service has no fences."""
     service = [
         {'name': 'llm', 'type': 'model', 'fenced': False},
--- a/waywell/bench/tool.py
+++ b/waywell/bench/tool.py
@@ -16,22 +16,22 @@
 ) -> subprocess.Popen[bytes]:
     """Start the load tool against some ports of the loopback."""
     hosts = '+'.join(f'127.0.0.1:{port}' for port in ports)
-    words = [
+    command = [
         sys.executable,
         '-m',
         'waywell.bench.load',
         f'--hosts={hosts}',
         f'--path={path}',
         f'--headers={json.dumps(headers)}',
-        *(f'--{key}={put}' for key, put in options.items()),
+        *(f'--{key}={option_value}' for key, option_value in options.items()),
     ]
-    return subprocess.Popen(words, stdout=subprocess.PIPE)
+    return subprocess.Popen(command, stdout=subprocess.PIPE)
 
 
-def finish_load(load: subprocess.Popen[bytes]) -> dict[str, Any]:
+def finish_load(process: subprocess.Popen[bytes]) -> dict[str, Any]:
     """Return the figures of a load that was started."""
-    told, _ = load.communicate()
-    return dict(json.loads(told))
+    output, _ = process.communicate()
+    return dict(json.loads(output))
 
 
 def run_load(
--- a/waywell/bench/turn_fleet.py
+++ b/waywell/bench/turn_fleet.py
@@ -21,7 +21,7 @@
     from collections.abc import Mapping
     from random import Random
 
-LIFE = BoxLife(BoxId('box'), Incarnation(1))
+BOX_LIFE = BoxLife(BoxId('box'), Incarnation(1))
 """The replica."""
 
 HALL = HallName('hall-0')
@@ -29,34 +29,34 @@
 
 
 @attrs.define
-class TurnNode:
+class PermitNode:
     """One node: what it knows, and what it deals."""
 
     name: NodeId
     hall: HallName
     limits: ReportedLimits = attrs.Factory(ReportedLimits)
-    part: int = 0
-    choice: IssuerAssignment = attrs.field(init=False)
-    dealer: PermitIssuer = attrs.field(init=False)
+    partition: int = 0
+    assignment: IssuerAssignment = attrs.field(init=False)
+    issuer: PermitIssuer = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """See nobody else yet."""
-        self.dealer = PermitIssuer(self.limits)
-        self.see({self.name: self.hall}, 1, has_joined=False)
+        self.issuer = PermitIssuer(self.limits)
+        self.set_visible_nodes({self.name: self.hall}, 1, has_joined=False)
 
-    def see(
+    def set_visible_nodes(
         self,
         halls: Mapping[NodeId, HallName],
-        known: int,
+        known_count: int,
         *,
         has_joined: bool = True,
     ) -> None:
         """See other nodes from now on."""
-        view = MembershipView(self.name, dict(halls), known, has_joined)
-        self.choice = IssuerAssignment(view)
+        view = MembershipView(self.name, dict(halls), known_count, has_joined)
+        self.assignment = IssuerAssignment(view)
 
 
-class TurnFleet:
+class PermitFleet:
     """All nodes, and what came to the replica.
 
     Parameters
@@ -67,53 +67,55 @@
 
     def __init__(self, random: Random) -> None:
         """Start without nodes."""
-        self.nodes: dict[NodeId, TurnNode] = {}
-        self.sent: list[float] = []
+        self.nodes: dict[NodeId, PermitNode] = {}
+        self.sent_at: list[float] = []
         self._random = random
 
-    def add(self, name: str, hall: HallName = HALL) -> TurnNode:
+    def add_node(self, name: str, hall: HallName = HALL) -> PermitNode:
         """Add a node that sees nobody yet."""
-        node = TurnNode(NodeId(name), hall)
+        node = PermitNode(NodeId(name), hall)
         self.nodes[node.name] = node
         return node
 
-    def see_all(self) -> None:
+    def update_visible_nodes(self) -> None:
         """Let every node see the nodes that are in its part."""
         for node in self.nodes.values():
-            self.see(node)
+            self.show_partition(node)
 
-    def see(self, node: TurnNode) -> None:
+    def show_partition(self, node: PermitNode) -> None:
         """Let a node see who is in its part, and that there are others."""
         live = {
             other.name: other.hall
             for other in self.nodes.values()
-            if other.part == node.part
+            if other.partition == node.partition
         }
-        known = node.choice.view.halls.keys() | self.nodes.keys()
-        node.see(live, max(node.choice.view.known_count, len(known)))
+        known_nodes = node.assignment.view.halls.keys() | self.nodes.keys()
+        node.set_visible_nodes(
+            live, max(node.assignment.view.known_count, len(known_nodes))
+        )
 
-    def name_limit(self, limit: float, now: float) -> None:
+    def report_limit(self, limit: float, now: float) -> None:
         """Let every node hear of a limit."""
-        word = LimitReport(limit, now, now, now, HALL)
+        report = LimitReport(limit, now, now, now, HALL)
         for node in self.nodes.values():
-            node.limits.record(LIFE, word, 'test')
-            node.dealer.update(node.choice, now)
+            node.limits.record(BOX_LIFE, report, 'test')
+            node.issuer.update(node.assignment, now)
 
-    def tend(self, now: float) -> None:
+    def update_issuers(self, now: float) -> None:
         """Let every node look at the limits and the nodes of now."""
         for node in self.nodes.values():
-            node.dealer.update(node.choice, now)
+            node.issuer.update(node.assignment, now)
 
-    def ask(self, name: NodeId, now: float, rank: int = 0) -> bool:
+    def request_permit(self, name: NodeId, now: float, rank: int = 0) -> bool:
         """Let a node send a request, if it gets a turn for it."""
         node = self.nodes[name]
-        dealers = list(node.choice.choose(LIFE.box, HALL))
-        self._random.shuffle(dealers)
-        for dealer in dealers:
-            other = self.nodes.get(dealer)
-            if other is None or other.part != node.part:
+        issuers = list(node.assignment.choose(BOX_LIFE.box, HALL))
+        self._random.shuffle(issuers)
+        for issuer in issuers:
+            other = self.nodes.get(issuer)
+            if other is None or other.partition != node.partition:
                 continue
-            if other.dealer.grant(LIFE, rank, now).permits:
-                self.sent.append(now)
+            if other.issuer.grant(BOX_LIFE, rank, now).permits:
+                self.sent_at.append(now)
                 return True
         return False
--- a/waywell/bench/turns.py
+++ b/waywell/bench/turns.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from waywell.bench.figures import write_figures
-from waywell.bench.turn_fleet import TurnFleet
+from waywell.bench.turn_fleet import PermitFleet
 from waywell.ids import HallName
 
 NODES = (2, 9, 69, 195, 350)
@@ -39,7 +39,7 @@
 """Part of the requests that are urgent."""
 
 
-def run(
+def simulate(
     nodes: int,
     limit: float,
     demand: float,
@@ -49,21 +49,21 @@
 ) -> dict[str, Any]:
     """Return the figures of one run."""
     random = Random(seed)
-    fleet = TurnFleet(random)
+    fleet = PermitFleet(random)
     for number in range(nodes):
-        fleet.add(f'n{number}', HallName(f'hall-{number % HALLS}'))
-    fleet.see_all()
-    fleet.name_limit(limit, 0.0)
+        fleet.add_node(f'n{number}', HallName(f'hall-{number % HALLS}'))
+    fleet.update_visible_nodes()
+    fleet.report_limit(limit, 0.0)
     names = sorted(fleet.nodes)
     urgent = 0
     now = 0.0
     while now < SECONDS:
         now += random.expovariate(limit * demand)
-        fleet.tend(now)
+        fleet.update_issuers(now)
         name = random.choice(names) if is_even else names[0]
         rank = int(random.random() >= URGENT)
-        urgent += fleet.ask(name, now, rank) and not rank
-    sent = len(fleet.sent)
+        urgent += fleet.request_permit(name, now, rank) and not rank
+    sent = len(fleet.sent_at)
     return {
         'nodes': nodes,
         'limit': limit,
@@ -71,13 +71,13 @@
         'at': 'all' if is_even else 'one',
         'used': round(sent / (limit * now), 3),
         'alone': 1.0 if is_even else round(1 / nodes, 3),
-        'most_in_4s': count_most(fleet.sent),
+        'most_in_4s': count_most_in_window(fleet.sent_at),
         'allowed': 6 * limit + 5,
         'urgent': round(urgent / max(1, sent), 3),
     }
 
 
-def count_most(sent: list[float]) -> int:
+def count_most_in_window(sent: list[float]) -> int:
     """Return the most requests within a window."""
     first, most = 0, 0
     for last, moment in enumerate(sent):
@@ -91,7 +91,7 @@
     """Run the benchmark."""
     cases = itertools.product(NODES, LIMITS, DEMANDS, (True, False))
     rows = [
-        run(nodes, limit, demand, is_even=is_even, seed=1)
+        simulate(nodes, limit, demand, is_even=is_even, seed=1)
         for nodes, limit, demand, is_even in cases
     ]
     write_figures('turns', rows)
