--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -238,7 +238,7 @@
     raw = make_raw()
     raw['kind'][1]['model'] = 'other'
     with pytest.raises(
-        InvalidInputError, match=r"kind\[1\].model: 'other' is none"
+        InvalidInputError, match=r"kind\[1\].model: 'other' is not one of"
     ):
         check_load(raw, 'load.toml')
 
@@ -258,9 +258,9 @@
     ('words', 'told'),
     [
         (['absent.toml'], 'absent.toml: '),
-        (['LOAD', '--against=none'], 'none: no policy'),
-        (['LOAD', '--seeds=0'], '--seeds: 0 is no number above 0'),
-        (['LOAD', '--jobs=many'], "--jobs: 'many' is no number"),
+        (['LOAD', '--against=none'], 'none: unknown policy'),
+        (['LOAD', '--seeds=0'], '--seeds: 0 is not a positive integer'),
+        (['LOAD', '--jobs=many'], "--jobs: 'many' is not a positive integer"),
     ],
 )
 def test_bad_input_is_one_clear_line(
--- a/waywell/experiment/__init__.py
+++ b/waywell/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""A model of a fleet that compares policies of the product's decisions."""
+"""Simulation of a fleet that compares policies of the daemons' decisions."""
--- a/waywell/experiment/arrivals.py
+++ b/waywell/experiment/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests of a load, drawn by seed."""
+"""Random arrivals of a load's requests, determined by the seed."""
 
 from __future__ import annotations
 
@@ -24,41 +24,45 @@
 
 @attrs.frozen
 class Arrival:
-    """A request of a caller."""
+    """One request of a caller."""
 
     at: float
-    """When, in seconds from the first caller."""
+    """Arrival time, in seconds after the warm-up."""
 
     kind: KindSettings
-    """Its kind."""
+    """Settings of its kind: model, goals and worth."""
 
     prompt_tokens: int
-    """Tokens of its prompt."""
+    """Length of the prompt, in tokens."""
 
     answer_tokens: int
-    """Tokens of its answer."""
+    """Length of the complete answer, in tokens."""
 
     node: int
-    """Number of the node that it is sent to."""
+    """Index of the node that receives it."""
 
 
 def make_random(seed: int, purpose: str) -> Random:
-    """Return draws that depend on the seed and on their purpose alone."""
+    """Return a generator that depends only on the seed and the purpose.
+
+    Separate generators keep the draws of one purpose unchanged when another
+    purpose draws more or fewer numbers.
+    """
     return Random(f'{purpose}:{seed}')
 
 
 def draw_number(random: Random, bounds: Range) -> float:
-    """Return a figure within a range."""
+    """Return a uniformly distributed number within a range."""
     return random.uniform(*bounds)
 
 
 def draw_integer(random: Random, bounds: Range) -> int:
-    """Return a whole number within a range."""
+    """Return a uniformly distributed integer within a range, ends included."""
     return random.randint(int(bounds[0]), int(bounds[1]))
 
 
 def draw_arrivals(load: Load, seed: int, nodes: int) -> list[Arrival]:
-    """Return all requests of a load, in the order of their time."""
+    """Return all requests of a load, sorted by arrival time."""
     arrivals = [
         arrival
         for kind in load.kind
@@ -95,7 +99,7 @@
     at: float,
     phase: float,
 ) -> float:
-    """Return the rate at a moment as a part of the highest one."""
+    """Return the arrival rate at a time as a fraction of the peak rate."""
     angle = math.tau * (at / settings.period + phase)
     return (1 + settings.swing * math.sin(angle)) / (1 + settings.swing)
 
--- a/waywell/experiment/commands.py
+++ b/waywell/experiment/commands.py
@@ -17,16 +17,17 @@
     from waywell.experiment.comparison import Pair
 
 DEFAULT_JOBS = 1
-"""Processes that play unless told otherwise."""
+"""Default number of processes that simulate seeds."""
 
 DEFAULT_SEEDS = 20
-"""Seeds that are played unless told otherwise."""
+"""Default number of seeds."""
 
 
 class ExperimentCommands:
-    """Judges policies on a model of the fleet.
+    """Compares policies in a simulation of the fleet.
 
-    Nothing is sent anywhere; a policy is never kept by the model alone.
+    A simulation sends nothing to running daemons.  Its result alone is no
+    sufficient reason to adopt a policy.
     """
 
     def run(
@@ -40,8 +41,8 @@
     ) -> str:
         """Compare two policies on a load file over the same seeds.
 
-        ``--against`` and ``--base`` name a policy or a TOML file with one;
-        ``--jobs`` is the number of processes that play.
+        ``--against`` and ``--base`` take the name of a policy or the path of
+        a TOML file with one; ``--jobs`` is the number of processes.
         """
         _check_count('seeds', seeds)
         _check_count('jobs', jobs)
@@ -53,7 +54,7 @@
         pairs = _simulate_seeds(experiment, seeds, jobs)
         if not pairs:
             raise InvalidInputError(
-                ['interrupted before the first seed was done']
+                ['interrupted before the first seed was completed']
             )
         names = (str(base), str(against))
         return (format_json if json else format_table)(names, pairs)
@@ -67,10 +68,10 @@
         base: str = CURRENT,
         jobs: int = DEFAULT_JOBS,
     ) -> str:
-        """Play one policy for each value of a setting of a load file.
+        """Simulate one policy with each value of a setting of a load file.
 
-        ``--setting=fleet.boxes_per_domain --values=8,10,12`` answers how many
-        boxes a load needs.
+        For example, ``--setting=fleet.boxes_per_domain --values=8,10,12``
+        shows how many boxes a load needs.
         """
         _check_count('seeds', seeds)
         _check_count('jobs', jobs)
@@ -86,7 +87,7 @@
         return format_sweep(str(setting), variant_results)
 
     def list(self, folder: str = '.') -> str:
-        """Show the policies, and the load files of a folder."""
+        """List the named policies and the load files in a folder."""
         loads = sorted(str(file) for file in Path(folder).glob('*.toml'))
         lines = [f'policy {name}' for name in POLICIES]
         return '\n'.join((*lines, *(f'load {file}' for file in loads)))
@@ -95,21 +96,23 @@
 def _simulate_seeds(
     experiment: Experiment, seeds: int, jobs: int
 ) -> list[Pair]:
-    """Play the seeds, or as many as were done before an interrupt."""
+    """Return the results of the seeds completed before any interrupt."""
     pairs = simulate_seeds(experiment, seeds, jobs, _show_progress)
     if len(pairs) < seeds:
-        done = f'{len(pairs)} of {seeds} seeds are done'
-        sys.stderr.write(f'waywell: interrupted: {done}\n')
+        completed = f'{len(pairs)} of {seeds} seeds completed'
+        sys.stderr.write(f'waywell: interrupted: {completed}\n')
     return pairs
 
 
 def _check_count(name: str, count: object) -> None:
     if isinstance(count, bool) or not isinstance(count, int) or count < 1:
-        raise InvalidInputError([f'--{name}: {count!r} is no number above 0'])
+        raise InvalidInputError(
+            [f'--{name}: {count!r} is not a positive integer']
+        )
 
 
 def _show_progress(done: int, seeds: int, seconds_left: float) -> None:
-    """Show how far it is, where somebody looks."""
+    """Update the progress line if stderr is a terminal."""
     if sys.stderr.isatty():
         end = '\n' if done == seeds else ''
         sys.stderr.write(
--- a/waywell/experiment/comparison.py
+++ b/waywell/experiment/comparison.py
@@ -1,4 +1,4 @@
-"""Two policies compared over the same seeds."""
+"""Statistical comparison of two policies over the same seeds."""
 
 from __future__ import annotations
 
@@ -16,62 +16,62 @@
 
 
 BOOTSTRAP_SAMPLES = 2000
-"""Bootstrap samples."""
+"""Resamples that the bootstrap interval is estimated from."""
 
 TAIL_FRACTION = 0.025
-"""Part of the samples beyond each end of the interval: it holds 95%."""
+"""Fraction of the resamples beyond each end of the 95% interval."""
 
 DETECTABLE_STANDARD_ERRORS = 2.8
-"""Standard errors by which a mean must differ from 0 to be told from it with
-a power of 80% at the level of the interval."""
+"""Distance of a mean from 0, in standard errors, that a two-sided test at the
+5% level detects with a power of 80%."""
 
 MEASURES = ('share', 'served', 'worst_kind')
-"""Properties of a summary that are compared."""
+"""Properties of ``Summary`` that are compared."""
 
 
 @attrs.frozen
 class Pair:
-    """Both policies played with one seed."""
+    """Results of both policies with one seed."""
 
     seed: int
-    """The seed."""
+    """Seed of both simulations."""
 
     base: Summary
-    """The daemons' policy."""
+    """Result of the base policy."""
 
     other: Summary
-    """The policy that it is compared with."""
+    """Result of the other policy; the base result if there is none."""
 
 
 @attrs.frozen
 class Difference:
-    """A measure of the other policy less that of the base, over seeds."""
+    """Difference of a measure between the policies: other minus base."""
 
     measure: str
-    """Name of the measure."""
+    """Name of the measure, one of ``MEASURES``."""
 
     base: float
-    """Its mean for the base."""
+    """Mean over the seeds under the base policy."""
 
     other: float
-    """Its mean for the other policy."""
+    """Mean over the seeds under the other policy."""
 
     mean: float
-    """Mean of the differences by seed."""
+    """Mean of the paired differences."""
 
     low: float
-    """Lower end of the bootstrap confidence interval."""
+    """Lower end of the bootstrap confidence interval of ``mean``."""
 
     high: float
-    """Upper end."""
+    """Upper end of the bootstrap confidence interval of ``mean``."""
 
     seeds_needed: int | None
-    """Seeds after which a difference of this size is told from none; ``None``
-    where there is none."""
+    """Seeds needed to detect a difference of this size; ``None`` if the mean
+    difference is 0 or there are fewer than two seeds."""
 
 
 def compare(pairs: Sequence[Pair]) -> list[Difference]:
-    """Return the differences of all measures."""
+    """Return the difference between the policies for each measure."""
     return [_compare_measure(measure, pairs) for measure in MEASURES]
 
 
@@ -94,7 +94,10 @@
 
 
 def estimate_interval(differences: Sequence[float]) -> tuple[float, float]:
-    """Return the bootstrap interval of a mean; the same for the same input."""
+    """Return the bootstrap confidence interval of a mean.
+
+    The resamples are seeded, so equal input gives an equal interval.
+    """
     random = make_random(len(differences), 'bootstrap')
     means = sorted(
         statistics.fmean(random.choices(differences, k=len(differences)))
--- a/waywell/experiment/faults.py
+++ b/waywell/experiment/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a load, drawn by seed."""
+"""Random faults of a load, determined by the seed."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 @attrs.frozen
 class Fault:
-    """A fault at a moment."""
+    """A fault with its time and the boxes that it affects."""
 
     kind: FaultKind
-    """What goes wrong."""
+    """Whether the boxes are lost or slow."""
 
     at: float
-    """When, in seconds from the first caller."""
+    """Start, in seconds after the warm-up."""
 
     boxes: tuple[SimulatedBox, ...]
-    """Boxes that it meets."""
+    """Boxes that it affects."""
 
     lasts: float
-    """Seconds after which it is over; 0 for never."""
+    """Duration in seconds; 0 if it never ends."""
 
     pace: float
-    """Factor on all times of slow boxes."""
+    """Factor by which all work of a slow box takes longer."""
 
 
 def draw_faults(
@@ -46,7 +46,7 @@
     seed: int,
     boxes: Sequence[SimulatedBox],
 ) -> list[Fault]:
-    """Return the faults of a load."""
+    """Return the faults of a load with their times and boxes drawn."""
     return [
         _draw_fault(settings, make_random(seed, f'fault.{index}'), boxes)
         for index, settings in enumerate(load.fault)
@@ -59,7 +59,19 @@
     timeline: Timeline,
     load_start: float,
 ) -> None:
-    """Let a fault begin, and end where it does."""
+    """Schedule the start of a fault and, if it ends, its end.
+
+    Parameters
+    ----------
+    fault
+        Fault to schedule.
+    simulated_fleet
+        Fleet that the boxes of the fault belong to.
+    timeline
+        Events of the simulation.
+    load_start
+        End of the warm-up, in seconds of the timeline.
+    """
     at = load_start + fault.at
     for box in fault.boxes:
         timeline.schedule(
--- a/waywell/experiment/forming_holder.py
+++ b/waywell/experiment/forming_holder.py
@@ -1,4 +1,4 @@
-"""The holder of the forming duty in the model, with the product's planner."""
+"""Simulation of the forming duty's holder with the daemons' own planner."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 
 
 class FormingHolder:
-    """Plans groups and gives the orders.
+    """Plans groups and sends the orders to the boxes.
 
     Parameters
     ----------
     engine
-        Engines of the service.
+        Models and engine figures of the service.
     cluster
-        The box list that the holder sees.
-    fleet_model
-        The boxes.
+        View of the fleet that the planner reads.
+    simulated_fleet
+        Boxes that receive orders and probes.
     node
-        The node that holds the duty.
+        Node that holds the duty.
     timeline
-        Events of the model.
+        Events of the simulation.
     delays
-        Delays of orders.
+        Delays of orders and answers.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         timeline: Timeline,
         delays: PlatformSettings,
     ) -> None:
-        """Plan nothing yet."""
+        """Create the holder without starting to plan."""
         self.measures_demand = True
         self._engine = engine
         self._cluster = cluster
@@ -81,11 +81,11 @@
         )
 
     def start(self) -> None:
-        """Plan from now on."""
+        """Plan now and at regular intervals."""
         self._timeline.repeat(PLAN_SECONDS, self._plan)
 
     def raise_doubt(self, replica: Replica) -> None:
-        """Take in, a moment later, that a node hears nothing of a group."""
+        """Deliver a node's doubt about a silent replica after a delay."""
         self._timeline.schedule_in(
             self._delays.order_seconds, lambda: self._record_doubt(replica)
         )
@@ -115,7 +115,7 @@
             self._check_members(group, tuple(members))
 
     def _list_live_boxes(self) -> Fleet:
-        """Return the listed boxes that give signs of life."""
+        """Return the listed boxes that are not considered lost."""
         boxes = self._cluster.fleet.boxes
         lost = self._memory.lost
         return Fleet(
@@ -138,7 +138,7 @@
         self._probe(box)
 
     def _probe(self, box: FleetBox) -> BoxReport | None:
-        """Ask a box; the survey hears it when the answer or none has come."""
+        """Probe a box; pass its answer or a timeout to the monitor later."""
         target_box = self._simulated_fleet.boxes[box.box]
         report = target_box.make_report() if target_box.is_alive else None
         delay = 2 * self._delays.order_seconds
@@ -157,7 +157,7 @@
         group: GroupId,
         joins: tuple[Assignment, ...],
     ) -> None:
-        """Ask the boxes of a new group; order the joins if all fit."""
+        """Probe the members of a new group, then order the joins that fit."""
         answers = {join.box.life: self._probe(join.box) for join in joins}
         reports = {life: report for life, report in answers.items() if report}
         is_whole = len(reports) == len(joins)
--- a/waywell/experiment/group_engine.py
+++ b/waywell/experiment/group_engine.py
@@ -1,6 +1,6 @@
-"""The engine of one group: it reads prompts and makes token steps in turns.
+"""Simulation of a group's engine, which alternates prefill and token steps.
 
-Reading holds up the steps of all running requests; a step takes longer the
+Prefill delays the steps of all running requests, and a step takes longer the
 more requests run.
 """
 
@@ -18,44 +18,44 @@
     from waywell.experiment.timeline import Timeline
 
 STEP_TOLERANCE = 1e-6
-"""Part of a step that counts as nothing."""
+"""Fraction of a step that is ignored as a rounding error."""
 
 
 class EngineClient(abc.ABC):
-    """Is told what becomes of work at an engine."""
+    """Callbacks for the progress of a request at an engine."""
 
     @abc.abstractmethod
     def on_first_event(self) -> None:
-        """Take in the first event."""
+        """Handle the first event of the answer."""
 
     @abc.abstractmethod
     def on_end(self) -> None:
-        """Take in the last event."""
+        """Handle the last event of the answer."""
 
     @abc.abstractmethod
     def on_stalled(self) -> None:
-        """Take in that nothing more comes."""
+        """Handle a stalled engine, which sends no further events."""
 
     @abc.abstractmethod
     def on_broken(self) -> None:
-        """Take in that the connection broke."""
+        """Handle a broken connection."""
 
 
 @attrs.define(eq=False)
 class EngineRequest:
-    """A request at an engine."""
+    """A request as an engine sees it."""
 
     client: EngineClient
-    """Who is told."""
+    """Receives the callbacks."""
 
     prompt_tokens: int
-    """Tokens to read."""
+    """Number of tokens to prefill."""
 
     answer_tokens: int
-    """Tokens to make."""
+    """Number of tokens to generate."""
 
     started_at: float | None = None
-    """Steps of the engine when it began; ``None`` while it waits."""
+    """Step count of the engine at the start; ``None`` while queued."""
 
 
 class GroupEngine:
@@ -64,11 +64,11 @@
     Parameters
     ----------
     settings
-        Published figures.
+        Speed and capacity of the engine.
     timeline
-        Events of the model.
+        Events of the simulation.
     pace
-        Factor on all times.
+        Factor by which all work takes longer.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         timeline: Timeline,
         pace: float,
     ) -> None:
-        """Start without requests."""
+        """Create an engine without requests."""
         self.is_closing = False
         self.is_stalled = False
         self._settings = settings
@@ -94,16 +94,16 @@
 
     @property
     def running(self) -> int:
-        """Return the requests that run."""
+        """Return the number of running requests."""
         return len(self._running)
 
     @property
     def is_empty(self) -> bool:
-        """Return whether it has no requests."""
+        """Return whether no request is running or queued."""
         return not self._running and not self._waiting
 
     def submit(self, request: EngineRequest) -> bool:
-        """Take a request; answer whether there was room for it."""
+        """Queue a request; return False if the engine is full or closing."""
         if self.is_closing or self._is_full():
             return False
         self._waiting.append(request)
@@ -111,7 +111,7 @@
         return True
 
     def cancel(self, request: EngineRequest) -> None:
-        """Forget a request."""
+        """Remove a running or queued request."""
         if request in self._running:
             self._advance()
             self._running.pop(request)
@@ -120,7 +120,7 @@
         self._update()
 
     def count_generated_tokens(self, request: EngineRequest) -> int:
-        """Return the tokens that a request has got."""
+        """Return the number of tokens generated for a request."""
         if request.started_at is None:
             return 0
         self._advance()
@@ -128,20 +128,20 @@
         return min(request.answer_tokens, generated)
 
     def change_pace(self, pace: float) -> None:
-        """Change the factor on all times."""
+        """Set the factor by which all work takes longer."""
         self._advance()
         self._pace = pace
         self._update()
 
     def stall(self) -> None:
-        """Make no more steps."""
+        """Stop generating and notify the clients."""
         self._advance()
         self.is_stalled = True
         for request in (*self._running, *self._waiting):
             request.client.on_stalled()
 
     def break_connections(self) -> None:
-        """End all requests at once."""
+        """Break the connections of all requests and accept no more."""
         self.is_closing = True
         for request in (*self._running, *self._waiting):
             request.client.on_broken()
@@ -151,7 +151,7 @@
         return len(self._running) + len(self._waiting) >= room
 
     def _advance(self) -> None:
-        """Make the steps up to now."""
+        """Add the steps made since the last update."""
         now = self._timeline.now
         since = max(self._updated_at, self._prefill_until)
         if now > since and not self.is_stalled:
@@ -165,7 +165,7 @@
         return seconds * self._pace
 
     def _update(self) -> None:
-        """Start what waits and plan the next wake."""
+        """Start queued requests and schedule the next event."""
         self._advance()
         if self.is_stalled:
             return
--- a/waywell/experiment/load_file.py
+++ b/waywell/experiment/load_file.py
@@ -16,11 +16,11 @@
     from collections.abc import Iterator
 
 Range = tuple[float, float]
-"""Least and greatest value of a figure that is drawn by seed."""
+"""Lower and upper bound of a value that is drawn by seed."""
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong."""
+    """Kinds of faults that a load can contain."""
 
     BOXES = 'boxes'
     """Boxes of any domains are lost."""
@@ -34,54 +34,57 @@
 
 @attrs.frozen
 class FleetSettings:
-    """Boxes by hall and fabric domain."""
+    """Size of the fleet."""
 
     halls: int = 1
-    """Data halls."""
+    """Number of data halls."""
 
     domains_per_hall: int = 1
-    """Fabric domains in each hall."""
+    """Number of fabric domains in each hall."""
 
     boxes_per_domain: Range = (8, 8)
-    """Boxes in each domain; drawn once for all of them."""
+    """Number of boxes in each domain; drawn once for all domains."""
 
     nodes_per_hall: int = 2
-    """Entry boxes in each hall."""
+    """Number of entry boxes in each hall."""
 
 
 @attrs.frozen
 class EngineSettings:
-    """Published figures of the engines."""
+    """Published speed and capacity of the engines and the weight store."""
 
     places: int
-    """Requests that one group runs at once."""
+    """Maximum number of requests that one group runs at once."""
 
     queue: int
-    """Requests that wait at a group whose places are taken."""
+    """Maximum number of requests that wait at a group whose places are
+    taken."""
 
     step_seconds: float
-    """One token of every running request, without their number."""
+    """Fixed seconds of a step, which generates one token for every running
+    request."""
 
     sequence_seconds: float
-    """Added to a step for each running request."""
+    """Seconds that each running request adds to a step."""
 
     read_per_second: float
-    """Prompt tokens that are read in a second."""
+    """Prompt tokens that a group reads in a second."""
 
     steps_a_pass: int = 1
     """Token steps between two events of a stream."""
 
     loads_per_second: float = 1.0
-    """Loads that the weight store begins in a second."""
+    """Loads of weights that the weight store starts in a second."""
 
     loads_at_once: int = 4
-    """Loads that run side by side at full speed."""
+    """Number of concurrent loads of weights that run at full speed."""
 
     first_crowd: float = 1.0
-    """Most times by which loads before the first caller are slowed."""
+    """Greatest factor by which concurrent loads during the warm-up are
+    slowed."""
 
     form_seconds: float = 0.3
-    """From the order to open a group until it serves."""
+    """Seconds from the order to open a group until it serves."""
 
 
 @attrs.frozen
@@ -89,22 +92,22 @@
     """Delays between boxes, nodes and the platform."""
 
     list_seconds: float = 0.5
-    """Seconds between two box lists."""
+    """Seconds between two updates of the box list."""
 
     lapse_seconds: float = 3.0
-    """Seconds after which a lost box is off the list."""
+    """Seconds after which a lost box is removed from the list."""
 
     order_seconds: float = 0.05
-    """Seconds that an order or question is on its way."""
+    """One-way delay of an order or probe, in seconds."""
 
     answer_seconds: float = 1.0
-    """Seconds after which an order counts as unanswered."""
+    """Seconds after which an order or probe counts as unanswered."""
 
     load_report_seconds: float = 0.33
     """Seconds between two reports of a node's requests in flight."""
 
     stall_seconds: float = 6.0
-    """Seconds for which a head goes on that has lost a member."""
+    """Seconds until the head of a group that lost a member gives up."""
 
 
 @attrs.frozen
@@ -112,22 +115,23 @@
     """A model that groups serve."""
 
     name: str
-    """Name."""
+    """Name that request kinds refer to."""
 
     boxes_per_group: int
-    """Boxes that one group needs."""
+    """Number of boxes that one group needs."""
 
     share: float = 1.0
-    """Part of the work that operators expect."""
+    """Weight of the model in the work that operators expect."""
 
     pace: float = 1.0
-    """Factor on all times of its groups."""
+    """Factor by which the model's groups take longer than the engine
+    figures."""
 
     load_seconds: float = 12.0
-    """Seconds of a load from the weight store."""
+    """Seconds to load the weights from the weight store."""
 
     warm_seconds: float = 1.2
-    """Seconds of a load from the box's host."""
+    """Seconds to load the weights from the box's host memory."""
 
 
 @attrs.frozen
@@ -135,126 +139,134 @@
     """Requests of one kind."""
 
     name: str
-    """Name."""
+    """Name of the kind and of its route."""
 
     model: str
-    """Model that they ask for."""
+    """Name of the model that the requests need."""
 
     per_second: Range
-    """Requests a second from all callers, drawn once."""
+    """Mean number of requests a second from all callers, drawn once."""
 
     prompt_tokens: Range
-    """Tokens of a prompt, drawn for each request."""
+    """Length of a prompt in tokens, drawn for each request."""
 
     answer_tokens: Range
-    """Tokens of an answer, drawn for each request."""
+    """Length of an answer in tokens, drawn for each request."""
 
     goal: float
-    """Seconds within which the first event is in aim."""
+    """Latency goal of the first event, in seconds."""
 
     timeout: float
-    """Seconds that a caller waits for the whole answer."""
+    """Seconds that a caller waits for the complete answer."""
 
     gap_goal: float = 0.0
-    """Longest pause in aim, in seconds; 0 for any."""
+    """Longest pause within the goals, in seconds; 0 for no limit."""
 
     worth: float = 1.0
-    """Worth of an answer in aim."""
+    """Worth of an answer within the goals."""
 
     late_worth: float = 0.3
-    """Worth of a late answer."""
+    """Worth of a complete answer that missed a goal."""
 
     most_targets: int = 2
-    """Replicas that one request may be sent to."""
+    """Maximum number of replicas that one request is sent to."""
 
     returns: int = 1
-    """Times that a caller comes back after a refusal."""
+    """Number of times that a caller returns after a refusal."""
 
 
 @attrs.frozen
 class ArrivalSettings:
-    """How requests are spread over time."""
+    """Variation of the arrival rate over time."""
 
     swing: float = 0.0
-    """Part by which the rate rises and falls around its mean."""
+    """Amplitude of the rate's sine wave, as a fraction of the mean rate."""
 
     period: float = 30.0
-    """Seconds of one wave."""
+    """Period of the sine wave, in seconds."""
 
     clump: Range = (1, 1)
-    """Requests that arrive at one moment."""
+    """Number of requests of a kind that arrive together."""
 
 
 @attrs.frozen
 class FaultSettings:
-    """Something that goes wrong once."""
+    """A fault that occurs once."""
 
     kind: FaultKind
-    """What goes wrong."""
+    """Whether boxes or a domain are lost, or boxes are slow."""
 
     at: Range
-    """When, in seconds from the first caller."""
+    """Start, in seconds after the warm-up."""
 
     count: Range = (1, 1)
-    """Boxes that it meets; a domain is met whole."""
+    """Number of affected boxes; ignored for a domain, which is lost whole."""
 
     lasts: Range = (0, 0)
-    """Seconds after which it is over; 0 for never."""
+    """Duration in seconds; 0 if it never ends."""
 
     pace: Range = (3, 3)
-    """Factor on all times of slow boxes."""
+    """Factor by which all work of a slow box takes longer."""
 
 
 @attrs.frozen
 class Load:
-    """All that an experiment is drawn from."""
+    """Content of a load file; a seed draws one simulation from it."""
 
     engine: EngineSettings
-    """The engines."""
+    """Speed and capacity of the engines."""
 
     model: list[ModelSettings]
-    """Models."""
+    """Models that the fleet serves; at least one."""
 
     kind: list[KindSettings]
-    """Kinds of requests."""
+    """Kinds of requests that callers make; at least one."""
 
     fleet: FleetSettings = FleetSettings()
-    """The boxes."""
+    """Number of halls, domains, boxes and nodes."""
 
     platform: PlatformSettings = PlatformSettings()
-    """Delays."""
+    """Delays of lists, orders and reports."""
 
     arrivals: ArrivalSettings = ArrivalSettings()
-    """How requests are spread."""
+    """Variation of the arrival rate."""
 
     fault: list[FaultSettings] = attrs.Factory(list)
-    """What goes wrong."""
+    """Faults that occur during the simulation."""
 
     seconds: float = 60.0
-    """Seconds in which callers ask."""
+    """Duration of the arrivals, in seconds."""
 
     warm_up: float = 30.0
-    """Seconds before, in which groups form."""
+    """Seconds before the arrivals, in which the first groups form."""
 
 
 def read_load(path: str) -> Load:
-    """Read and check a load file.
+    """Read and validate a load file.
 
     Raises
     ------
     InvalidInputError
-        With every fault: the file, then its key or its line.
+        If the file is invalid.  Lists every fault with the file and its key
+        or line.
     """
     return check_load(read_toml(read_text(path), path), path)
 
 
 def check_load(raw: Any, source: str) -> Load:
-    """Turn plain values into a load that holds together.
+    """Convert plain values to a load and validate it.
+
+    Parameters
+    ----------
+    raw
+        Content of a load file, as the TOML parser returns it.
+    source
+        Prefix of the faults: the path of the file.
 
     Raises
     ------
     InvalidInputError
-        With every fault found.
+        If values are invalid.  Lists every fault found.
     """
     load = structure_input(raw, Load, source)
     faults = [*_find_invalid_values(load), *_find_invalid_names(load)]
@@ -293,20 +305,20 @@
         'share',
     ),
 )
-"""Figures that must be above 0; the others may be 0."""
+"""Settings that must be above 0; the others may be 0."""
 
 _INTEGER_RANGES = frozenset(
     ('boxes_per_domain', 'prompt_tokens', 'answer_tokens', 'clump', 'count'),
 )
-"""Ranges of whole numbers."""
+"""Settings that are ranges of whole numbers."""
 
 
 def _find_invalid_values(load: Load) -> Iterator[str]:
-    for source, settings in _list_tables(load):
+    for prefix, settings in _list_tables(load):
         for name, value in attrs.asdict(settings, recurse=False).items():
             if isinstance(value, int | float | tuple):
                 for fault in _find_value_faults(name, value):
-                    yield f'{source}{name}: {value!r} {fault}'
+                    yield f'{prefix}{name}: {value!r} {fault}'
     if load.arrivals.swing > 1:
         yield f'arrivals.swing: {load.arrivals.swing!r} is above 1'
 
@@ -319,13 +331,13 @@
     if not math.isfinite(low) or not math.isfinite(high):
         yield 'is not finite'
     if low > high:
-        yield 'is an empty range: the least value comes first'
+        yield 'is an empty range: the lower bound comes first'
     if name in _POSITIVE_FIELDS and low <= 0:
         yield 'is not above 0'
     elif low < 0:
         yield 'is below 0'
     if name in _INTEGER_RANGES and not _are_integers(low, high):
-        yield 'is no range of whole numbers'
+        yield 'is not a range of whole numbers'
 
 
 def _are_integers(*values: float) -> bool:
@@ -336,23 +348,23 @@
     yield '', load
     for name in ('fleet', 'engine', 'platform', 'arrivals'):
         yield f'{name}.', getattr(load, name)
-    for tables in ('model', 'kind', 'fault'):
-        for index, settings in enumerate(getattr(load, tables)):
-            yield f'{tables}[{index}].', settings
+    for array in ('model', 'kind', 'fault'):
+        for index, settings in enumerate(getattr(load, array)):
+            yield f'{array}[{index}].', settings
 
 
 def _find_invalid_names(load: Load) -> Iterator[str]:
     for name, tables in (('model', load.model), ('kind', load.kind)):
-        yield from _find_invalid_list(name, [entry.name for entry in tables])
+        yield from _find_name_faults(name, [entry.name for entry in tables])
     models = [model.name for model in load.model]
     for index, kind in enumerate(load.kind):
         if kind.model not in models:
-            yield f'kind[{index}].model: {kind.model!r} is none of {models}'
+            yield f'kind[{index}].model: {kind.model!r} is not one of {models}'
 
 
-def _find_invalid_list(source: str, names: list[str]) -> Iterator[str]:
+def _find_name_faults(array: str, names: list[str]) -> Iterator[str]:
     if not names:
-        yield f'{source}: at least one is needed'
+        yield f'{array}: at least one is required'
     for name, count in Counter(names).items():
         if count > 1:
-            yield f'{source}: the name {name!r} stands twice'
+            yield f'{array}: the name {name!r} is used more than once'
--- a/waywell/experiment/node.py
+++ b/waywell/experiment/node.py
@@ -1,4 +1,4 @@
-"""An entry box of the model: what it knows, and the decisions it makes."""
+"""A simulated entry box: its knowledge and its routing decisions."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 @attrs.frozen(eq=False)
 class Node:
-    """An entry box."""
+    """Objects with which an entry box makes its decisions."""
 
     name: NodeId
-    """Name."""
+    """Id in the load reports to other nodes."""
 
     chooser: ReplicaChooser
-    """Chooses replicas."""
+    """Chooses a replica for each attempt."""
 
     shared_loads: SharedLoads
-    """What other nodes tell; the chooser reads it too."""
+    """Loads reported by other nodes, which the chooser reads too."""
 
     budget: ResendBudget
-    """Second sends."""
+    """Budget of resends."""
 
     random: Random
-    """Draws when callers should come back."""
+    """Source of the jitter of Retry-After."""
 
     replica_table: ReplicaTable = attrs.Factory(ReplicaTable)
-    """What it has seen of replicas."""
+    """Requests in flight and failures that the node observed, by replica."""
 
 
 def share_loads(nodes: Iterable[Node], now: float) -> None:
-    """Let each node tell all others of its requests in flight."""
+    """Send each node's requests in flight to all other nodes."""
     all_nodes = tuple(nodes)
     for sender in all_nodes:
         loads = sender.replica_table.list_loads()
--- a/waywell/experiment/policy.py
+++ b/waywell/experiment/policy.py
@@ -1,4 +1,4 @@
-"""Policies: arguments that the product's decisions are given."""
+"""Policies: variations of the daemons' settings that experiments compare."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
     from collections.abc import Mapping
 
 CURRENT = 'current'
-"""Name of the policy that the daemons follow."""
+"""Name of the policy with the daemons' defaults."""
 
 _LIMITS = ResendLimits()
 
 
 QUICK_RETURN_SECONDS = 0.25
-"""Retry-After of the policy ``quick-return``."""
+"""Retry-After of the policy ``quick-return``, in seconds."""
 
 
 @attrs.frozen
 class Policy:
-    """What differs from the daemons' ways; the defaults are theirs."""
+    """Settings of a policy; the defaults are those of the daemons."""
 
     resend_ratio: float = _LIMITS.ratio
-    """Second sends for each request."""
+    """Resends allowed for each request."""
 
     resend_slack: float = _LIMITS.slack
-    """Second sends beyond the ratio, over the budget's window."""
+    """Resends allowed beyond the ratio within the budget's window."""
 
     choosing_nodes: int = 0
-    """Nodes that the chooser reckons with; 0 for those of the fleet."""
+    """Number of nodes that the chooser assumes; 0 for the actual number."""
 
     return_seconds: float = 0.0
-    """Fixed Retry-After of refusals; 0 for the product's advice."""
+    """Fixed Retry-After of refusals, in seconds; 0 for the daemons' value."""
 
     measures_demand: bool = True
-    """Whether the planner gets the measured demand, or none."""
+    """Whether the planner uses the measured demand; if not, it relies on the
+    expected shares."""
 
 
 POLICIES: Mapping[str, Policy] = MappingProxyType(
@@ -53,16 +54,16 @@
         'expected-shares': Policy(measures_demand=False),
     },
 )
-"""Policies by name."""
+"""Predefined policies by name."""
 
 
 def find_policy(name: str) -> Policy:
-    """Return a policy by its name, or from a TOML file.
+    """Return a predefined policy, or read one from a TOML file.
 
     Raises
     ------
     InvalidInputError
-        When there is none, or the file has faults.
+        If there is no such policy or the file is invalid.
     """
     known_policy = POLICIES.get(name)
     if known_policy is not None:
@@ -70,7 +71,7 @@
     if not name.endswith('.toml'):
         known = ', '.join(POLICIES)
         raise InvalidInputError(
-            [f'{name}: no policy; one of {known}, or a file']
+            [f'{name}: unknown policy; use one of {known}, or a TOML file']
         )
     policy = structure_input(read_toml(read_text(name), name), Policy, name)
     faults = [
--- a/waywell/experiment/runner.py
+++ b/waywell/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Plays of many seeds, in one process or several."""
+"""Simulations of many seeds, in one process or several."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 ProgressCallback = Callable[[int, int, float], None]
-"""Called with the seeds done, all seeds, and the seconds left."""
+"""Called with the completed seeds, all seeds and the seconds left."""
 
 
 @attrs.frozen
 class Experiment:
-    """One or two policies before one load."""
+    """One policy, or two to compare, under one load."""
 
     load: Load
-    """The load."""
+    """Load of every simulation."""
 
     base: Policy
-    """One policy."""
+    """Base of the comparison."""
 
     other: Policy | None = None
-    """The policy that it is compared with; ``None`` for no comparison."""
+    """Policy compared with the base; ``None`` for no comparison."""
 
     def simulate_seed(self, seed: int) -> Pair:
-        """Play the policies with one seed."""
+        """Simulate each policy with one seed."""
         with _disable_log():
             base = simulate(self.load, self.base, seed)
             if self.other is None:
@@ -53,25 +53,25 @@
     jobs: int,
     report_progress: ProgressCallback,
 ) -> list[Pair]:
-    """Play the seeds from 0 on; return their pairs in order.
+    """Simulate the seeds from 0 on; return the results in their order.
 
-    An interrupt ends it early, with the pairs that are done.
+    A keyboard interrupt ends the run early with the completed seeds.
 
     Parameters
     ----------
     experiment
-        What is played.
+        Load and policies to simulate.
     seeds
-        How many seeds.
+        Number of seeds.
     jobs
-        Processes that play; 1 for this process alone.
-    report
+        Number of worker processes; 1 to use this process.
+    report_progress
         Called after each seed.
     """
     started_at = time.monotonic()
     pairs: list[Pair] = []
     run_seeds = _simulate_in_process if jobs == 1 else _simulate_in_pool
-    # Fewer pairs than seeds tell the caller of an interrupt.
+    # The caller recognizes an interrupt by fewer pairs than seeds.
     with suppress(KeyboardInterrupt):
         for pair in run_seeds(experiment, seeds, jobs):
             pairs.append(pair)
@@ -94,13 +94,13 @@
     seeds: int,
     jobs: int,
 ) -> Iterator[Pair]:
-    # Leaving the block ends the processes, whatever they play.
+    # Leaving the block terminates the workers, even in mid-simulation.
     with Pool(jobs, _ignore_interrupts) as pool:
         yield from pool.imap_unordered(experiment.simulate_seed, range(seeds))
 
 
 def _ignore_interrupts() -> None:
-    """Leave interrupts to the process that began this one."""
+    """Ignore interrupts in a worker; the parent process handles them."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
@@ -110,7 +110,7 @@
 
 @contextmanager
 def _disable_log() -> Iterator[None]:
-    """Write no log lines: those of the decisions tell of the model."""
+    """Suppress log lines, which would describe simulated events."""
     logger.disable('waywell')
     try:
         yield
--- a/waywell/experiment/simulated_box.py
+++ b/waywell/experiment/simulated_box.py
@@ -1,4 +1,4 @@
-"""A target box of the model and its place in a group."""
+"""A simulated target box and its membership in a group."""
 
 from __future__ import annotations
 
@@ -17,101 +17,101 @@
 from waywell.version.orders import Join
 
 SERVICE = ServiceName('model')
-"""The one service of the model."""
+"""The only service of the simulation."""
 
 HOST = '127.0.0.1'
-"""Address in box entries; nothing connects to it."""
+"""Address in box entries; the simulation opens no connections."""
 
 
 @attrs.frozen
 class Membership:
-    """A box's place in a group."""
+    """Membership of a box in a group."""
 
     join: Join
-    """The order that put it there."""
+    """Order by which the box joined."""
 
     rank: int
-    """Place in the list of members."""
+    """Index in the group's list of members."""
 
     state: MemberState = MemberState.JOINING
-    """What the box says of it."""
+    """State that the box publishes."""
 
     @property
     def standing(self) -> Standing:
-        """Return what entries and reports tell of it."""
+        """Return the standing in the box's entries and reports."""
         join = self.join
         return Standing(join.group, join.epoch, self.rank, self.state)
 
 
 @attrs.define(eq=False)
 class SimulatedBox:
-    """A target box."""
+    """State of a target box."""
 
     name: BoxId
-    """Name."""
+    """Id, which is kept across restarts."""
 
     hall: HallName
-    """Data hall."""
+    """Data hall that holds the box."""
 
     domain: DomainName
-    """Fabric domain."""
+    """Fabric domain that the box belongs to."""
 
     places: int
-    """Requests that a group runs at once."""
+    """Maximum number of requests that a group runs at once."""
 
     incarnation: Incarnation = Incarnation(1)
-    """Which of its lives this is."""
+    """Number of the current life; restarts increment it."""
 
     is_alive: bool = True
-    """Whether it does anything."""
+    """Whether it executes orders and publishes entries."""
 
     lost_at: float = 0.0
-    """When it was lost last, in seconds."""
+    """Time of its last loss, in seconds of the timeline."""
 
     pace: float = NORMAL_PACE
-    """Factor on all its times."""
+    """Factor by which all its work takes longer."""
 
     orders_begun: int = 0
-    """Orders that it has begun in this life."""
+    """Number of orders begun in this life."""
 
     highest_epoch: int = 0
-    """Highest epoch that it has seen in this life."""
+    """Highest epoch of a join in this life."""
 
     loaded: ModelName | None = None
-    """Model in its accelerators."""
+    """Model whose weights are in the accelerators."""
 
     staged: tuple[ModelName, ...] = ()
-    """Models on its host."""
+    """Models whose weights are in host memory."""
 
     is_staging: bool = False
-    """Whether it loads a model to its host."""
+    """Whether it is loading a model to host memory."""
 
     membership: Membership | None = None
-    """Its place in a group."""
+    """Membership in a group; ``None`` if it is in no group."""
 
     entry_number: int = 0
-    """Number of its entry."""
+    """Number of the current entry in this life."""
 
     _entry: FleetBox | None = None
 
     def invalidate_entry(self) -> None:
-        """Write another entry."""
+        """Discard the cached entry and number the next one."""
         self._entry = None
         self.entry_number += 1
 
     def set_member_state(self, state: MemberState) -> None:
-        """Change what it says of its place."""
+        """Set the published state of its membership, if it has one."""
         if self.membership is not None:
             self.membership = attrs.evolve(self.membership, state=state)
             self.invalidate_entry()
 
     def leave_group(self) -> None:
-        """Stand in no group."""
+        """End the membership."""
         self.membership = None
         self.invalidate_entry()
 
     def restart(self) -> None:
-        """Begin another life; only the host keeps what it had."""
+        """Start another life, which keeps only the weights in host memory."""
         self.incarnation = Incarnation(self.incarnation + 1)
         self.is_alive = True
         self.orders_begun = 0
@@ -122,7 +122,7 @@
         self.leave_group()
 
     def make_entry(self) -> FleetBox:
-        """Return its entry in the box list; the same one until it changes."""
+        """Return the entry for the box list, cached until the box changes."""
         if self._entry is None:
             self._entry = FleetBox(
                 self.name,
@@ -140,7 +140,7 @@
         return self._entry
 
     def make_report(self) -> BoxReport:
-        """Return what it tells when it is asked."""
+        """Return the answer to a probe."""
         return BoxReport(
             self.pace,
             self.orders_begun,
--- a/waywell/experiment/simulated_fleet.py
+++ b/waywell/experiment/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""The target boxes of the model: they carry out orders and run groups."""
+"""The simulated target boxes, which execute orders and run groups."""
 
 from __future__ import annotations
 
@@ -33,29 +33,29 @@
 
 @attrs.frozen(eq=False)
 class RunningGroup:
-    """A group that was opened."""
+    """A group that has been opened."""
 
     join: Join
-    """The order that formed it."""
+    """Join order with the group's members and model."""
 
     head: SimulatedBox
-    """Box that takes its requests."""
+    """Box that accepts the group's requests."""
 
     engine: GroupEngine
-    """Runs them."""
+    """Engine that runs the group's requests."""
 
 
 class SimulatedFleet:
-    """All target boxes.
+    """All target boxes and the groups that they run.
 
     Parameters
     ----------
     load
-        Published figures and delays.
+        Engine figures, models and delays.
     boxes
-        The boxes.
+        Boxes of the fleet.
     timeline
-        Events of the model.
+        Events of the simulation.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         boxes: Iterable[SimulatedBox],
         timeline: Timeline,
     ) -> None:
-        """Start without groups."""
+        """Create the fleet without groups."""
         self.boxes = {box.name: box for box in boxes}
         self.groups: dict[GroupId, RunningGroup] = {}
         self.invariant_violations: list[str] = []
@@ -74,7 +74,7 @@
         self._store = WeightStore(load, timeline)
 
     def list_entries(self) -> Fleet:
-        """Return the box list as the platform shows it now."""
+        """Return the box list, with lost boxes until their entries lapse."""
         earliest = self._timeline.now - self._load.platform.lapse_seconds
         return Fleet(
             {
@@ -85,7 +85,7 @@
         )
 
     def find_running_group(self, key: ReplicaKey) -> RunningGroup | None:
-        """Return the group that takes requests at a replica, if one does."""
+        """Return the running group of a replica, if it still exists."""
         box = self.boxes[key.box]
         if box.membership is None or box.incarnation != key.incarnation:
             return None
@@ -94,7 +94,7 @@
         return self.groups.get(box.membership.join.group)
 
     def execute_order(self, name: BoxId, order: BoxOrder) -> OrderResult:
-        """Let a box carry out an order."""
+        """Execute an order at a box and return its result."""
         box = self.boxes[name]
         if not box.is_alive:
             return OrderResult.UNKNOWN
@@ -105,7 +105,7 @@
         return self._execute_group_order(box, order)
 
     def lose_box(self, box: SimulatedBox) -> None:
-        """Let a box fall silent for good."""
+        """Make a box unresponsive until it is restarted."""
         if not box.is_alive:
             return
         box.is_alive = False
@@ -115,7 +115,7 @@
             self._stall_group(running)
 
     def restart_box(self, box: SimulatedBox) -> None:
-        """Start a lost box again under its id."""
+        """Restart a lost box under the same id."""
         if box.is_alive:
             return
         running = self._find_running_group(box)
@@ -124,7 +124,7 @@
             self._end_group(running)
 
     def change_pace(self, box: SimulatedBox, pace: float) -> None:
-        """Change the factor on all times of a box."""
+        """Set the factor by which all work of a box takes longer."""
         box.pace = pace
         running = self._find_running_group(box)
         if running is not None:
@@ -219,7 +219,7 @@
         head.set_member_state(MemberState.OPEN)
 
     def _is_whole(self, join: Join) -> bool:
-        """Answer whether all members are ready in the group."""
+        """Return whether all members are ready in the group."""
         memberships = [self.boxes[name].membership for name in join.members]
         return all(
             membership is not None
@@ -237,7 +237,7 @@
         self._close_when_empty(running)
 
     def _close_when_empty(self, running: RunningGroup) -> None:
-        """End a closing group when its last request is done."""
+        """End a closing group once it has no requests left."""
         if self.groups.get(running.join.group) is not running:
             return
         if running.engine.is_empty:
@@ -250,7 +250,7 @@
         )
 
     def _detach_from_group(self, box: SimulatedBox) -> None:
-        """Take a box out of the group that it stands in."""
+        """Remove a box from its running group, which cannot go on without."""
         running = self._find_running_group(box)
         if running is None:
             return
@@ -258,12 +258,12 @@
             self._end_group(running)
         elif not running.engine.is_stalled:
             self.invariant_violations.append(
-                f'{box.name} leaves {running.join.group}, which serves'
+                f'{box.name} left {running.join.group} while it was serving'
             )
             self._stall_group(running)
 
     def _stall_group(self, running: RunningGroup) -> None:
-        """Stop a group that lacks a box; its head gives up later."""
+        """Stall a group that lost a box; its head gives up later."""
         if running.engine.is_stalled:
             return
         running.engine.stall()
--- a/waywell/experiment/simulated_request.py
+++ b/waywell/experiment/simulated_request.py
@@ -1,4 +1,4 @@
-"""The way of one request through the model, by the product's decisions."""
+"""Simulation of one request with the daemons' own routing decisions."""
 
 from __future__ import annotations
 
@@ -33,54 +33,54 @@
 
 
 class EndedTwiceError(Exception):
-    """A request of the model ended a second time."""
+    """A simulated request ended a second time."""
 
 
 @attrs.frozen(eq=False)
 class SimulationContext:
-    """What all requests work with."""
+    """Objects that all requests of one simulation share."""
 
     timeline: Timeline
-    """Events of the model."""
+    """Events and clock of the simulation."""
 
     cluster: ClusterView
-    """Box list that the nodes see."""
+    """View of the fleet that all nodes share."""
 
     simulated_fleet: SimulatedFleet
-    """The boxes."""
+    """Target boxes that requests are sent to."""
 
     holder: FormingHolder
-    """Holder of the forming duty."""
+    """Holder of the forming duty, which receives doubts about replicas."""
 
     engine: Engine
-    """Engines, as the decisions know them."""
+    """Engine figures that the hedge timeouts are computed from."""
 
     routes: Mapping[str, Route]
-    """Routes by kind."""
+    """Routes by the name of the request kind."""
 
     nodes: tuple[Node, ...]
-    """Entry boxes."""
+    """Entry boxes, in the order of ``Arrival.node``."""
 
     policy: Policy
-    """What differs from the daemons' ways."""
+    """Policy under test."""
 
     tally: Tally
-    """Counts endings."""
+    """Counters of endings, refusals and resends."""
 
 
 class SimulatedRequest:
-    """One request of a caller.
+    """One request of a caller, with its attempts and returns.
 
     Parameters
     ----------
-    parts
-        What all requests work with.
+    context
+        Objects that all requests share.
     arrival
-        The request.
+        Kind, size and entry box of the request.
     """
 
     def __init__(self, context: SimulationContext, arrival: Arrival) -> None:
-        """Ask nothing yet."""
+        """Prepare the request without submitting it."""
         self.context = context
         self.arrival = arrival
         self.node = context.nodes[arrival.node]
@@ -100,7 +100,7 @@
         self._returns_left = arrival.kind.returns
 
     def start(self) -> None:
-        """Let the request arrive now."""
+        """Submit the request now and schedule its deadline."""
         timeline = self.context.timeline
         self._arrived_at = timeline.now
         self._ends_at = timeline.now + self._route.timeout
@@ -108,11 +108,11 @@
         self._submit()
 
     def has_attempt(self, attempt: _Attempt) -> bool:
-        """Answer whether an attempt goes on."""
+        """Return whether an attempt is still in progress."""
         return attempt in self._attempts
 
     def on_first_event(self, attempt: _Attempt) -> None:
-        """Go on with the attempt that brought an event first."""
+        """Keep the attempt that received an event first; stop the others."""
         for other in tuple(self._attempts):
             if other is not attempt:
                 self._stop_attempt(other)
@@ -125,17 +125,17 @@
             self._paused_since = None
 
     def on_pause(self) -> None:
-        """Note since when a begun answer has paused."""
+        """Record the start of a pause in the answer."""
         if self._paused_since is None:
             self._paused_since = self.context.timeline.now
 
     def on_end(self, attempt: _Attempt) -> None:
-        """End the answered request."""
+        """Finish the request after its complete answer."""
         self._stop_attempt(attempt)
-        self._finish(Ending.IN_AIM if self._is_in_aim() else Ending.LATE)
+        self._finish(Ending.IN_AIM if self._has_met_goals() else Ending.LATE)
 
     def on_rejected(self, attempt: _Attempt) -> None:
-        """Go on after a replica that has run nothing."""
+        """Continue after a replica rejected the request without running it."""
         self._rejections += 1
         attempt.record_failure()
         self._stop_attempt(attempt)
@@ -143,14 +143,14 @@
             self._refuse()
 
     def on_broken(self, attempt: _Attempt) -> None:
-        """Go on after a connection that broke."""
+        """Continue after the connection of an attempt broke."""
         attempt.record_failure()
         self._stop_attempt(attempt)
         if not self._attempts and not self._resend_within_budget():
             self._refuse()
 
     def hedge(self, attempt: _Attempt) -> None:
-        """Try elsewhere beside a silent attempt, or wait once more."""
+        """Start a second attempt beside a silent one, or extend the wait."""
         if len(self._attempts) > 1 or not self._has_sends_left():
             return
         attempt.record_silence()
@@ -203,7 +203,10 @@
         return self._sends < self._route.most_targets
 
     def _resend_within_budget(self) -> bool:
-        """Start a second attempt within the budget; answer whether so."""
+        """Start another attempt if possible; return whether it started.
+
+        The route limits the attempts, and the budget limits the resends.
+        """
         if self.ending is not None or not self._has_sends_left():
             return False
         replica = self._choose_replica()
@@ -229,7 +232,10 @@
             attempt.stop()
 
     def _refuse(self) -> None:
-        """Refuse; the caller comes back as advised, or gives up."""
+        """Refuse the request; its caller returns later or gives up.
+
+        A request whose answer has begun ends as broken instead.
+        """
         if self._first_event_at is not None:
             self._finish(Ending.BROKEN)
             return
@@ -259,23 +265,23 @@
             self._stop_attempt(attempt)
         self._finish(Ending.EXPIRED)
 
-    def _is_in_aim(self) -> bool:
+    def _has_met_goals(self) -> bool:
         if self._first_event_at is None:
             return False
         kind = self.arrival.kind
         is_prompt = self._first_event_at - self._arrived_at <= kind.goal
-        has_gaps = 0 < kind.gap_goal < self._longest_pause
-        return is_prompt and not has_gaps
+        has_long_pause = 0 < kind.gap_goal < self._longest_pause
+        return is_prompt and not has_long_pause
 
     def _finish(self, ending: Ending) -> None:
         if self.ending is not None:
             raise EndedTwiceError(self.arrival, self.ending, ending)
         self.ending = ending
-        self.context.tally.add(self.arrival.kind, ending)
+        self.context.tally.record_ending(self.arrival.kind, ending)
 
 
 class _Attempt(EngineClient):
-    """A request at one replica."""
+    """One attempt of a request at one replica."""
 
     def __init__(
         self, simulated_request: SimulatedRequest, replica: Replica
@@ -287,7 +293,8 @@
         self._started_at = simulated_request.context.timeline.now
         self._has_begun = False
         self._engine: GroupEngine | None = None
-        # A replica that goes on elsewhere reads what was made as well.
+        # An attempt that resumes an answer also has to read the tokens that
+        # the caller already received.
         self._prior_tokens = simulated_request.received_tokens
         self._engine_request = EngineRequest(
             self,
@@ -301,7 +308,7 @@
         )
 
     def start(self) -> None:
-        """Send the request."""
+        """Send the request to the replica."""
         key, now = self._replica.key, self._timeline.now
         record = self._replica_table.get(key)
         if not record.in_flight:
@@ -323,14 +330,14 @@
             self._request.on_rejected(self)
 
     def stop(self) -> None:
-        """Break it off."""
+        """End the attempt and cancel the request at the engine."""
         self._replica_table.record_end(self._replica.key)
         if self._engine is not None:
             self._record_received_tokens()
             self._engine.cancel(self._engine_request)
 
     def on_first_event(self) -> None:
-        """Take in the first event."""
+        """Record the first event and how late it was."""
         now = self._timeline.now
         self._replica_table.record_event(self._replica.key, now)
         self._has_begun = True
@@ -341,12 +348,12 @@
         self._request.on_first_event(self)
 
     def on_end(self) -> None:
-        """Take in the last event."""
+        """Record the last event and finish the request."""
         self._replica_table.record_event(self._replica.key, self._timeline.now)
         self._request.on_end(self)
 
     def on_stalled(self) -> None:
-        """Take in that nothing more comes."""
+        """Record the pause if the answer has begun, and check it later."""
         if self._has_begun:
             now = self._timeline.now
             self._replica_table.record_event(self._replica.key, now)
@@ -357,7 +364,7 @@
             )
 
     def on_broken(self) -> None:
-        """Take in that the connection broke."""
+        """Report the broken connection unless the attempt was stopped."""
         if not self._request.has_attempt(self):
             return
         if self._has_begun:
@@ -366,13 +373,13 @@
         self._request.on_broken(self)
 
     def record_failure(self) -> None:
-        """Let the replica rest."""
+        """Record a failure, after which the replica is avoided for a while."""
         self._replica_table.record_failure(
             self._replica.key, self._timeline.now
         )
 
     def record_silence(self) -> None:
-        """Let a replica rest from which nothing comes, and doubt it."""
+        """Record a failure of a silent replica and raise a doubt about it."""
         key, now = self._replica.key, self._timeline.now
         if self._is_responsive():
             self._replica_table.record_message(key, now)
@@ -383,7 +390,7 @@
             self._request.context.holder.raise_doubt(self._replica)
 
     def extend_wait(self) -> None:
-        """Wait once more for as long as before."""
+        """Wait for another hedge timeout."""
         now, hedge_timeouts = self._timeline.now, self._request.hedge_timeouts
         self._started_at = now
         self._replica_table.get(self._replica.key).heard_at = now
@@ -402,7 +409,7 @@
         return self._engine is not None and not self._engine.is_stalled
 
     def _record_received_tokens(self) -> None:
-        """Note the tokens that the caller has."""
+        """Update the number of tokens that the caller has received."""
         if self._engine is not None and self._has_begun:
             received_tokens = (
                 self._prior_tokens
--- a/waywell/experiment/simulation.py
+++ b/waywell/experiment/simulation.py
@@ -1,4 +1,4 @@
-"""One play of a load: a drawn fleet, its callers and faults, to the end."""
+"""Simulation of a load: draws the fleet, requests and faults and runs them."""
 
 from __future__ import annotations
 
@@ -45,28 +45,29 @@
     from waywell.experiment.tally import Summary
 
 FORGET_INTERVAL_SECONDS = 5.0
-"""Seconds between two looks for records of replicas that are gone."""
+"""Interval at which nodes forget replicas that no longer exist."""
 
 NODE_AGE_SECONDS = 10.0
-"""Seconds before the start at which nodes were started, so that their budgets
-are whole."""
+"""Age of the nodes at the start of the simulation, so that their full resend
+budgets are available."""
 
 
 COMPLETION_CHECK_SECONDS = 1.0
-"""Seconds between two looks whether all requests have ended."""
+"""Interval of the checks, after the last arrival, whether all requests have
+ended."""
 
 
 class Simulation:
-    """A model that is drawn and played once.
+    """One run of a load under a policy.
 
     Parameters
     ----------
     load
-        What it is drawn from.
+        Fleet, requests and faults to draw.
     policy
-        What differs from the daemons' ways.
+        Policy under test.
     seed
-        Decides all that is drawn.
+        Seed of all random draws.
     """
 
     def __init__(self, load: Load, policy: Policy, seed: int) -> None:
@@ -105,7 +106,7 @@
         self._draw_events(seed)
 
     def run(self) -> Summary:
-        """Play to the end of the last request; return the figures."""
+        """Run until all requests have ended; return the results."""
         longest = max(kind.timeout for kind in self._load.kind)
         load, delays = self._load, self._load.platform
         self.timeline.repeat(delays.list_seconds, self._update_box_list)
@@ -162,17 +163,20 @@
 
 
 def simulate(load: Load, policy: Policy, seed: int) -> Summary:
-    """Draw a load by a seed and play it; return its figures."""
+    """Run a load under a policy with a seed; return the results."""
     return Simulation(load, policy, seed).run()
 
 
 def make_engine(load: Load) -> Engine:
-    """Return the engines as the decisions know them."""
-    left_out = ('queue', 'first_crowd')
+    """Return the engine description that the daemons' decisions use.
+
+    It leaves out the settings that only the simulation knows.
+    """
+    simulation_only = ('queue', 'first_crowd')
     settings = {
-        name: figure
-        for name, figure in attrs.asdict(load.engine).items()
-        if name not in left_out
+        name: setting
+        for name, setting in attrs.asdict(load.engine).items()
+        if name not in simulation_only
     }
     models = tuple(
         EngineModel(
@@ -189,7 +193,7 @@
 
 
 def make_route(kind: KindSettings) -> Route:
-    """Return the route of a kind: streams that may be taken up elsewhere."""
+    """Return the route of a kind, with streams that are resumable."""
     return Route(
         kind.name,
         '',
@@ -214,7 +218,7 @@
 
 
 def _list_node_halls(fleet: FleetSettings) -> list[HallName]:
-    """Return the hall of each node."""
+    """Return the data hall of each node, in the order of the nodes."""
     halls = range(fleet.halls * fleet.nodes_per_hall)
     return [_name_hall(number // fleet.nodes_per_hall) for number in halls]
 
--- a/waywell/experiment/sweep.py
+++ b/waywell/experiment/sweep.py
@@ -1,4 +1,4 @@
-"""One setting of a load over several values."""
+"""Simulations of a load with several values of one setting."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     """A load with one setting changed."""
 
     setting: object
-    """Value of the setting."""
+    """Value of the changed setting."""
 
     load: Load
-    """The load."""
+    """Load with that value."""
 
 
 VariantResults = tuple[Variant, list[Pair]]
-"""A load with one setting changed, and its plays."""
+"""A variant and its results, one pair for each seed."""
 
 
 def make_variants(
@@ -38,21 +38,23 @@
     key: str,
     settings: Sequence[object],
 ) -> list[Variant]:
-    """Return a load file once for each value of a setting.
+    """Return a variant of a load file for each value of a setting.
 
     Parameters
     ----------
     path
-        The load file.
+        Path of the load file.
     key
-        The setting, such as ``engine.places`` or ``kind.0.per_second``.
+        Setting to change, such as ``engine.places`` or
+        ``kind.0.per_second``.
     settings
-        Its values; one number stands for a range of that number alone.
+        Values of the setting.  For a range, a single number sets both
+        bounds.
 
     Raises
     ------
     InvalidInputError
-        When there is no such setting, or a value is wrong.
+        If there is no such setting or a value is invalid.
     """
     raw = read_toml(read_text(path), path)
     return [
@@ -65,7 +67,7 @@
     key: str,
     variant_results: Sequence[VariantResults],
 ) -> str:
-    """Return the means of all measures for each value as a table."""
+    """Return a table with the means of all measures for each value."""
     lines = [format_line((key, *MEASURES, 'requests', 'seeds'))]
     for variant, pairs in variant_results:
         means = (
@@ -88,7 +90,7 @@
 
 
 def _replace_setting(raw: dict[str, Any], key: str, setting: object) -> Any:
-    """Return a copy of a load with one setting changed."""
+    """Return a copy of a load file's content with one setting changed."""
     changed = copy.deepcopy(raw)
     *path, name = key.split('.')
     table: Any = changed
--- a/waywell/experiment/table.py
+++ b/waywell/experiment/table.py
@@ -1,4 +1,4 @@
-"""Figures of an experiment as text and as JSON."""
+"""Results of an experiment as a text table and as JSON."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
     names: tuple[str, str],
     pairs: Sequence[Pair],
 ) -> str:
-    """Return the comparison as a table.
+    """Return the comparison as a text table.
 
     Parameters
     ----------
     names
-        The base policy and the other one.
+        Names of the base policy and the other policy.
     pairs
-        Both, played with each seed; at least one.
+        Results of both policies, one pair for each seed; at least one.
     """
     lines = [
         f'{len(pairs)} seeds; base: {names[0]}, other: {names[1]}',
         format_line(_HEAD),
         *(_format_difference(difference) for difference in compare(pairs)),
         '',
-        'requests a seed and worth lost a seed, in parts of all worth',
+        'requests a seed, and lost worth a seed as a share of all worth',
         *_list_endings(pairs),
     ]
     return '\n'.join(lines)
 
 
 def format_json(names: tuple[str, str], pairs: Sequence[Pair]) -> str:
-    """Return the comparison and each play as JSON."""
+    """Return the comparison and the results of each seed as JSON."""
     document = {
         'base': names[0],
         'other': names[1],
@@ -64,7 +64,7 @@
 
 
 def format_line(cells: Sequence[str]) -> str:
-    """Return cells as one line with columns."""
+    """Return cells as one line with aligned columns."""
     padded = (
         f'{cell} '.ljust(width)
         for cell, width in zip(cells, _WIDTHS, strict=True)
--- a/waywell/experiment/tally.py
+++ b/waywell/experiment/tally.py
@@ -1,4 +1,4 @@
-"""How requests ended, counted by the users' measures."""
+"""Counters of how requests ended, and the measures computed from them."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
     """How a request ended."""
 
     IN_AIM = 'in_aim'
-    """Answered whole, its first event and pauses in aim."""
+    """Answered completely, within the goals of its kind."""
 
     LATE = 'late'
-    """Answered whole, after its aim."""
+    """Answered completely, but a goal was missed."""
 
     REFUSED = 'refused'
-    """Refused, and its caller gave up."""
+    """Refused until its caller gave up."""
 
     BROKEN = 'broken'
-    """Begun, and broken off."""
+    """Answer begun but broken off."""
 
     EXPIRED = 'expired'
-    """Not answered while its caller waited."""
+    """Not completely answered before its timeout."""
 
 
 SERVED = frozenset((Ending.IN_AIM, Ending.LATE))
-"""Endings with a whole answer."""
+"""Endings with a complete answer."""
 
 
 @attrs.frozen
 class KindTally:
-    """Requests of one kind by their ending."""
+    """Counters for the requests of one kind."""
 
     kind: KindSettings
-    """The kind."""
+    """Settings of the kind, with the worth of its answers."""
 
     counts: Counter[Ending] = attrs.Factory(Counter)
-    """Requests by ending."""
+    """Number of requests by ending."""
 
     @property
     def requests(self) -> int:
-        """Return all requests."""
+        """Return the number of requests that have ended."""
         return self.counts.total()
 
     @property
     def possible(self) -> float:
-        """Return the worth if all were in aim."""
+        """Return the worth if all requests had met their goals."""
         return self.requests * self.kind.worth
 
     @property
     def worth(self) -> float:
-        """Return the worth of what was answered."""
+        """Return the worth of all complete answers."""
         in_aim = self.counts[Ending.IN_AIM] * self.kind.worth
         return in_aim + self.counts[Ending.LATE] * self.kind.late_worth
 
     def get_lost_worth(self, ending: Ending) -> float:
-        """Return the worth that was lost by an ending."""
+        """Return the worth lost by requests with an ending."""
         if ending is Ending.IN_AIM:
             return 0.0
         kept = self.kind.late_worth if ending is Ending.LATE else 0.0
@@ -70,35 +70,35 @@
 
 
 class Tally:
-    """Counts endings.
+    """Counts endings, refusals and resends.
 
     Parameters
     ----------
     kinds
-        Kinds of requests.
+        Kinds of requests to count separately.
     """
 
     def __init__(self, kinds: list[KindSettings]) -> None:
-        """Start without requests."""
+        """Start with all counters at 0."""
         self.kinds = {kind.name: KindTally(kind) for kind in kinds}
         self.refusals = 0
         self.resends = 0
 
     @property
     def requests(self) -> int:
-        """Return the requests that have ended."""
+        """Return the number of requests that have ended."""
         return sum(kind.requests for kind in self.kinds.values())
 
-    def add(self, kind: KindSettings, ending: Ending) -> None:
-        """Count a request."""
+    def record_ending(self, kind: KindSettings, ending: Ending) -> None:
+        """Count a request that has ended."""
         self.kinds[kind.name].counts[ending] += 1
 
     def count(self, ending: Ending) -> int:
-        """Return the requests of an ending."""
+        """Return the number of requests with an ending."""
         return sum(kind.counts[ending] for kind in self.kinds.values())
 
     def summarise(self) -> Summary:
-        """Return the figures of a played model."""
+        """Return the results of the simulation."""
         kinds = self.kinds.values()
         possible = math.fsum(kind.possible for kind in kinds)
         return Summary(
@@ -124,44 +124,44 @@
 
 @attrs.frozen
 class Summary:
-    """Figures of one played model."""
+    """Results of one simulation."""
 
     requests: int
-    """Requests of callers; one that comes back counts once."""
+    """Number of requests; one whose caller returns counts once."""
 
     possible: float
-    """Worth if all had been in aim."""
+    """Worth if all requests had met their goals."""
 
     worth: float
-    """Worth of what was answered."""
+    """Worth of all complete answers."""
 
     endings: Mapping[str, int]
-    """Requests by ending."""
+    """Number of requests by ending."""
 
     prices: Mapping[str, float]
-    """Worth lost by each ending."""
+    """Lost worth by ending."""
 
     in_aim_by_kind: Mapping[str, float]
-    """Part of each kind that was in aim."""
+    """Fraction of the requests of each kind that met their goals."""
 
     refusals: int
-    """Refusals, also of requests that were answered later."""
+    """Number of refusals, including those of requests answered later."""
 
     resends: int
-    """Second sends."""
+    """Number of attempts that were charged to the resend budget."""
 
     @property
     def share(self) -> float:
-        """Return the part of the possible worth that was reached."""
+        """Return the achieved worth as a fraction of the possible worth."""
         return self.worth / self.possible if self.possible else 1.0
 
     @property
     def served(self) -> float:
-        """Return the part of the requests with a whole answer."""
+        """Return the fraction of the requests with a complete answer."""
         served = sum(self.endings[ending.value] for ending in SERVED)
         return served / self.requests if self.requests else 1.0
 
     @property
     def worst_kind(self) -> float:
-        """Return the part in aim of the kind that has least."""
+        """Return the lowest fraction by kind of requests within goals."""
         return min(self.in_aim_by_kind.values())
--- a/waywell/experiment/timeline.py
+++ b/waywell/experiment/timeline.py
@@ -1,4 +1,4 @@
-"""Events of a model in the order of their time."""
+"""Event queue and clock of a simulation."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 Action = Callable[[], None]
-"""What happens at a moment."""
+"""Callback of an event."""
 
 
 class Timeline:
-    """A heap of events; those of one moment run in the order of scheduling."""
+    """Runs events by time, those of the same time in scheduling order."""
 
     def __init__(self) -> None:
         """Start at 0 without events."""
@@ -19,22 +19,22 @@
         self._count = 0
 
     def schedule(self, at: float, action: Action) -> None:
-        """Let an action run at a moment, at once if it is over."""
+        """Schedule an action at a time; a past time counts as now."""
         self._count += 1
         event = (max(at, self.now), self._count, action)
         heapq.heappush(self._events, event)
 
     def schedule_in(self, seconds: float, action: Action) -> None:
-        """Let an action run after some seconds."""
+        """Schedule an action after a delay."""
         self.schedule(self.now + seconds, action)
 
     def repeat(self, seconds: float, action: Action) -> None:
-        """Run an action now and again after each period."""
+        """Run an action now and at a fixed interval from then on."""
         action()
         self.schedule_in(seconds, lambda: self.repeat(seconds, action))
 
     def run_until(self, end: float) -> None:
-        """Run all events up to a moment."""
+        """Run all events up to a time and advance the clock to it."""
         while self._events and self._events[0][0] <= end:
             event = heapq.heappop(self._events)
             self.now = event[0]
--- a/waywell/experiment/weight_store.py
+++ b/waywell/experiment/weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store of the model: loads beyond its pace are slow."""
+"""The simulated weight store, which slows down when it is overloaded."""
 
 from __future__ import annotations
 
@@ -17,19 +17,23 @@
 
 @attrs.define(eq=False)
 class WeightStore:
-    """Loads weights."""
+    """Delivers model weights to boxes."""
 
     load: Load
-    """Published figures."""
+    """Capacity of the store and length of the warm-up."""
 
     timeline: Timeline
-    """Events of the model."""
+    """Events of the simulation."""
 
     running_loads: int = 0
-    """Loads that run."""
+    """Number of loads in progress."""
 
     def start_load(self, model: ModelSettings, finish: Action) -> None:
-        """Load a model; a load keeps the pace that it begins with."""
+        """Start loading a model and call ``finish`` when it is loaded.
+
+        The number of concurrent loads at the start sets the speed, which
+        stays the same until the end.
+        """
         self.running_loads += 1
         engine = self.load.engine
         slowdown = self.running_loads / engine.loads_at_once
