--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""The model of the fleet: what must hold whatever is drawn."""
+"""Invariants of the fleet simulation for any load, and its commands."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     rate: float = 8.0,
     faults: tuple[dict[str, Any], ...] = (),
 ) -> dict[str, Any]:
-    """Return a small load as it is read from a file."""
+    """Return the content of a small load file."""
     return {
         'seconds': 6.0,
         'warm_up': 12.0,
@@ -100,7 +100,7 @@
 
 
 def check_groups(simulation: Simulation) -> None:
-    """No box runs two groups; a group has one model; places fit the boxes."""
+    """Check that no box runs two groups and no group exceeds its places."""
     groups = simulation.simulated_fleet.groups
     running = [
         group for group in groups.values() if not group.engine.is_stalled
@@ -115,7 +115,9 @@
 
 @settings(max_examples=25, deadline=None)
 @given(load=LOADS, seed=SEEDS, policy=st.sampled_from(sorted(POLICIES)))
-def test_what_holds_of_any_play(load: Load, seed: int, policy: str) -> None:
+def test_each_request_ends_once_and_all_worth_is_accounted_for(
+    load: Load, seed: int, policy: str
+) -> None:
     simulation = Simulation(load, POLICIES[policy], seed)
     simulation.timeline.schedule(
         0,
@@ -124,7 +126,7 @@
         ),
     )
     figures = simulation.run()
-    # A second ending raises, so that each request ended once.
+    # A second ending of a request raises an exception.
     assert all(
         request.ending is not None for request in simulation.simulated_requests
     )
@@ -144,45 +146,47 @@
 
 
 @pytest.mark.parametrize(('few', 'many'), [(3, 6), (6, 8), (6, 12)])
-def test_more_boxes_never_serve_less_in_a_calm_load(
+def test_more_boxes_never_serve_fewer_requests_without_faults(
     few: int, many: int
 ) -> None:
-    small, great = make_load(boxes=few), make_load(boxes=many)
+    small, large = make_load(boxes=few), make_load(boxes=many)
     worse = [
         seed
         for seed in range(PAIRED_SEEDS)
-        if simulate(great, CURRENT, seed).served
+        if simulate(large, CURRENT, seed).served
         < simulate(small, CURRENT, seed).served
     ]
     assert not worse
 
 
-def test_the_same_seed_gives_the_same_figures_on_any_processes() -> None:
+def test_results_depend_on_the_seed_and_not_on_the_number_of_processes() -> (
+    None
+):
     experiment = Experiment(
         make_load(faults=({'kind': 'boxes', 'at': [1, 2], 'count': [1, 3]},)),
         CURRENT,
         POLICIES['no-resends'],
     )
-    alone = simulate_seeds(experiment, 3, 1, lambda *_told: None)
-    beside = simulate_seeds(experiment, 3, 2, lambda *_told: None)
-    assert alone == beside
-    assert alone[0].base != alone[1].base
+    in_process = simulate_seeds(experiment, 3, 1, lambda *_progress: None)
+    in_pool = simulate_seeds(experiment, 3, 2, lambda *_progress: None)
+    assert in_process == in_pool
+    assert in_process[0].base != in_process[1].base
 
 
-def test_callers_return_once_after_the_advice() -> None:
+def test_refused_callers_return_once_after_retry_after() -> None:
     load = make_load(boxes=1, rate=20.0)
     figures = simulate(load, CURRENT, 1)
     assert figures.endings['refused'] == figures.requests
     assert figures.refusals == 2 * figures.requests
 
 
-def test_a_lost_domain_costs_worth() -> None:
-    calm = simulate(make_load(boxes=3), CURRENT, 1)
+def test_a_lost_domain_reduces_the_worth() -> None:
+    without_faults = simulate(make_load(boxes=3), CURRENT, 1)
     lost = make_load(boxes=3, faults=({'kind': 'domain', 'at': [1, 1]},))
-    assert simulate(lost, CURRENT, 1).worth < calm.worth
+    assert simulate(lost, CURRENT, 1).worth < without_faults.worth
 
 
-def test_events_run_in_the_order_of_their_time() -> None:
+def test_events_run_in_time_order() -> None:
     timeline, seen = Timeline(), []
     for at in (2.0, 1.0, 1.0, 3.5):
         timeline.schedule(at, lambda: seen.append(timeline.now))
@@ -191,18 +195,18 @@
     assert timeline.now == 3.0
 
 
-def test_the_interval_holds_the_mean() -> None:
+def test_the_confidence_interval_contains_the_mean() -> None:
     low, high = estimate_interval([0.0, 1.0, 2.0, 3.0])
     assert 0.0 <= low < 1.5 < high <= 3.0
 
 
 @pytest.mark.parametrize('file', sorted(EXAMPLES.glob('*.toml')))
-def test_examples_have_no_faults(file: Path) -> None:
+def test_example_load_files_are_valid(file: Path) -> None:
     assert read_load(str(file)).kind
 
 
 @pytest.mark.parametrize(
-    ('table', 'key', 'wrong', 'told'),
+    ('table', 'key', 'invalid', 'message'),
     [
         ('engine', 'places', 0, 'engine.places: 0 is not above 0'),
         ('engine', 'plces', 1, 'engine.plces: unknown key'),
@@ -222,19 +226,19 @@
         ),
     ],
 )
-def test_wrong_figures_are_told_by_their_key(
-    table: str, key: str, wrong: object, told: str
+def test_an_invalid_value_is_reported_with_its_key(
+    table: str, key: str, invalid: object, message: str
 ) -> None:
     raw = make_raw()
-    raw.setdefault(table, {})[key] = wrong
+    raw.setdefault(table, {})[key] = invalid
     with pytest.raises(InvalidInputError) as caught:
         check_load(raw, 'load.toml')
     assert len(caught.value.faults) == 1
-    assert told in caught.value.faults[0]
+    assert message in caught.value.faults[0]
     assert caught.value.faults[0].startswith('load.toml.')
 
 
-def test_a_kind_needs_a_known_model() -> None:
+def test_a_request_kind_needs_a_model_of_the_load() -> None:
     raw = make_raw()
     raw['kind'][1]['model'] = 'other'
     with pytest.raises(
@@ -243,7 +247,7 @@
         check_load(raw, 'load.toml')
 
 
-def test_a_policy_is_read_from_a_file(tmp_path: Path) -> None:
+def test_a_policy_file_is_read_and_validated(tmp_path: Path) -> None:
     file = tmp_path / 'mine.toml'
     file.write_text('resend_ratio = 0.3\n')
     assert find_policy(str(file)).resend_ratio == 0.3
@@ -255,7 +259,7 @@
 
 
 @pytest.mark.parametrize(
-    ('words', 'told'),
+    ('arguments', 'message'),
     [
         (['absent.toml'], 'absent.toml: '),
         (['LOAD', '--against=none'], 'none: unknown policy'),
@@ -263,18 +267,18 @@
         (['LOAD', '--jobs=many'], "--jobs: 'many' is not a positive integer"),
     ],
 )
-def test_bad_input_is_one_clear_line(
-    words: list[str], told: str, capsys: pytest.CaptureFixture[str]
+def test_invalid_arguments_are_reported_on_one_line(
+    arguments: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     load = str(EXAMPLES / 'calm.toml')
-    given_words = [load if word == 'LOAD' else word for word in words]
-    assert run_command(['experiment', 'run', *given_words]) == 2
+    words = [load if word == 'LOAD' else word for word in arguments]
+    assert run_command(['experiment', 'run', *words]) == 2
     output = capsys.readouterr()
-    assert output.err.startswith(f'waywell: {told}')
+    assert output.err.startswith(f'waywell: {message}')
     assert output.err.count('\n') == 1
 
 
-def test_a_wrong_line_of_a_file_is_named(
+def test_a_syntax_error_is_reported_with_its_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / 'load.toml'
@@ -283,7 +287,7 @@
     assert 'at line 2' in capsys.readouterr().err
 
 
-def test_a_run_is_told_as_table_and_json(
+def test_a_run_is_printed_as_a_table_or_as_json(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     words = [
@@ -296,12 +300,12 @@
     assert run_command(words) == 0
     assert 'worst_kind' in capsys.readouterr().out
     assert run_command([*words, '--json']) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert told['base'] == 'current'
-    assert len(told['plays']) == 1
+    document = json.loads(capsys.readouterr().out)
+    assert document['base'] == 'current'
+    assert len(document['plays']) == 1
 
 
-def test_commands_of_daemons_do_not_load_the_model() -> None:
+def test_daemons_and_their_commands_do_not_import_the_simulation() -> None:
     program = (
         'import sys; from waywell.cli import run_command; '
         'import waywell.process.front, waywell.process.entry; '
@@ -311,7 +315,7 @@
     subprocess.run([sys.executable, '-c', program], check=True)
 
 
-def test_a_sweep_plays_each_value(
+def test_a_sweep_simulates_each_value(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     load = str(EXAMPLES / 'calm.toml')
@@ -324,27 +328,27 @@
 
 
 @pytest.mark.parametrize(
-    ('setting', 'told'),
+    ('setting', 'message'),
     [
         ('kind.7.goal', 'kind.7.goal: no such setting'),
         ('engine.plces', 'engine.plces: unknown key'),
         ('engine.places', 'engine.places: 0 is not above 0'),
     ],
 )
-def test_a_wrong_setting_is_one_clear_line(
-    setting: str, told: str, capsys: pytest.CaptureFixture[str]
+def test_an_invalid_setting_is_reported_on_one_line(
+    setting: str, message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     load = str(EXAMPLES / 'calm.toml')
     words = ['experiment', 'sweep', load, f'--setting={setting}', '--values=0']
     assert run_command(words) == 2
     output = capsys.readouterr()
-    assert told in output.err
+    assert message in output.err
     assert output.err.count('\n') == 1
 
 
 @pytest.mark.parametrize('jobs', [1, 2])
-def test_an_interrupt_leaves_what_is_done(jobs: int) -> None:
-    def interrupt(*_told: object) -> None:
+def test_an_interrupt_returns_the_completed_seeds(jobs: int) -> None:
+    def interrupt(*_progress: object) -> None:
         raise KeyboardInterrupt
 
     pairs = simulate_seeds(
