--- a/waywell/bench/__init__.py
+++ b/waywell/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks, each with its command."""
+"""Benchmarks; each module runs one as a command."""
--- a/waywell/bench/__main__.py
+++ b/waywell/bench/__main__.py
@@ -1,4 +1,4 @@
-"""All benchmarks, one after the other: ``python -m waywell.bench``."""
+"""Runs all benchmarks in sequence: ``python -m waywell.bench``."""
 
 from __future__ import annotations
 
--- a/waywell/bench/baselines.py
+++ b/waywell/bench/baselines.py
@@ -1,4 +1,4 @@
-"""An entry daemon with a simpler choice of group, to compare with.
+"""An entry daemon with a simpler group selection, as a baseline.
 
 ``python -m waywell.bench.baselines NAME start --settings=FILE``
 """
@@ -24,7 +24,7 @@
     loads: routing.LoadSource,
     random: Random,
 ) -> routing.Choice | None:
-    """Return any usable group."""
+    """Return a random usable group."""
     usable = [group for group in groups if is_usable(group)]
     if not usable:
         return None
@@ -40,7 +40,7 @@
     loads: routing.LoadSource,
     random: Random,
 ) -> routing.Choice | None:
-    """Return the group with the fewest requests in flight."""
+    """Return the usable group with the fewest requests in flight."""
     usable = [group for group in groups if is_usable(group)]
     random.shuffle(usable)
     best = min(
@@ -58,12 +58,13 @@
     'least_in_flight': choose_least_in_flight,
     'product': routing.choose_less_loaded,
 }
-"""Choices by name."""
+"""Group selection functions by the first argument of the command."""
 
 
 def main(words: list[str]) -> int:
-    """Run the daemon with the choice that the first word names."""
-    # The dispatcher takes the function from the module at its import.
+    """Run the daemon with the group selection named by the first word."""
+    # The dispatcher imports the function from the module, so it has to be
+    # replaced before that import.
     routing.choose_less_loaded = BASELINES[words[0]]
     return run_command(words[1:])
 
--- a/waywell/bench/control.py
+++ b/waywell/bench/control.py
@@ -1,8 +1,9 @@
-"""Control traffic among entry boxes: what grows with their number.
+"""Cost of control traffic among entry boxes, by the number of boxes.
 
-Entry boxes run as processes of their own, in two halls, without callers.
-Measured are messages, bytes, processor time and memory a node, calls at
-the platform, the spread of a configuration and the detection of a kill.
+Each entry box runs as a separate process; they are in two data halls and have
+no callers.  The benchmark measures messages, bytes, processor time and memory
+per node, calls to the platform, the time until a configuration is in force
+everywhere, and the time until a killed node is detected.
 """
 
 from __future__ import annotations
@@ -29,26 +30,26 @@
 )
 
 SIZES = '2,4,8,16,32'
-"""Numbers of entry boxes."""
+"""Default numbers of entry boxes, one for each run."""
 
 IDLE_SECONDS = 10.0
-"""Seconds over which an idle system is measured."""
+"""Duration of the measurement of an idle system."""
 
 CHANGES = 5
-"""Configurations whose spread is measured."""
+"""Number of configuration changes whose spread is measured."""
 
 SETTLE_SECONDS = 15.0
-"""Seconds after the start, in which streams are rearranged."""
+"""Seconds after the start in which nodes rearrange their peer streams."""
 
 START_SECONDS = 120.0
-"""Seconds for all nodes to start and meet."""
+"""Time limit for all nodes to start and learn of each other."""
 
 FRAME_BYTES = 80
-"""Bytes of HTTP/2, TCP and IP around one message."""
+"""Overhead of HTTP/2, TCP and IP for one message, in bytes."""
 
 
 def start_nodes(bench: Bench, count: int) -> list[str]:
-    """Start entry boxes in two halls and wait until they know each other."""
+    """Start entry boxes in two data halls and wait for full membership."""
     names = [f'node-{number}' for number in range(count)]
     for number, name in enumerate(names):
         bench.start_entry(name, hall=f'hall-{number % 2}', top={'history': ''})
@@ -59,7 +60,7 @@
 
 
 def wait_until_known(bench: Bench, names: list[str]) -> None:
-    """Wait until nodes know of each other and of no other live one."""
+    """Wait until each node counts exactly the named nodes as live."""
     wait_until(
         lambda: all(
             count_live_nodes(bench, name) == len(names) for name in names
@@ -70,38 +71,38 @@
 
 
 def read_dump(bench: Bench, name: str) -> dict[str, Any]:
-    """Return a node's state."""
+    """Return the state dump of a node."""
     return dict(bench.get_admin(name).call('GET', '/v1/dump').read_json())
 
 
 def count_live_nodes(bench: Bench, name: str) -> int:
-    """Return how many nodes a node counts as live or leaving."""
+    """Return the number of nodes that a node considers live or leaving."""
     nodes = read_dump(bench, name)['tasks']['gossip']['nodes']
     return sum(node['state'] < 2 for node in nodes)
 
 
 @attrs.frozen
 class Sample:
-    """Counters of all nodes at one moment."""
+    """Counters summed over all nodes at one time."""
 
     at: float
-    """Seconds of a clock that never goes back."""
+    """Time of the monotonic clock, in seconds."""
 
     cpu: float
     """Processor time used so far, in seconds."""
 
     messages: int
-    """Peer messages sent and received so far."""
+    """Number of peer messages sent and received so far."""
 
     payload: int
-    """Their bytes before framing."""
+    """Bytes of these messages before framing."""
 
     calls: int
-    """Calls at the platform so far."""
+    """Number of calls to the platform so far."""
 
     @property
     def traffic(self) -> int:
-        """Return the bytes with framing."""
+        """Return the bytes including framing."""
         return self.payload + self.messages * FRAME_BYTES
 
 
@@ -119,17 +120,17 @@
 
 
 def measure_idle(bench: Bench, names: list[str]) -> dict[str, Any]:
-    """Measure a settled system without callers for a while."""
+    """Measure a settled system without callers."""
     before = read_counters(bench, names)
     time.sleep(IDLE_SECONDS)
     after = read_counters(bench, names)
     elapsed = after.at - before.at
-    shares = len(names) * elapsed
+    node_seconds = len(names) * elapsed
     memory = [read_memory(bench.entries[name].pid) for name in names]
     return {
-        'cpu_percent_a_node': (after.cpu - before.cpu) / shares * 100,
-        'messages_a_node_s': (after.messages - before.messages) / shares,
-        'kb_a_node_s': (after.traffic - before.traffic) / shares / 1000,
+        'cpu_percent_a_node': (after.cpu - before.cpu) / node_seconds * 100,
+        'messages_a_node_s': (after.messages - before.messages) / node_seconds,
+        'kb_a_node_s': (after.traffic - before.traffic) / node_seconds / 1000,
         'memory_median_mb': find_quantile(memory, 0.5),
         'memory_max_mb': max(memory),
         'platform_calls_s': (after.calls - before.calls) / elapsed,
@@ -137,22 +138,24 @@
 
 
 def measure_changes(bench: Bench, names: list[str]) -> dict[str, float]:
-    """Measure configuration changes: their spread and what one costs."""
+    """Measure the spread and the cost of configuration changes."""
     before = read_counters(bench, names)
     spread = measure_spread(bench, names)
-    # The nodes tell each other which version they have in force.
+    # Wait until the nodes have announced the version that they have in force.
     time.sleep(2)
     after = read_counters(bench, names)
-    shares = len(names) * CHANGES
+    node_changes = len(names) * CHANGES
     return {
         'spread_s': spread,
-        'change_kb_a_node': (after.traffic - before.traffic) / shares / 1000,
-        'change_cpu_ms_a_node': (after.cpu - before.cpu) / shares * 1000,
+        'change_kb_a_node': (after.traffic - before.traffic)
+        / node_changes
+        / 1000,
+        'change_cpu_ms_a_node': (after.cpu - before.cpu) / node_changes * 1000,
     }
 
 
 def measure_spread(bench: Bench, names: list[str]) -> float:
-    """Return the seconds until a version is in force everywhere."""
+    """Return the median seconds until a version is in force everywhere."""
     spread_seconds = []
     for change in range(CHANGES):
         started_at = time.monotonic()
@@ -173,7 +176,7 @@
 
 
 def measure_detection(bench: Bench, names: list[str]) -> float:
-    """Kill the last node; return the seconds until all count it out."""
+    """Kill the last node; return the seconds until all others notice."""
     victim = names[-1]
     remaining = names[:-1]
     bench.entries[victim].kill()
@@ -183,7 +186,7 @@
 
 
 def measure(count: int) -> dict[str, Any]:
-    """Measure a system of some entry boxes."""
+    """Return all figures of a system with a number of entry boxes."""
     with Bench() as bench:
         names = start_nodes(bench, count)
         time.sleep(SETTLE_SECONDS)
@@ -196,14 +199,14 @@
 
 
 def main(sizes: str = SIZES) -> None:
-    """Run the benchmark for several numbers of entry boxes."""
+    """Run the benchmark for each number of entry boxes."""
     text = (
         ','.join(map(str, sizes)) if isinstance(sizes, tuple) else str(sizes)
     )
     rows = []
     for size in text.split(','):
         rows.append(measure(int(size)))
-        # A long run that breaks off leaves what it has measured.
+        # Written after each size, so that an aborted run keeps its results.
         write_figures('control', rows)
     notes = {}
     for key in ('cpu_percent_a_node', 'kb_a_node_s', 'memory_median_mb'):
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions without I/O: their cost and the size of what they keep."""
+"""Cost and memory of the daemons' decisions, measured without I/O."""
 
 from __future__ import annotations
 
@@ -47,25 +47,25 @@
     from waywell.version.objects import Configuration
 
 GROUPS = (60, 200, 600)
-"""Sizes: replica groups of four boxes."""
+"""Numbers of replica groups to measure."""
 
 GROUP_BOXES = 4
-"""Boxes of a group."""
+"""Number of boxes in a group."""
 
 DOMAIN_BOXES = 32
-"""Boxes of a fabric domain."""
+"""Number of boxes in a fabric domain."""
 
 SPARE_FACTOR = 1.03
-"""Boxes for each box in a group."""
+"""Ratio of all boxes, including spares, to boxes in groups."""
 
 SESSION = SessionId('a1/s')
 
 REPEATS = 20
-"""Times that a decision is timed."""
+"""Number of times that a decision is timed; the fastest counts."""
 
 
 def make_boxes(groups: int) -> dict[BoxId, Box]:
-    """Return the boxes for some groups, with a few spares."""
+    """Return enough boxes for a number of groups, plus spares."""
     count = round(groups * GROUP_BOXES * SPARE_FACTOR)
     boxes = [
         Box(
@@ -82,7 +82,7 @@
 
 
 def make_group_configuration(groups: int) -> Configuration:
-    """Return a configuration with some groups and ten client accounts."""
+    """Return a configuration with groups and ten client accounts."""
     raw = {
         'service': [{'name': 'llm', 'model': 'm'}],
         'group_set': [
@@ -104,7 +104,7 @@
 
 
 def time_call(work: Callable[[], Any]) -> float:
-    """Return the milliseconds of one call, the least of several."""
+    """Return the shortest duration of several calls, in milliseconds."""
     best = float('inf')
     for _ in range(REPEATS):
         started_at = time.perf_counter()
@@ -116,7 +116,7 @@
 def form_all_groups(
     boxes: dict[BoxId, Box], configuration: Configuration
 ) -> Roster:
-    """Return the roster in which all groups serve."""
+    """Return a roster in which all groups serve."""
     roster = Roster(0)
     for _ in range(2):
         view = AssemblyView(
@@ -135,7 +135,7 @@
     boxes: dict[BoxId, Box],
     roster: Roster,
 ) -> dict[BoxId, Box]:
-    """Return the boxes with one of a group lost."""
+    """Return the boxes with one member of a group lost."""
     group = next(iter(roster))
     lost = group.head.box
     box = msgspec.structs.replace(boxes[lost], state=BoxState.LOST)
@@ -143,7 +143,7 @@
 
 
 def measure_assembly(groups: int) -> dict[str, Any]:
-    """Measure plans and the roster document."""
+    """Measure planning and the size of the roster document."""
     boxes = make_boxes(groups)
     configuration = make_group_configuration(groups)
     roster = form_all_groups(boxes, configuration)
@@ -170,7 +170,7 @@
 
 
 def measure_routing(groups: int) -> dict[str, Any]:
-    """Measure the choice of a group for one request."""
+    """Measure the selection of a group for one request."""
     configuration = make_group_configuration(groups)
     index = ServingIndex(
         configuration,
@@ -208,7 +208,7 @@
 
 
 def make_record(number: int) -> NodeRecord:
-    """Return the record of one of many nodes."""
+    """Return the membership record of a node."""
     return NodeRecord(
         node=NodeId(f'entry-{number}'),
         incarnation=Incarnation(1_796_000_000_000 + number),
@@ -222,7 +222,7 @@
 
 
 def measure_membership(nodes: int) -> dict[str, Any]:
-    """Measure the membership view of some nodes."""
+    """Measure the membership table of a system with a number of nodes."""
     table = MembershipTable(make_record(0), 2)
     records = [make_record(number) for number in range(1, nodes)]
     for record in records:
@@ -248,7 +248,7 @@
 
 
 def measure_configuration(accounts: int) -> dict[str, Any]:
-    """Measure a configuration with some client accounts."""
+    """Measure a configuration with a number of client accounts."""
     raw = {
         'account': [
             {
@@ -269,7 +269,7 @@
 
 
 def measure_claims(claims: int) -> dict[str, Any]:
-    """Measure a home that keeps some claims."""
+    """Measure a claim table with a number of claims."""
     table = ClaimTable(NodeId('entry-1'), Incarnation(1))
     prefix = make_id_prefix(NodeId('entry-1'), Incarnation(1), 1)
     keys = [
@@ -291,7 +291,7 @@
 
 
 def measure_report() -> dict[str, Any]:
-    """Measure one report of a load on the wire."""
+    """Measure the encoded size of load reports."""
     reports = [(GroupId(f'main.{number}.0'), 4, 17) for number in range(100)]
     raw = msgspec.msgpack.encode(LoadUpdate(tuple(reports)))
     return {'reports': len(reports), 'bytes_a_report': len(raw) / len(reports)}
--- a/waywell/bench/faults.py
+++ b/waywell/bench/faults.py
@@ -1,4 +1,4 @@
-"""Load and faults on real processes: a slow replica, a flood, failures."""
+"""Behaviour of real processes with a slow replica, failures and a flood."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
     import subprocess
 
 LOAD_PATH = '/services/llm/x'
-"""Path of the requests."""
+"""Path of the requests to the model service."""
 
 BOXES = 6
-"""Replicas of one box."""
+"""Number of replicas, each of one box."""
 
 NORMAL_SECONDS = 0.02
-"""Time of a usual answer."""
+"""Duration of an answer of a healthy replica."""
 
 SLOW_SECONDS = 0.4
-"""Time of an answer of the slow replica."""
+"""Duration of an answer of the slow replica."""
 
 CHOICES = ('product', 'random', 'least_in_flight')
-"""Choices of group that are compared."""
+"""Group selections to compare, by their names in ``baselines``."""
 
 FLOOD_KEY = 'flood-key'
-"""Key of the account that floods."""
+"""API key of the client account that floods the service."""
 
 AUTH = {'authorization': f'Bearer {CALLER_KEY}'}
-"""Headers of the account that doesn't."""
+"""Headers of the other client account."""
 
 
 def start_entry_load(
@@ -48,7 +48,7 @@
     headers: dict[str, str],
     **options: Any,
 ) -> subprocess.Popen[bytes]:
-    """Start a load on the model service through some entry boxes."""
+    """Start a load on the model service through entry boxes."""
     ports = [bench.entries[name].ports['caller_port'] for name in entries]
     return start_load(ports, LOAD_PATH, headers, **options)
 
@@ -58,7 +58,7 @@
     choice: str = 'product',
     **changes: Any,
 ) -> list[str]:
-    """Start two entry boxes before six replicas."""
+    """Start two entry boxes and six replicas; return the entry boxes."""
     names = ['entry-1', 'entry-2']
     for name in names:
         bench.start_entry(
@@ -84,7 +84,7 @@
 
 
 def count_runs(bench: Bench) -> dict[str, int]:
-    """Return the runs of each replica."""
+    """Return the number of requests that each replica has run."""
     return {
         name: sum(bench.set_target_faults(name).values())
         for name in bench.targets
@@ -92,7 +92,7 @@
 
 
 def measure_slow(choice: str) -> dict[str, Any]:
-    """Measure a load with one replica that turns slow."""
+    """Measure a load while one replica is slow and after it recovers."""
     with Bench() as bench:
         names = start_system(bench, choice)
         bench.set_target_faults('b0', slow=SLOW_SECONDS)
@@ -120,7 +120,7 @@
 
 
 def measure_failing() -> dict[str, Any]:
-    """Measure the extra load of retries when every target fails."""
+    """Measure the extra load by retries when every target fails."""
     with Bench() as bench:
         names = start_system(bench)
         for name in bench.targets:
@@ -139,7 +139,7 @@
 
 
 def measure_flood(flooding: bool) -> dict[str, Any]:
-    """Measure a small account, alone or beside one that floods."""
+    """Measure a small client account, alone or beside a flooding one."""
     accounts = [
         {'name': 'desk', 'key_hashes': [hash_text(CALLER_KEY)]},
         {'name': 'flood', 'key_hashes': [hash_text(FLOOD_KEY)]},
@@ -177,7 +177,7 @@
 
 
 def main() -> None:
-    """Run the benchmarks."""
+    """Run the benchmarks of slow replicas, failures and floods."""
     write_figures('slow', [measure_slow(choice) for choice in CHOICES])
     write_figures('failing', [measure_failing()])
     write_figures(
--- a/waywell/bench/feed.py
+++ b/waywell/bench/feed.py
@@ -1,7 +1,8 @@
-"""What reading for others and forming groups cost, by the number of boxes.
+"""Cost of sharing the box list and of planning groups, by number of boxes.
 
-``python -m waywell.bench.feed``; the messages and the plan alone, without
-sockets: sizes in bytes, times as the least of several rounds.
+``python -m waywell.bench.feed`` measures the messages between nodes and the
+plan alone, without sockets: sizes in bytes, and the shortest time of several
+rounds.
 """
 
 from __future__ import annotations
@@ -36,26 +37,27 @@
     from collections.abc import Callable
 
 BOXES = (60, 216, 2400)
-"""Boxes: today's sites, the larger grown one, the target."""
+"""Numbers of boxes: present sites, the larger one after growth, and the
+target."""
 
 GROUP_BOXES = 4
-"""Boxes of a group."""
+"""Number of boxes in a group."""
 
 DOMAIN_BOXES = 20
-"""Boxes of a fabric domain."""
+"""Number of boxes in a fabric domain."""
 
 ROUNDS = 20
-"""Rounds of which the fastest counts."""
+"""Number of rounds; the fastest counts."""
 
 MODEL = ModelName('notes-7b')
-"""The one model."""
+"""Model of all groups."""
 
 SERVICE = ServiceName('llm')
-"""The one service."""
+"""Service of all boxes."""
 
 
 def make_fleet(count: int) -> Fleet:
-    """Return boxes that all stand in groups that serve."""
+    """Return a fleet in which every box is in a serving group."""
     boxes = {}
     for number in range(count):
         rank = number % GROUP_BOXES
@@ -79,7 +81,15 @@
 
 
 def make_answer(fleet: Fleet, is_whole: bool) -> FeedAnswer:
-    """Return what a reader answers, with loads of all heads."""
+    """Return a reader's answer with the loads of all heads.
+
+    Parameters
+    ----------
+    fleet
+        Fleet that the answer describes.
+    is_whole
+        Whether the answer contains the box list, or only the loads.
+    """
     heads = [group.members[0] for group in fleet.groups.values()]
     return FeedAnswer(
         number=1,
@@ -95,7 +105,7 @@
 
 
 def measure_cpu_ms(work: Callable[[], object]) -> float:
-    """Return the least processor time of a piece of work, in ms."""
+    """Return the shortest processor time of several calls, in ms."""
     times: list[float] = []
     while len(times) < ROUNDS:
         started_at = time.process_time()
@@ -105,7 +115,7 @@
 
 
 def measure_boxes(count: int) -> dict[str, Any]:
-    """Return the figures for a number of boxes."""
+    """Return all figures for a number of boxes."""
     fleet = make_fleet(count)
     whole, same = make_answer(fleet, True), make_answer(fleet, False)
     raw_whole = msgspec.msgpack.encode(whole)
--- a/waywell/bench/figures.py
+++ b/waywell/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures of benchmarks: read, summed up, written as JSON and as a table."""
+"""Reads process counters, summarises them and writes benchmark results."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from collections.abc import Sequence
 
 RESULTS_FOLDER = Path('bench-results')
-"""Folder of the JSON files."""
+"""Folder for the JSON results."""
 
 TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
-"""Unit of processor times in /proc."""
+"""Number of clock ticks, the unit of processor time in /proc, per second."""
 
 PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
-"""Unit of memory in /proc."""
+"""Size of a page, the unit of memory in /proc, in bytes."""
 
 MEGABYTE = 1_000_000
-"""Bytes."""
+"""Bytes in a megabyte."""
 
 _UTIME_FIELD = 11
 
@@ -42,14 +42,14 @@
 
 
 def find_quantile(values: Sequence[float], share: float) -> float:
-    """Return the number below which a share of the numbers lies."""
+    """Return the value below which a share of the values lies."""
     ordered = sorted(values)
     index = min(len(ordered) - 1, int(len(ordered) * share))
     return ordered[index]
 
 
 def fit_slope(points: Sequence[tuple[float, float]]) -> tuple[float, float]:
-    """Return slope and base of the line of least squares."""
+    """Return the slope and intercept of the least-squares line."""
     count = len(points)
     mean_size = sum(size for size, _ in points) / count
     mean_cost = sum(cost for _, cost in points) / count
@@ -62,7 +62,7 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return what figures depend on."""
+    """Return the properties of the machine that affect the results."""
     return {
         'cores': os.cpu_count(),
         'machine': platform.machine(),
@@ -71,7 +71,7 @@
 
 
 def write_figures(name: str, rows: list[dict[str, Any]], **notes: Any) -> None:
-    """Write a benchmark's rows as JSON and print them as a table."""
+    """Write the rows of a benchmark as JSON and print them as a table."""
     RESULTS_FOLDER.mkdir(exist_ok=True)
     document = {'machine': describe_machine(), 'notes': notes, 'rows': rows}
     (RESULTS_FOLDER / f'{name}.json').write_text(
@@ -84,7 +84,7 @@
 
 
 def render_table(rows: list[dict[str, Any]]) -> str:
-    """Return rows as a Markdown table."""
+    """Return rows as a Markdown table, with the keys as column headings."""
     if not rows:
         return ''
     names = list(rows[0])
--- a/waywell/bench/load.py
+++ b/waywell/bench/load.py
@@ -1,7 +1,7 @@
-"""A load tool: ``python -m waywell.bench.load``, a process of its own.
+"""Load generator, run as a separate process.
 
-It makes requests on kept connections from a few threads and prints
-latencies and counts as one JSON line.
+``python -m waywell.bench.load`` sends requests over persistent connections
+from several threads and prints latencies and counts as one line of JSON.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 @attrs.frozen
 class LoadSpec:
-    """What to ask, how often."""
+    """Requests that each worker sends."""
 
     hosts: list[tuple[str, int]]
-    """Addresses, taken in turn by the workers."""
+    """Hosts and ports, assigned to the workers in rotation."""
 
     path: str
     """Path of each request."""
@@ -33,30 +33,30 @@
     """Headers of each request."""
 
     requests: int
-    """Requests of one worker."""
+    """Number of requests of each worker."""
 
     gap: float
-    """Seconds that a worker pauses between two requests."""
+    """Pause of a worker after each request, in seconds."""
 
 
 @attrs.define
 class WorkerResults:
-    """What came of the requests."""
+    """Latencies and statuses of the requests of one worker."""
 
     seconds: list[float] = attrs.Factory(list)
-    """Time of each whole answer."""
+    """Seconds to the end of each complete successful answer."""
 
     head_seconds: list[float] = attrs.Factory(list)
-    """Time to the head of each whole answer."""
+    """Seconds to the head of each complete successful answer."""
 
     statuses: dict[int, int] = attrs.Factory(dict)
-    """Answers by status; 0 for those cut short."""
+    """Number of answers by status; 0 stands for incomplete answers."""
 
 
 def run_worker(
     spec: LoadSpec, worker: int, worker_results: WorkerResults
 ) -> None:
-    """Make the requests of one worker."""
+    """Send the requests of one worker and record the results."""
     host, port = spec.hosts[worker % len(spec.hosts)]
     connection = HTTPConnection(host, port, timeout=60)
     for _ in range(spec.requests):
@@ -76,7 +76,7 @@
     spec: LoadSpec,
     worker_results: WorkerResults,
 ) -> int:
-    """Make one request; return its status, or 0 when it was cut."""
+    """Send one request; return its status, or 0 if no answer completed."""
     started_at = time.perf_counter()
     try:
         status, head_at = read_answer(connection, spec)
@@ -93,7 +93,13 @@
     connection: HTTPConnection,
     spec: LoadSpec,
 ) -> tuple[int, float]:
-    """Read a whole answer; return its status and when its head came."""
+    """Send a request and read its answer.
+
+    Returns
+    -------
+    tuple
+        Status, and the time at which the head arrived, in seconds.
+    """
     connection.request('GET', spec.path, headers=spec.headers)
     response = connection.getresponse()
     head_at = time.perf_counter()
@@ -102,7 +108,7 @@
 
 
 def run_load(spec: LoadSpec, workers: int) -> dict[str, Any]:
-    """Run all workers; return the figures."""
+    """Run all workers; return the summarised results."""
     all_results = [WorkerResults() for _ in range(workers)]
     threads = [
         threading.Thread(
@@ -122,7 +128,7 @@
 def summarise_results(
     all_results: list[WorkerResults], wall: float
 ) -> dict[str, Any]:
-    """Return the figures of several workers."""
+    """Return counts and latency quantiles over all workers."""
     seconds = [
         duration
         for worker_results in all_results
@@ -160,7 +166,11 @@
     gap: float = 0,
     headers: str = '{}',
 ) -> None:
-    """Run a load and print its figures as JSON."""
+    """Run a load and print the results as JSON.
+
+    ``--hosts`` takes addresses such as ``127.0.0.1:8000``, joined by ``+``;
+    ``--headers`` takes a JSON object.
+    """
     pairs = [host.rpartition(':') for host in str(hosts).split('+')]
     spec = LoadSpec(
         hosts=[(host, int(port)) for host, _, port in pairs],
--- a/waywell/bench/memory.py
+++ b/waywell/bench/memory.py
@@ -1,6 +1,6 @@
-"""Resident memory of a daemon's imports, step by step.
+"""Resident memory after successive imports of a daemon.
 
-``python -m waywell.bench.memory``; each step is a process of its own.
+``python -m waywell.bench.memory`` measures each step in a separate process.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
     'import os; pages = open("/proc/self/statm").read().split()[1]; '
     'print(int(pages) * os.sysconf("SC_PAGE_SIZE") / 1e6)'
 )
-"""Prints the resident memory of the process that runs it, in megabytes."""
+"""Code that prints the resident memory of its process, in megabytes."""
 
 INSTALL_REACTOR_CODE = (
     'import asyncio; from twisted.internet import asyncioreactor; '
     'asyncioreactor.install(asyncio.new_event_loop()); '
 )
-"""Installs the reactor."""
+"""Code that installs the reactor."""
 
 STEPS = {
     'interpreter': '',
     'reactor': INSTALL_REACTOR_CODE,
     'whole daemon': f'{INSTALL_REACTOR_CODE} import waywell.process.entry; ',
 }
-"""What is imported before the memory is read."""
+"""Code that runs before the memory is read, by the name of the step."""
 
 
 def main() -> None:
--- a/waywell/bench/repair.py
+++ b/waywell/bench/repair.py
@@ -1,8 +1,8 @@
-"""The repair policy on a trace of box events, against two baselines.
+"""The repair policy on a trace of box events, compared with two baselines.
 
-The trace is replayed through the planner, which gets its time as an
-argument: boxes fail, restart and pause, a fabric domain goes dark, the
-box list lags.  Nothing runs; only the decisions are looked at.
+The trace is replayed through the planner, which receives the time as an
+argument: boxes fail, restart and pause, a fabric domain fails for a while and
+the box list lags.  No processes run; only the decisions are evaluated.
 """
 
 from __future__ import annotations
@@ -38,65 +38,66 @@
     from collections.abc import Iterator
 
 DAY_SECONDS = 86_400.0
-"""Seconds."""
+"""Seconds of a day."""
 
 FULL_GROUPS = 600
-"""Groups at which the daily numbers of events are given."""
+"""Number of groups to which the daily event counts apply."""
 
 FAILURES_PER_DAY = 14
-"""Boxes that fail on a day, at full size."""
+"""Number of boxes that fail in a day, at full size."""
 
 RESTARTS_PER_DAY = 68
-"""Boxes that restart on a day, at full size."""
+"""Number of boxes that restart in a day, at full size."""
 
 PAUSES_PER_DAY = 60
-"""Boxes that pause on a day, at full size: an assumption."""
+"""Number of boxes that pause in a day, at full size; an assumption."""
 
 REPLACEMENT_SECONDS = 7200.0
-"""Seconds until a failed box is replaced, at the median."""
+"""Median time until a failed box is replaced."""
 
 RESTART_SECONDS = 60.0
-"""Seconds of a restart, at the median."""
+"""Median duration of a restart."""
 
 DOMAIN_OUTAGE_SECONDS = 1800.0
-"""Seconds for which a domain is dark, once in a trace."""
+"""Duration of the outage of one fabric domain, once in a trace."""
 
 LIST_LAG_SECONDS = 3.0
-"""Seconds by which the box list lags."""
+"""Delay until the box list shows an event."""
 
 SIGMA = 0.6
-"""Spread of the logarithm of durations."""
+"""Standard deviation of the logarithm of durations."""
 
 EVENT_KINDS = (
     (FAILURES_PER_DAY, REPLACEMENT_SECONDS, True),
     (RESTARTS_PER_DAY, RESTART_SECONDS, True),
     (PAUSES_PER_DAY, Goal().pause_seconds, False),
 )
-"""Daily number, median absence, and whether the box was restarted."""
+"""Daily count, median absence in seconds, and whether the box restarts, for
+each kind of event."""
 
 WEIGHTS = {'skovbjerg': (5.0, 1.0), 'lafleur': (1.0, 2.0)}
-"""Weights of downtime and of stranded accelerators."""
+"""Cost weights of downtime and stranded accelerators, by user."""
 
 
 @attrs.frozen(order=True)
 class BoxEvent:
-    """The box list shows a box in another state."""
+    """A change of a box's state in the box list."""
 
     at: float
-    """Seconds from the start of the trace."""
+    """Time of the change, in seconds from the start of the trace."""
 
     box: BoxId
-    """Box."""
+    """Box whose state changes."""
 
     live: bool
-    """Whether it is live then."""
+    """Whether the box is live after the change."""
 
     reboot: bool
-    """Whether it was restarted."""
+    """Whether the box restarted during its absence."""
 
 
 def make_trace(groups: int, days: float, seed: int) -> list[BoxEvent]:
-    """Return the box events of some days, in order."""
+    """Return the box events of a number of days, sorted by time."""
     random = Random(seed)
     names = sorted(make_boxes(groups))
     events: list[BoxEvent] = []
@@ -129,16 +130,16 @@
 
 
 class Replay:
-    """Replays a trace through the planner and adds up the measures.
+    """Replays a trace through the planner and accumulates the measures.
 
     Parameters
     ----------
     configuration
-        Configuration with the groups.
+        Configuration with the group set to plan.
     boxes
-        Boxes at the start.
+        Boxes at the start, by id.
     policy
-        Policy that is looked at.
+        Repair policy under test.
     """
 
     def __init__(
@@ -147,7 +148,7 @@
         boxes: dict[BoxId, Box],
         policy: RepairPolicy,
     ) -> None:
-        """Start with all groups serving."""
+        """Start with all groups serving and all measures at 0."""
         self.downtime = 0.0
         self.stranded = 0.0
         self.moves = 0
@@ -166,7 +167,7 @@
         self.writes = 0
 
     def run(self, trace: list[BoxEvent], end: float) -> None:
-        """Replay the events up to an end, in seconds."""
+        """Replay the events up to an end time, in seconds."""
         queue = [(event.at, 0, event) for event in trace]
         heapq.heapify(queue)
         while queue:
@@ -179,7 +180,7 @@
         self._advance(end)
 
     def _plan_until(self, until: float) -> None:
-        """Plan at once, and whenever time alone can change the plan."""
+        """Plan now, and whenever the passage of time can change the plan."""
         self._plan()
         moment = self._find_next_plan_time()
         while moment < until:
@@ -188,7 +189,7 @@
             moment = self._find_next_plan_time()
 
     def _find_next_plan_time(self) -> float:
-        """Return when a load ends or a group has waited long enough."""
+        """Return the next time at which a load or a group's wait ends."""
         goal = self._configuration.goal
         wait_limit = MAX_TYPICAL_PAUSES * goal.pause_seconds
         moments = [
@@ -272,7 +273,7 @@
     groups: int,
     days: float,
 ) -> dict[str, Any]:
-    """Measure one policy on a trace."""
+    """Replay a trace with one policy; return its figures."""
     started_at = time.perf_counter()
     replay = Replay(
         make_group_configuration(groups), make_boxes(groups), policy
@@ -294,7 +295,7 @@
 
 
 def measure(groups: int, days: float, seed: int) -> list[dict[str, Any]]:
-    """Measure all policies on one trace."""
+    """Replay one random trace with each policy; return their figures."""
     trace = make_trace(groups, days, seed)
     policies = {
         'wait': WaitOnly(),
@@ -313,7 +314,7 @@
 
 
 def main() -> None:
-    """Run the benchmark at today's size and at the full one."""
+    """Run the benchmark with 60 groups and at full size."""
     rows = []
     for seed in (1, 2, 3):
         rows.extend(measure(60, 10, seed))
--- a/waywell/bench/request.py
+++ b/waywell/bench/request.py
@@ -1,4 +1,4 @@
-"""The request path: one entry box against going straight to the target."""
+"""Cost of the request path: through an entry box or directly to the target."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 )
 
 ROUNDS = 3
-"""Rounds, straight and through the entry box in turn."""
+"""Number of rounds; each measures both direct and proxied requests."""
 
 REQUESTS = 1500
-"""Requests of one worker in a round."""
+"""Number of requests of one worker in a round."""
 
 STREAMS = 16
-"""Streams at once."""
+"""Number of concurrent streams."""
 
 TOKENS = 400
-"""Tokens of one stream."""
+"""Number of tokens in one stream."""
 
 AUTH = {'authorization': f'Bearer {CALLER_KEY}'}
-"""Headers that name the client account."""
+"""Headers that authenticate the client account."""
 
 
 def start_system(bench: Bench) -> tuple[int, int, int]:
-    """Start one entry box before one model and one plain target.
+    """Start one entry box with one model target and one plain target.
 
     Returns
     -------
     tuple
-        Caller port, port of the plain target, process id of the entry.
+        Caller port of the entry box, port of the plain target, and process
+        id of the entry box.
     """
     bench.start_entry('entry-1', top={'history': ''})
     bench.start_boxes(
@@ -53,7 +54,7 @@
 
 
 def measure_small(caller: int, app: int, pid: int) -> dict[str, Any]:
-    """Measure small requests, one worker at a time for the latency."""
+    """Measure small requests: latency with 1 worker, throughput with 8."""
     direct = run_load([app], '/x', {}, workers=1, requests=REQUESTS)
     proxied = run_load(
         [caller],
@@ -84,7 +85,7 @@
 
 
 def measure_streams(caller: int, pid: int) -> dict[str, Any]:
-    """Measure tokens of streams through the entry box."""
+    """Measure the throughput of streams through the entry box."""
     headers = {**AUTH, 'standin-tokens': str(TOKENS)}
     before = read_cpu(pid)
     figures = run_load(
--- a/waywell/bench/reserve.py
+++ b/waywell/bench/reserve.py
@@ -1,14 +1,14 @@
-"""Slots kept for interactive work beside deferrable work: three ways.
+"""Three ways to reserve slots for interactive requests.
 
-A group has some slots.  Interactive requests arrive at random and wait
-for a slot; deferrable ones are always at hand and are only begun where no
-interactive one waits.  How many slots are kept free can be a fixed number,
-a coin thrown between two numbers, or a balanced sequence between them.
+A group has a number of slots.  Interactive requests arrive at random and wait
+for a slot; deferrable requests are always available and start only while no
+interactive request waits.  The number of reserved slots is constant, chosen
+at random between two numbers, or given by a balanced sequence of the two.
 
 The model and the balanced sequence (formula 6, "lower bracket sequences")
 are those of S. Bhulai, T. Farenhorst-Yuan, B. Heidergott and D. van der
 Laan, "Optimal balanced control for call centers", Annals of Operations
-Research, 2012; its example checks the measurement.
+Research, 2012.  The example of the paper serves to check the measurement.
 """
 
 from __future__ import annotations
@@ -23,69 +23,70 @@
 from waywell.bench.figures import write_figures
 
 EVENTS = 150_000
-"""Events of one run."""
+"""Number of events in one simulation."""
 
 SHARES = tuple(share / 10 for share in range(11))
-"""Shares of the higher rate of deferrable work that are tried."""
+"""Shares that are tried of the decisions that start more deferrable work."""
 
 SEEDS = (1, 2)
-"""Seeds of the runs."""
+"""Seeds of the simulations."""
 
 
 @attrs.frozen
 class Workload:
-    """Rates of a group's work, by one unit of time."""
+    """Rates of a group's work per unit of time."""
 
     name: str
-    """Name for the table."""
+    """Name in the table of results."""
 
     slots: int
-    """Requests that run at once."""
+    """Number of requests that the group runs at once."""
 
     arrivals: float
-    """Interactive requests that arrive."""
+    """Arrival rate of interactive requests."""
 
     interactive: float
-    """Interactive requests that one slot ends."""
+    """Completion rate of an interactive request in a slot."""
 
     deferrable: float
-    """Deferrable requests that one slot ends."""
+    """Completion rate of a deferrable request in a slot."""
 
     waiting: float
-    """Mean waiting of interactive requests to compare at."""
+    """Mean waiting time of interactive requests at which the ways are
+    compared."""
 
 
 class Mixer(abc.ABC):
-    """Says yes with a share of the times that it is asked."""
+    """Makes yes-or-no decisions, a given share of which are yes."""
 
     @abc.abstractmethod
     def decide(self) -> bool:
-        """Return the next answer."""
+        """Return the next decision."""
 
 
 class RandomMixer(Mixer):
-    """Throws a coin each time."""
+    """Decides independently at random."""
 
     def __init__(self, share: float, random: Random) -> None:
-        """Keep the share."""
+        """Set the share of positive decisions."""
         self._share = share
         self._random = random
 
     def decide(self) -> bool:
-        """Return the next answer."""
+        """Return the next decision."""
         return self._random.random() < self._share
 
 
 class BalancedMixer(Mixer):
-    """Goes through a balanced sequence of the share."""
+    """Decides by a balanced sequence, which spaces yes evenly."""
 
     def __init__(self, share: float, _random: Random) -> None:
-        """Begin the sequence."""
+        """Start the sequence for a share of positive decisions."""
         self._share = share
         self._index = 0
 
     def decide(self) -> bool:
-        """Return the next answer."""
+        """Return the next decision."""
         self._index += 1
         previous = math.floor((self._index - 1) * self._share)
         return math.floor(self._index * self._share) > previous
@@ -93,63 +94,63 @@
 
 @attrs.define
 class Group:
-    """The state of a group's slots and queue."""
+    """State of a group's slots and queue."""
 
     workload: Workload
-    """Rates."""
+    """Rates, and number of slots."""
 
     queue: int = 0
-    """Interactive requests that wait."""
+    """Number of interactive requests that wait."""
 
     interactive: int = 0
-    """Interactive requests that run."""
+    """Number of interactive requests that run."""
 
     deferrable: int = 0
-    """Deferrable requests that run."""
+    """Number of deferrable requests that run."""
 
     @property
     def free_slots(self) -> int:
-        """Return the free slots."""
+        """Return the number of free slots."""
         return self.workload.slots - self.interactive - self.deferrable
 
     def start_queued(self) -> None:
-        """Give free slots to interactive requests."""
-        begun = min(self.free_slots, self.queue)
-        self.queue -= begun
-        self.interactive += begun
+        """Start queued interactive requests in free slots."""
+        started = min(self.free_slots, self.queue)
+        self.queue -= started
+        self.interactive += started
 
 
 class Policy(abc.ABC):
-    """Decides how many deferrable requests to begin."""
+    """Decides how many deferrable requests to start."""
 
     @abc.abstractmethod
     def start_deferrable(self, group: Group) -> None:
-        """Begin deferrable requests in free slots."""
+        """Start deferrable requests in free slots."""
 
 
 class RatePolicy(Policy):
-    """Begins one in each free slot, or not, as a mixer says."""
+    """Starts a request in each free slot for which the mixer decides yes."""
 
     def __init__(self, mixer: Mixer) -> None:
-        """Keep the mixer."""
+        """Set the mixer."""
         self._mixer = mixer
 
     def start_deferrable(self, group: Group) -> None:
-        """Ask the mixer once for each free slot."""
+        """Consult the mixer once for each free slot."""
         for _ in range(group.free_slots):
             group.deferrable += self._mixer.decide()
 
 
 class ReservePolicy(Policy):
-    """Keeps one of two numbers of slots free, as a mixer says."""
+    """Reserves one of two numbers of slots, which a mixer selects."""
 
     def __init__(self, mixer: Mixer, reserved_slots: int) -> None:
-        """Keep the mixer and the higher of the two numbers."""
+        """Set the mixer and the higher of the two numbers."""
         self._mixer = mixer
         self._reserved_slots = reserved_slots
 
     def start_deferrable(self, group: Group) -> None:
-        """Begin as many as leave the number free."""
+        """Start as many requests as leave the reserved slots free."""
         reserved_slots = self._reserved_slots - self._mixer.decide()
         group.deferrable += max(0, group.free_slots - reserved_slots)
 
@@ -157,7 +158,7 @@
 def simulate(
     workload: Workload, policy: Policy, seed: int
 ) -> tuple[float, float]:
-    """Return the mean waiting and the deferrable throughput of a run."""
+    """Return the mean waiting time and the deferrable throughput."""
     random = Random(seed)
     group = Group(workload)
     now = 0.0
@@ -191,7 +192,10 @@
     make_policy: Any,
     seed: int,
 ) -> tuple[float, float]:
-    """Return share and throughput at which the waiting is the wanted one."""
+    """Return the share and throughput at the workload's waiting time.
+
+    The result is interpolated between two of ``SHARES``.
+    """
     previous = (0.0, 0.0, 0.0)
     for share in SHARES:
         waiting, throughput = simulate(
@@ -213,11 +217,12 @@
     Workload('paper', 5, 1 / 2, 4 / 10, 3 / 10, 1 / 3),
     Workload('lookups', 16, 12, 2, 0.4, 0.02),
 )
-"""The paper's example, in minutes; lookups beside exports, in seconds."""
+"""The example of the paper, in minutes, and lookups beside exports, in
+seconds."""
 
 
 def find_reserve(workload: Workload) -> int:
-    """Return the least number of kept slots that keeps the waiting."""
+    """Return the fewest reserved slots that meet the waiting time."""
     for reserved_slots in range(workload.slots + 1):
         waiting, _ = simulate(
             workload,
@@ -230,7 +235,7 @@
 
 
 def measure(workload: Workload, seed: int) -> list[dict[str, Any]]:
-    """Measure every way at the wanted waiting."""
+    """Measure each way at the waiting time of the workload."""
     reserved_slots = find_reserve(workload)
     policies = {
         'rate, coin': lambda share, random: RatePolicy(
@@ -263,13 +268,13 @@
             'waiting': waiting,
         },
     ]
-    for name, make_policy in policies.items():
+    for policy_name, make_policy in policies.items():
         share, throughput_found = find_throughput(workload, make_policy, seed)
         rows.append(
             {
                 'load': workload.name,
                 'seed': seed,
-                'way': name,
+                'way': policy_name,
                 'share': share,
                 'throughput': throughput_found,
                 'waiting': workload.waiting,
--- a/waywell/bench/search.py
+++ b/waywell/bench/search.py
@@ -1,7 +1,8 @@
-"""What the search for changes of groups costs, by the number of boxes.
+"""Cost of the search for group changes, by the number of boxes.
 
-``python -m waywell.bench.search``; domains of 19 boxes with idle ones in each,
-two of which change between two searches; times as the least of several rounds.
+``python -m waywell.bench.search`` searches fabric domains of 19 boxes with
+idle boxes in each.  Two domains change between two searches.  The shortest
+time of several rounds counts.
 """
 
 from __future__ import annotations
@@ -31,25 +32,25 @@
     from waywell.version.fleet import BoxesByDomain
 
 DOMAINS = (6, 40, 126)
-"""Fabric domains: a small site, a large one, the target."""
+"""Numbers of fabric domains: a small site, a large one, and the target."""
 
 DOMAIN_BOXES = 19
-"""Boxes of a domain."""
+"""Number of boxes in a domain."""
 
 BIG = EngineModel(ModelName('big'), 8, 0.5, load_seconds=16.0)
 SMALL = EngineModel(ModelName('small'), 4, 0.5, load_seconds=12.0)
 GROUP_MODELS = (BIG, SMALL, SMALL)
-"""Models of the groups of a domain; the boxes left over are idle."""
+"""Models of the groups in a domain; the remaining boxes are idle."""
 
 ENGINE = Engine(7, (BIG, SMALL), loads_per_second=63.0, loads_at_once=95)
-"""The engine."""
+"""Engine figures of both models."""
 
 CHANGED_DOMAINS = 2
-"""Domains that change between two searches."""
+"""Number of domains that change between two searches."""
 
 
 def make_boxes(domain: int) -> list[FleetBox]:
-    """Return the boxes of a domain: three groups, and idle ones."""
+    """Return the boxes of a domain: three groups and idle boxes."""
     boxes: list[FleetBox] = []
     for index, model in enumerate(GROUP_MODELS):
         epoch = Epoch(domain * len(GROUP_MODELS) + index + 1)
@@ -70,7 +71,7 @@
     staged: EngineModel,
     standing: Standing | None = None,
 ) -> FleetBox:
-    """Return a box that holds a second model."""
+    """Return a box with a staged model."""
     return FleetBox(
         BoxId(name),
         SERVICE,
@@ -84,7 +85,7 @@
 
 
 class _SimulatedSite:
-    """A fleet and what the holder of the duty remembers of it."""
+    """A fleet and the memory of the forming duty's holder."""
 
     def __init__(self, domains: int) -> None:
         self.memory = FormingMemory()
@@ -102,7 +103,7 @@
         }
 
     def search(self) -> None:
-        """Look for the best change of each domain."""
+        """Search for the best change in each domain."""
         serving = tuple(self.fleet.groups.values())
         need = ModelNeed(
             ENGINE,
@@ -115,7 +116,7 @@
         RegroupSearch(need, self.memory, serving).list_best(self._list_idle())
 
     def search_without_cache(self) -> None:
-        """Search as if nothing were known."""
+        """Search without cached candidates."""
         self.memory.candidate_changes.clear()
         self.search()
 
@@ -138,7 +139,7 @@
 
 
 def measure_domains(domains: int) -> dict[str, Any]:
-    """Return the figures for a number of domains."""
+    """Return all figures for a number of domains."""
     site = _SimulatedSite(domains)
     return {
         'boxes': domains * DOMAIN_BOXES,
--- a/waywell/bench/size.py
+++ b/waywell/bench/size.py
@@ -1,7 +1,7 @@
-"""Entry boxes that hold the roster of many groups: memory and probing.
+"""Memory and probing cost of entry boxes with a large roster.
 
-All boxes of the list lead to one target stand-in of a service without
-fences, so that the size of the roster is real and the targets are not.
+All entries of the box list point to one stand-in target of an unfenced
+service, so that the roster has its real size without as many targets.
 """
 
 from __future__ import annotations
@@ -18,23 +18,25 @@
 from waywell.standins.harness import Bench, BoxSpec, make_configuration
 
 GROUPS = (0, 60, 600)
-"""Groups of four boxes."""
+"""Numbers of groups to measure."""
 
 GROUP_BOXES = 4
-"""Boxes of a group."""
+"""Number of boxes in a group."""
 
 PROBE_SECONDS = 15.0
-"""Seconds between two probes of a group; long, as one target answers all."""
+"""Interval between two probes of a group; long because a single target answers
+all probes."""
 
 NODES = 2
-"""Entry boxes; each probes every group, as every group has two probers."""
+"""Number of entry boxes; since each group has two probers, both probe every
+group."""
 
 PROBE_ROUNDS = 2
-"""Rounds of probes over which processor time is measured."""
+"""Number of probe rounds over which processor time is measured."""
 
 
 def start_nodes(bench: Bench) -> list[str]:
-    """Start the entry boxes."""
+    """Start the entry boxes; return their names."""
     names = [f'entry-{number}' for number in range(NODES)]
     for name in names:
         bench.start_entry(
@@ -46,7 +48,7 @@
 
 
 def register_boxes(bench: Bench, count: int) -> None:
-    """Put boxes on the box list that all lead to one target."""
+    """Register boxes that all have the address of one target."""
     spec = BoxSpec('app-1', fenced=False, labels={'pool': 'app'})
     bench.restart_target(spec)
     port = bench.targets['app-1'].ports['port']
@@ -56,7 +58,7 @@
 
 
 def form_groups(bench: Bench, names: list[str], groups: int) -> float:
-    """Form groups; return the seconds until all serve at each node."""
+    """Form groups; return the seconds until all serve on each node."""
     started_at = time.monotonic()
     bench.apply(names[0], make_unfenced_configuration(groups))
     for name in names:
@@ -65,7 +67,7 @@
 
 
 def measure(groups: int) -> dict[str, Any]:
-    """Measure two entry boxes with some groups."""
+    """Measure the entry boxes with a number of groups."""
     with Bench() as bench:
         names = start_nodes(bench)
         register_boxes(bench, groups * GROUP_BOXES)
@@ -85,7 +87,7 @@
 
 
 def make_unfenced_configuration(groups: int) -> dict[str, Any]:
-    """Return a configuration whose model service has no fences."""
+    """Return a configuration with an unfenced model service."""
     service = [
         {'name': 'llm', 'type': 'model', 'fenced': False},
         {'name': 'app', 'type': 'plain', 'fenced': False},
--- a/waywell/bench/tool.py
+++ b/waywell/bench/tool.py
@@ -1,4 +1,4 @@
-"""The load tool as a process of its own, started and waited for."""
+"""Starts the load generator as a separate process and reads its results."""
 
 from __future__ import annotations
 
@@ -14,7 +14,19 @@
     headers: dict[str, str],
     **options: Any,
 ) -> subprocess.Popen[bytes]:
-    """Start the load tool against some ports of the loopback."""
+    """Start the load generator against ports of the loopback interface.
+
+    Parameters
+    ----------
+    ports
+        Ports that the workers connect to.
+    path
+        Path of each request.
+    headers
+        Headers of each request.
+    options
+        Further flags of ``waywell.bench.load``, such as ``workers``.
+    """
     hosts = '+'.join(f'127.0.0.1:{port}' for port in ports)
     command = [
         sys.executable,
@@ -29,7 +41,7 @@
 
 
 def finish_load(process: subprocess.Popen[bytes]) -> dict[str, Any]:
-    """Return the figures of a load that was started."""
+    """Wait for a load generator to exit; return its results."""
     output, _ = process.communicate()
     return dict(json.loads(output))
 
@@ -40,5 +52,5 @@
     headers: dict[str, str],
     **options: Any,
 ) -> dict[str, Any]:
-    """Run the load tool; return its figures."""
+    """Run the load generator to its end; return its results."""
     return finish_load(start_load(ports, path, headers, **options))
--- a/waywell/bench/turn_fleet.py
+++ b/waywell/bench/turn_fleet.py
@@ -1,8 +1,8 @@
-"""Nodes that send to one replica with a limit, without sockets.
+"""Nodes that draw permits for one limited replica, without sockets.
 
-The decisions are those of the daemons, with the time as an argument: who
-deals, at which rate, and to whom.  What each node knows of the others is set
-from outside, so that nodes may see different fleets.
+The daemons' own code, with the time as an argument, decides which nodes issue
+permits, at which rate and to whom.  The test or benchmark sets which other
+nodes each node sees, so that the views of the nodes can differ.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
     from random import Random
 
 BOX_LIFE = BoxLife(BoxId('box'), Incarnation(1))
-"""The replica."""
+"""Life of the box whose replica has the limit."""
 
 HALL = HallName('hall-0')
-"""Its data hall."""
+"""Data hall of that box, and default data hall of the nodes."""
 
 
 @attrs.define
 class PermitNode:
-    """One node: what it knows, and what it deals."""
+    """A node with its view of the membership and its permit issuer."""
 
     name: NodeId
     hall: HallName
@@ -40,7 +40,7 @@
     issuer: PermitIssuer = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """See nobody else yet."""
+        """Start with a view that contains only the node itself."""
         self.issuer = PermitIssuer(self.limits)
         self.set_visible_nodes({self.name: self.hall}, 1, has_joined=False)
 
@@ -51,39 +51,39 @@
         *,
         has_joined: bool = True,
     ) -> None:
-        """See other nodes from now on."""
+        """Set which nodes this node sees, by their data halls."""
         view = MembershipView(self.name, dict(halls), known_count, has_joined)
         self.assignment = IssuerAssignment(view)
 
 
 class PermitFleet:
-    """All nodes, and what came to the replica.
+    """All nodes, and the times of the requests sent to the replica.
 
     Parameters
     ----------
     random
-        Draws the order in which dealers are asked.
+        Source of the order in which issuers are asked.
     """
 
     def __init__(self, random: Random) -> None:
-        """Start without nodes."""
+        """Create a fleet without nodes."""
         self.nodes: dict[NodeId, PermitNode] = {}
         self.sent_at: list[float] = []
         self._random = random
 
     def add_node(self, name: str, hall: HallName = HALL) -> PermitNode:
-        """Add a node that sees nobody yet."""
+        """Add a node that sees only itself."""
         node = PermitNode(NodeId(name), hall)
         self.nodes[node.name] = node
         return node
 
     def update_visible_nodes(self) -> None:
-        """Let every node see the nodes that are in its part."""
+        """Show every node the nodes of its network partition."""
         for node in self.nodes.values():
             self.show_partition(node)
 
     def show_partition(self, node: PermitNode) -> None:
-        """Let a node see who is in its part, and that there are others."""
+        """Show a node the nodes of its partition and the number of all."""
         live = {
             other.name: other.hall
             for other in self.nodes.values()
@@ -95,19 +95,23 @@
         )
 
     def report_limit(self, limit: float, now: float) -> None:
-        """Let every node hear of a limit."""
+        """Record a limit of the replica at every node."""
         report = LimitReport(limit, now, now, now, HALL)
         for node in self.nodes.values():
             node.limits.record(BOX_LIFE, report, 'test')
             node.issuer.update(node.assignment, now)
 
     def update_issuers(self, now: float) -> None:
-        """Let every node look at the limits and the nodes of now."""
+        """Update every node's issuer for its current limits and view."""
         for node in self.nodes.values():
             node.issuer.update(node.assignment, now)
 
     def request_permit(self, name: NodeId, now: float, rank: int = 0) -> bool:
-        """Let a node send a request, if it gets a turn for it."""
+        """Request a permit for a node and send a request if it is granted.
+
+        Return whether the request was sent.  Only issuers in the partition of
+        the node are reachable.
+        """
         node = self.nodes[name]
         issuers = list(node.assignment.choose(BOX_LIFE.box, HALL))
         self._random.shuffle(issuers)
--- a/waywell/bench/turns.py
+++ b/waywell/bench/turns.py
@@ -1,10 +1,11 @@
-"""How much of a replica's limit is used, and by whom.
-
-A replica names a limit, and nodes have requests for it at random, as many as
-it takes or many more: evenly, or all at one node.  Figures: the part of the
-limit that is used (before: the share of one of n nodes that each keep an n-th
-of the limit, `alone`), the most requests within 4 s against what is allowed,
-and the part of urgent requests among those that were sent.
+"""How much of a replica's limit the nodes use, and for which requests.
+
+A replica reports a limit.  Requests for it arrive at random, as many as the
+limit allows or three times as many, evenly at all nodes or all at one.  The
+figures are the fraction of the limit that is used (``alone`` shows it for n
+nodes that each use only an n-th of the limit), the most requests within 4 s
+compared with the number allowed, and the fraction of urgent requests among
+those sent.
 """
 
 from __future__ import annotations
@@ -18,25 +19,25 @@
 from waywell.ids import HallName
 
 NODES = (2, 9, 69, 195, 350)
-"""Numbers of nodes."""
+"""Numbers of nodes to measure."""
 
 LIMITS = (0.2, 1.0, 20.0)
-"""Requests a second that the replica takes."""
+"""Limits of the replica, in requests a second."""
 
 DEMANDS = (1.0, 3.0)
-"""Requests that there are, as a part of the limit."""
+"""Arrival rates, as multiples of the limit."""
 
 SECONDS = 120.0
-"""Length of a run."""
+"""Duration of a simulation."""
 
 HALLS = 5
-"""Data halls."""
+"""Number of data halls."""
 
 WINDOW = 4.0
-"""Seconds for which requests are added up."""
+"""Length of the window in which requests are counted, in seconds."""
 
 URGENT = 0.5
-"""Part of the requests that are urgent."""
+"""Fraction of the requests that are urgent."""
 
 
 def simulate(
@@ -47,7 +48,7 @@
     is_even: bool,
     seed: int,
 ) -> dict[str, Any]:
-    """Return the figures of one run."""
+    """Return the figures of one simulation."""
     random = Random(seed)
     fleet = PermitFleet(random)
     for number in range(nodes):
@@ -78,7 +79,7 @@
 
 
 def count_most_in_window(sent: list[float]) -> int:
-    """Return the most requests within a window."""
+    """Return the largest number of requests within a window."""
     first, most = 0, 0
     for last, moment in enumerate(sent):
         while moment - sent[first] > WINDOW:
--- a/waywell/experiment/runner.py
+++ b/waywell/experiment/runner.py
@@ -71,7 +71,7 @@
     started_at = time.monotonic()
     pairs: list[Pair] = []
     run_seeds = _simulate_in_process if jobs == 1 else _simulate_in_pool
-    # The caller recognizes an interrupt by fewer pairs than seeds.
+    # The caller recognises an interrupt by fewer pairs than seeds.
     with suppress(KeyboardInterrupt):
         for pair in run_seeds(experiment, seeds, jobs):
             pairs.append(pair)
