--- a/tests/soak.py
+++ b/tests/soak.py
@@ -150,7 +150,7 @@
 
 @attrs.define
 class _LimitPeriod:
-    """A period in which a server reports a limit, and the nodes that know it."""
+    """Period of a server's limit, and the nodes that reported it."""
 
     server: Server
     limit: float
--- a/waywell/experiment/simulated_request.py
+++ b/waywell/experiment/simulated_request.py
@@ -269,9 +269,9 @@
         if self._first_event_at is None:
             return False
         kind = self.arrival.kind
-        is_prompt = self._first_event_at - self._arrived_at <= kind.goal
+        is_in_time = self._first_event_at - self._arrived_at <= kind.goal
         has_long_pause = 0 < kind.gap_goal < self._longest_pause
-        return is_prompt and not has_long_pause
+        return is_in_time and not has_long_pause
 
     def _finish(self, ending: Ending) -> None:
         if self.ending is not None:
