--- a/tests/soak.py
+++ b/tests/soak.py
@@ -45,8 +45,8 @@
 """Bounds of the seconds until a fault ends."""
 
 VERSIONS_WITH_KEY = 4
-"""Number of versions of the routes that keep the key.  It is removed only after
-these changes, so that callers use it before."""
+"""Number of versions of the routes that keep the key.  It is removed only
+after these changes, so that callers use it before."""
 
 RETRY_PAUSE_SECONDS = 0.02
 """Seconds that a caller waits after a failed request."""
@@ -112,8 +112,8 @@
 other nodes have seen."""
 
 CRASHES_BEFORE_BOUND = 5
-"""Number of crashes caused by one prompt part before the limit on later crashes
-applies."""
+"""Number of crashes caused by one prompt part before the limit on later
+crashes applies."""
 
 MAX_LATER_CRASHES = 3
 """Number of crashes by the same prompt part that may follow the fifth one."""
@@ -453,7 +453,7 @@
         return lambda: setattr(self.front.store, 'is_down', False)
 
     def _disturb_store(self) -> Any:
-        """Make the store slow, lose answers, refuse calls or forget history."""
+        """Make the store slow, refuse calls, or lose answers or history."""
         store = self.front.store
         kind = self.random.choice(('slow', 'loses', 'refuses', 'forgets'))
         if kind == 'slow':
