--- a/waywell/bench/control.py
+++ b/waywell/bench/control.py
@@ -1,8 +1,9 @@
-"""Control traffic among entry boxes: what grows with their number.
+"""Cost of control traffic among entry boxes, by the number of boxes.
 
-Entry boxes run as processes of their own, in two halls, without callers.
-Measured are messages, bytes, processor time and memory a node, calls at
-the platform, the spread of a configuration and the detection of a kill.
+Each entry box runs as a separate process; they are in two data halls and have
+no callers.  The benchmark measures messages, bytes, processor time and memory
+per node, calls to the platform, the time until a configuration is in force
+everywhere, and the time until a killed node is detected.
 """
 
 from __future__ import annotations
@@ -29,81 +30,83 @@
 )
 
 SIZES = '2,4,8,16,32'
-"""Numbers of entry boxes."""
+"""Default numbers of entry boxes, one for each run."""
 
-WINDOW = 10.0
-"""Seconds over which an idle system is measured."""
+IDLE_SECONDS = 10.0
+"""Duration of the measurement of an idle system."""
 
 CHANGES = 5
-"""Configurations whose spread is measured."""
+"""Number of configuration changes whose spread is measured."""
 
 SETTLE_SECONDS = 15.0
-"""Seconds after the start, in which streams are rearranged."""
+"""Seconds after the start in which nodes rearrange their peer streams."""
 
 START_SECONDS = 120.0
-"""Seconds for all nodes to start and meet."""
+"""Time limit for all nodes to start and learn of each other."""
 
 FRAME_BYTES = 80
-"""Bytes of HTTP/2, TCP and IP around one message."""
+"""Overhead of HTTP/2, TCP and IP for one message, in bytes."""
 
 
 def start_nodes(bench: Bench, count: int) -> list[str]:
-    """Start entry boxes in two halls and wait until they know each other."""
+    """Start entry boxes in two data halls and wait for full membership."""
     names = [f'node-{number}' for number in range(count)]
     for number, name in enumerate(names):
         bench.start_entry(name, hall=f'hall-{number % 2}', top={'history': ''})
     bench.start_boxes([BoxSpec('app-1', fenced=False, labels={'pool': 'app'})])
     bench.apply(names[0], make_configuration())
-    wait_known(bench, names)
+    wait_until_known(bench, names)
     return names
 
 
-def wait_known(bench: Bench, names: list[str]) -> None:
-    """Wait until nodes know of each other and of no other live one."""
+def wait_until_known(bench: Bench, names: list[str]) -> None:
+    """Wait until each node counts exactly the named nodes as live."""
     wait_until(
-        lambda: all(count_known(bench, name) == len(names) for name in names),
+        lambda: all(
+            count_live_nodes(bench, name) == len(names) for name in names
+        ),
         'all nodes to know each other',
         seconds=START_SECONDS,
     )
 
 
 def read_dump(bench: Bench, name: str) -> dict[str, Any]:
-    """Return a node's state."""
+    """Return the state dump of a node."""
     return dict(bench.get_admin(name).call('GET', '/v1/dump').read_json())
 
 
-def count_known(bench: Bench, name: str) -> int:
-    """Return how many nodes a node counts as live or leaving."""
+def count_live_nodes(bench: Bench, name: str) -> int:
+    """Return the number of nodes that a node considers live or leaving."""
     nodes = read_dump(bench, name)['tasks']['gossip']['nodes']
     return sum(node['state'] < 2 for node in nodes)
 
 
 @attrs.frozen
 class Sample:
-    """Counters of all nodes at one moment."""
+    """Counters summed over all nodes at one time."""
 
     at: float
-    """Seconds of a clock that never goes back."""
+    """Time of the monotonic clock, in seconds."""
 
     cpu: float
     """Processor time used so far, in seconds."""
 
     messages: int
-    """Peer messages sent and received so far."""
+    """Number of peer messages sent and received so far."""
 
     payload: int
-    """Their bytes before framing."""
+    """Bytes of these messages before framing."""
 
     calls: int
-    """Calls at the platform so far."""
+    """Number of calls to the platform so far."""
 
     @property
     def traffic(self) -> int:
-        """Return the bytes with framing."""
+        """Return the bytes including framing."""
         return self.payload + self.messages * FRAME_BYTES
 
 
-def take_sample(bench: Bench, names: list[str]) -> Sample:
+def read_counters(bench: Bench, names: list[str]) -> Sample:
     """Read the counters of all nodes."""
     links = [read_dump(bench, name)['tasks']['links'] for name in names]
     calls = bench.set_platform_faults()
@@ -117,44 +120,48 @@
 
 
 def measure_idle(bench: Bench, names: list[str]) -> dict[str, Any]:
-    """Measure a settled system without callers for a while."""
-    before = take_sample(bench, names)
-    time.sleep(WINDOW)
-    after = take_sample(bench, names)
-    passed = after.at - before.at
-    shares = len(names) * passed
+    """Measure a settled system without callers."""
+    before = read_counters(bench, names)
+    time.sleep(IDLE_SECONDS)
+    after = read_counters(bench, names)
+    elapsed = after.at - before.at
+    node_seconds = len(names) * elapsed
     memory = [read_memory(bench.entries[name].pid) for name in names]
     return {
-        'cpu_percent_a_node': (after.cpu - before.cpu) / shares * 100,
-        'messages_a_node_s': (after.messages - before.messages) / shares,
-        'kb_a_node_s': (after.traffic - before.traffic) / shares / 1000,
+        'cpu_percent_a_node': (after.cpu - before.cpu) / node_seconds * 100,
+        'messages_a_node_s': (after.messages - before.messages) / node_seconds,
+        'kb_a_node_s': (after.traffic - before.traffic) / node_seconds / 1000,
         'memory_median_mb': find_quantile(memory, 0.5),
         'memory_max_mb': max(memory),
-        'platform_calls_s': (after.calls - before.calls) / passed,
+        'platform_calls_s': (after.calls - before.calls) / elapsed,
     }
 
 
 def measure_changes(bench: Bench, names: list[str]) -> dict[str, float]:
-    """Measure configuration changes: their spread and what one costs."""
-    before = take_sample(bench, names)
+    """Measure the spread and the cost of configuration changes."""
+    before = read_counters(bench, names)
     spread = measure_spread(bench, names)
-    # The nodes tell each other which version they have in force.
+    # Wait until the nodes have announced the version that they have in force.
     time.sleep(2)
-    after = take_sample(bench, names)
-    shares = len(names) * CHANGES
+    after = read_counters(bench, names)
+    node_changes = len(names) * CHANGES
     return {
         'spread_s': spread,
-        'change_kb_a_node': (after.traffic - before.traffic) / shares / 1000,
-        'change_cpu_ms_a_node': (after.cpu - before.cpu) / shares * 1000,
+        'change_kb_a_node': (after.traffic - before.traffic)
+        / node_changes
+        / 1000,
+        'change_cpu_ms_a_node': (after.cpu - before.cpu) / node_changes * 1000,
     }
 
 
 def measure_spread(bench: Bench, names: list[str]) -> float:
-    """Return the seconds until a version is in force everywhere."""
-    slowest = []
-    for turn in range(CHANGES):
-        began_at = time.monotonic()
-        answer = bench.apply(names[0], make_configuration(groups=1 + turn % 2))
+    """Return the median seconds until a version is in force everywhere."""
+    spread_seconds = []
+    for change in range(CHANGES):
+        started_at = time.monotonic()
+        answer = bench.apply(
+            names[0], make_configuration(groups=1 + change % 2)
+        )
         if answer.status != HTTPStatus.OK:
             raise RuntimeError(answer.body)
         number = answer.read_json()['number']
@@ -164,22 +171,22 @@
                 headers = bench.get_caller(name).call('/services/none').headers
                 if int(headers['waywell-configuration']) >= number:
                     pending.discard(name)
-        slowest.append(time.monotonic() - began_at)
-    return find_quantile(slowest, 0.5)
+        spread_seconds.append(time.monotonic() - started_at)
+    return find_quantile(spread_seconds, 0.5)
 
 
 def measure_detection(bench: Bench, names: list[str]) -> float:
-    """Kill the last node; return the seconds until all count it out."""
+    """Kill the last node; return the seconds until all others notice."""
     victim = names[-1]
-    rest = names[:-1]
+    remaining = names[:-1]
     bench.entries[victim].kill()
-    began_at = time.monotonic()
-    wait_known(bench, rest)
-    return time.monotonic() - began_at
+    started_at = time.monotonic()
+    wait_until_known(bench, remaining)
+    return time.monotonic() - started_at
 
 
 def measure(count: int) -> dict[str, Any]:
-    """Measure a system of some entry boxes."""
+    """Return all figures of a system with a number of entry boxes."""
     with Bench() as bench:
         names = start_nodes(bench, count)
         time.sleep(SETTLE_SECONDS)
@@ -192,14 +199,14 @@
 
 
 def main(sizes: str = SIZES) -> None:
-    """Run the benchmark for several numbers of entry boxes."""
+    """Run the benchmark for each number of entry boxes."""
     text = (
         ','.join(map(str, sizes)) if isinstance(sizes, tuple) else str(sizes)
     )
     rows = []
     for size in text.split(','):
         rows.append(measure(int(size)))
-        # A long run that breaks off leaves what it has measured.
+        # Written after each size, so that an aborted run keeps its results.
         write_figures('control', rows)
     notes = {}
     for key in ('cpu_percent_a_node', 'kb_a_node_s', 'memory_median_mb'):
--- a/waywell/bench/decisions.py
+++ b/waywell/bench/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions without I/O: their cost and the size of what they keep."""
+"""Cost and memory of the daemons' decisions, measured without I/O."""
 
 from __future__ import annotations
 
@@ -47,26 +47,26 @@
     from waywell.version.objects import Configuration
 
 GROUPS = (60, 200, 600)
-"""Sizes: replica groups of four boxes."""
+"""Numbers of replica groups to measure."""
 
 GROUP_BOXES = 4
-"""Boxes of a group."""
+"""Number of boxes in a group."""
 
 DOMAIN_BOXES = 32
-"""Boxes of a fabric domain."""
+"""Number of boxes in a fabric domain."""
 
-SPARE_SHARE = 1.03
-"""Boxes for each box in a group."""
+SPARE_FACTOR = 1.03
+"""Ratio of all boxes, including spares, to boxes in groups."""
 
-_SESSION = SessionId('a1/s')
+SESSION = SessionId('a1/s')
 
 REPEATS = 20
-"""Times that a decision is timed."""
+"""Number of times that a decision is timed; the fastest counts."""
 
 
 def make_boxes(groups: int) -> dict[BoxId, Box]:
-    """Return the boxes for some groups, with a few spares."""
-    count = round(groups * GROUP_BOXES * SPARE_SHARE)
+    """Return enough boxes for a number of groups, plus spares."""
+    count = round(groups * GROUP_BOXES * SPARE_FACTOR)
     boxes = [
         Box(
             box=BoxId(f'box-{number:04}'),
@@ -81,8 +81,8 @@
     return {box.box: box for box in boxes}
 
 
-def make_objects(groups: int) -> Configuration:
-    """Return a configuration with some groups and ten client accounts."""
+def make_group_configuration(groups: int) -> Configuration:
+    """Return a configuration with groups and ten client accounts."""
     raw = {
         'service': [{'name': 'llm', 'model': 'm'}],
         'group_set': [
@@ -104,17 +104,19 @@
 
 
 def time_call(work: Callable[[], Any]) -> float:
-    """Return the milliseconds of one call, the least of several."""
+    """Return the shortest duration of several calls, in milliseconds."""
     best = float('inf')
     for _ in range(REPEATS):
-        began_at = time.perf_counter()
+        started_at = time.perf_counter()
         work()
-        best = min(best, time.perf_counter() - began_at)
+        best = min(best, time.perf_counter() - started_at)
     return best * 1000
 
 
-def settle(boxes: dict[BoxId, Box], configuration: Configuration) -> Roster:
-    """Return the roster in which all groups serve."""
+def form_all_groups(
+    boxes: dict[BoxId, Box], configuration: Configuration
+) -> Roster:
+    """Return a roster in which all groups serve."""
     roster = Roster(0)
     for _ in range(2):
         view = AssemblyView(
@@ -129,11 +131,11 @@
     return roster
 
 
-def lose_one(
+def lose_one_box(
     boxes: dict[BoxId, Box],
     roster: Roster,
 ) -> dict[BoxId, Box]:
-    """Return the boxes with one of a group lost."""
+    """Return the boxes with one member of a group lost."""
     group = next(iter(roster))
     lost = group.head.box
     box = msgspec.structs.replace(boxes[lost], state=BoxState.LOST)
@@ -141,12 +143,12 @@
 
 
 def measure_assembly(groups: int) -> dict[str, Any]:
-    """Measure plans and the roster document."""
+    """Measure planning and the size of the roster document."""
     boxes = make_boxes(groups)
-    configuration = make_objects(groups)
-    roster = settle(boxes, configuration)
+    configuration = make_group_configuration(groups)
+    roster = form_all_groups(boxes, configuration)
     idle = AssemblyView(boxes, configuration, {})
-    broken = AssemblyView(lose_one(boxes, roster), configuration, {})
+    broken = AssemblyView(lose_one_box(boxes, roster), configuration, {})
     document = Document(roster.number, roster.to_entries())
     plan = plan_assembly(roster, broken, SparesOnly(), 0)
     later = roster.replace(roster.number + 1, plan.changed, plan.removed)
@@ -168,34 +170,34 @@
 
 
 def measure_routing(groups: int) -> dict[str, Any]:
-    """Measure the choice of a group for one request."""
-    configuration = make_objects(groups)
+    """Measure the selection of a group for one request."""
+    configuration = make_group_configuration(groups)
     index = ServingIndex(
         configuration,
-        settle(make_boxes(groups), configuration),
+        form_all_groups(make_boxes(groups), configuration),
     )
-    found = index.list_groups(RequestShape('llm', 'a1', 'default'))
+    candidates = index.list_groups(RequestShape('llm', 'a1', 'default'))
     random = Random(1)
     health = HealthTable(6)
-    for group in found:
+    for group in candidates:
         health.record_answer(group.group, random.random(), 0)
-    balance = ServiceLoadCache(health, LoadTable())
-    loads = balance.build_loads('llm', found, 0)
+    load_cache = ServiceLoadCache(health, LoadTable())
+    loads = load_cache.build_loads('llm', candidates, 0)
     is_usable = partial(_is_usable, health)
     return {
         'groups': groups,
         'summary_us': time_call(
             lambda: ServiceLoadCache(health, LoadTable()).build_loads(
-                'llm', found, 0
+                'llm', candidates, 0
             ),
         )
         * 1000,
         'less_loaded_us': time_call(
-            lambda: choose_less_loaded(found, is_usable, loads, random),
+            lambda: choose_less_loaded(candidates, is_usable, loads, random),
         )
         * 1000,
         'session_us': time_call(
-            lambda: choose_for_session(_SESSION, found, is_usable, loads),
+            lambda: choose_for_session(SESSION, candidates, is_usable, loads),
         )
         * 1000,
     }
@@ -206,7 +208,7 @@
 
 
 def make_record(number: int) -> NodeRecord:
-    """Return the record of one of many nodes."""
+    """Return the membership record of a node."""
     return NodeRecord(
         node=NodeId(f'entry-{number}'),
         incarnation=Incarnation(1_796_000_000_000 + number),
@@ -220,12 +222,12 @@
 
 
 def measure_membership(nodes: int) -> dict[str, Any]:
-    """Measure the membership view of some nodes."""
+    """Measure the membership table of a system with a number of nodes."""
     table = MembershipTable(make_record(0), 2)
     records = [make_record(number) for number in range(1, nodes)]
     for record in records:
         table.merge(record, 0)
-    roster = settle(make_boxes(600), make_objects(600))
+    roster = form_all_groups(make_boxes(600), make_group_configuration(600))
     groups = list(roster)
     return {
         'nodes': nodes,
@@ -246,7 +248,7 @@
 
 
 def measure_configuration(accounts: int) -> dict[str, Any]:
-    """Measure a configuration with some client accounts."""
+    """Measure a configuration with a number of client accounts."""
     raw = {
         'account': [
             {
@@ -267,7 +269,7 @@
 
 
 def measure_claims(claims: int) -> dict[str, Any]:
-    """Measure a home that keeps some claims."""
+    """Measure a claim table with a number of claims."""
     table = ClaimTable(NodeId('entry-1'), Incarnation(1))
     prefix = make_id_prefix(NodeId('entry-1'), Incarnation(1), 1)
     keys = [
@@ -275,21 +277,21 @@
         for number in range(claims)
     ]
     tracemalloc.start()
-    began_at = time.perf_counter()
+    started_at = time.perf_counter()
     for key in keys:
         table.claim(key, NodeId('entry-1'), 1, 2)
-    passed = time.perf_counter() - began_at
-    kept, _ = tracemalloc.get_traced_memory()
+    elapsed = time.perf_counter() - started_at
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
         'claims': len(table),
-        'claim_us_traced': passed / claims * 1e6,
-        'bytes_a_claim': kept / claims,
+        'claim_us_traced': elapsed / claims * 1e6,
+        'bytes_a_claim': allocated_bytes / claims,
     }
 
 
 def measure_report() -> dict[str, Any]:
-    """Measure one report of a load on the wire."""
+    """Measure the encoded size of load reports."""
     reports = [(GroupId(f'main.{number}.0'), 4, 17) for number in range(100)]
     raw = msgspec.msgpack.encode(LoadUpdate(tuple(reports)))
     return {'reports': len(reports), 'bytes_a_report': len(raw) / len(reports)}
--- a/waywell/bench/faults.py
+++ b/waywell/bench/faults.py
@@ -1,4 +1,4 @@
-"""Load and faults on real processes: a slow replica, a flood, failures."""
+"""Behaviour of real processes with a slow replica, failures and a flood."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
     import subprocess
 
 LOAD_PATH = '/services/llm/x'
-"""Path of the requests."""
+"""Path of the requests to the model service."""
 
 BOXES = 6
-"""Replicas of one box."""
+"""Number of replicas, each of one box."""
 
 NORMAL_SECONDS = 0.02
-"""Time of a usual answer."""
+"""Duration of an answer of a healthy replica."""
 
 SLOW_SECONDS = 0.4
-"""Time of an answer of the slow replica."""
+"""Duration of an answer of the slow replica."""
 
 CHOICES = ('product', 'random', 'least_in_flight')
-"""Choices of group that are compared."""
+"""Group selections to compare, by their names in ``baselines``."""
 
 FLOOD_KEY = 'flood-key'
-"""Key of the account that floods."""
+"""API key of the client account that floods the service."""
 
 AUTH = {'authorization': f'Bearer {CALLER_KEY}'}
-"""Headers of the account that doesn't."""
+"""Headers of the other client account."""
 
 
-def load_entries(
+def start_entry_load(
     bench: Bench,
     entries: list[str],
     headers: dict[str, str],
     **options: Any,
 ) -> subprocess.Popen[bytes]:
-    """Start a load on the model service through some entry boxes."""
+    """Start a load on the model service through entry boxes."""
     ports = [bench.entries[name].ports['caller_port'] for name in entries]
     return start_load(ports, LOAD_PATH, headers, **options)
 
@@ -58,7 +58,7 @@
     choice: str = 'product',
     **changes: Any,
 ) -> list[str]:
-    """Start two entry boxes before six replicas."""
+    """Start two entry boxes and six replicas; return the entry boxes."""
     names = ['entry-1', 'entry-2']
     for name in names:
         bench.start_entry(
@@ -84,7 +84,7 @@
 
 
 def count_runs(bench: Bench) -> dict[str, int]:
-    """Return the runs of each replica."""
+    """Return the number of requests that each replica has run."""
     return {
         name: sum(bench.set_target_faults(name).values())
         for name in bench.targets
@@ -92,52 +92,54 @@
 
 
 def measure_slow(choice: str) -> dict[str, Any]:
-    """Measure a load with one replica that turns slow."""
+    """Measure a load while one replica is slow and after it recovers."""
     with Bench() as bench:
         names = start_system(bench, choice)
         bench.set_target_faults('b0', slow=SLOW_SECONDS)
-        told = finish_load(
-            load_entries(bench, names, AUTH, workers=12, requests=150),
+        figures = finish_load(
+            start_entry_load(bench, names, AUTH, workers=12, requests=150),
         )
         runs = count_runs(bench)
         bench.set_target_faults('b0', slow=NORMAL_SECONDS)
-        finish_load(load_entries(bench, names, AUTH, workers=12, requests=600))
+        finish_load(
+            start_entry_load(bench, names, AUTH, workers=12, requests=600)
+        )
         later = count_runs(bench)
         share = (later['b0'] - runs['b0']) / (
             sum(later.values()) - sum(runs.values())
         )
         return {
             'choice': choice,
-            'median_ms': told['median'] * 1000,
-            'p95_ms': told['p95'] * 1000,
-            'p99_ms': told['p99'] * 1000,
-            'a_second': told['a_second'],
+            'median_ms': figures['median'] * 1000,
+            'p95_ms': figures['p95'] * 1000,
+            'p99_ms': figures['p99'] * 1000,
+            'a_second': figures['a_second'],
             'share_of_slow': runs['b0'] / sum(runs.values()),
             'share_when_well': share,
         }
 
 
 def measure_failing() -> dict[str, Any]:
-    """Measure the extra load of retries when every target fails."""
+    """Measure the extra load by retries when every target fails."""
     with Bench() as bench:
         names = start_system(bench)
         for name in bench.targets:
             bench.set_target_faults(name, close_after_read=True)
-        told = finish_load(
-            load_entries(bench, names, AUTH, workers=8, requests=250),
+        figures = finish_load(
+            start_entry_load(bench, names, AUTH, workers=8, requests=250),
         )
-        asked = sum(told['statuses'].values())
-        ran = sum(count_runs(bench).values())
+        requests = sum(figures['statuses'].values())
+        attempts = sum(count_runs(bench).values())
         return {
-            'requests': asked,
-            'attempts': ran,
-            'extra': ran / asked - 1,
-            'statuses': json.dumps(told['statuses']),
+            'requests': requests,
+            'attempts': attempts,
+            'extra': attempts / requests - 1,
+            'statuses': json.dumps(figures['statuses']),
         }
 
 
 def measure_flood(flooding: bool) -> dict[str, Any]:
-    """Measure a small account, alone or beside one that floods."""
+    """Measure a small client account, alone or beside a flooding one."""
     accounts = [
         {'name': 'desk', 'key_hashes': [hash_text(CALLER_KEY)]},
         {'name': 'flood', 'key_hashes': [hash_text(FLOOD_KEY)]},
@@ -149,7 +151,7 @@
         flood = None
         if flooding:
             headers = {'authorization': f'Bearer {FLOOD_KEY}'}
-            flood = load_entries(
+            flood = start_entry_load(
                 bench,
                 names,
                 headers,
@@ -157,28 +159,30 @@
                 requests=25,
                 gap=0.05,
             )
-        told = finish_load(
-            load_entries(bench, names, AUTH, workers=8, requests=15),
+        figures = finish_load(
+            start_entry_load(bench, names, AUTH, workers=8, requests=15),
         )
-        flooded: dict[str, Any] = {'whole': 0, 'statuses': {}}
+        flood_figures: dict[str, Any] = {'whole': 0, 'statuses': {}}
         if flood is not None:
-            flooded = finish_load(flood)
+            flood_figures = finish_load(flood)
         return {
             'flood': flooding,
-            'small_whole': told['whole'],
-            'small_asked': sum(told['statuses'].values()),
-            'small_p95_ms': told['p95'] * 1000,
-            'flood_whole': flooded['whole'],
-            'flood_refused': sum(flooded['statuses'].values())
-            - flooded['whole'],
+            'small_whole': figures['whole'],
+            'small_asked': sum(figures['statuses'].values()),
+            'small_p95_ms': figures['p95'] * 1000,
+            'flood_whole': flood_figures['whole'],
+            'flood_refused': sum(flood_figures['statuses'].values())
+            - flood_figures['whole'],
         }
 
 
 def main() -> None:
-    """Run the benchmarks."""
+    """Run the benchmarks of slow replicas, failures and floods."""
     write_figures('slow', [measure_slow(choice) for choice in CHOICES])
     write_figures('failing', [measure_failing()])
-    write_figures('flood', [measure_flood(on) for on in (False, True)])
+    write_figures(
+        'flood', [measure_flood(flooding) for flooding in (False, True)]
+    )
 
 
 if __name__ == '__main__':
--- a/waywell/bench/load.py
+++ b/waywell/bench/load.py
@@ -1,7 +1,7 @@
-"""A load tool: ``python -m waywell.bench.load``, a process of its own.
+"""Load generator, run as a separate process.
 
-It makes requests on kept connections from a few threads and prints
-latencies and counts as one JSON line.
+``python -m waywell.bench.load`` sends requests over persistent connections
+from several threads and prints latencies and counts as one line of JSON.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 @attrs.frozen
 class LoadSpec:
-    """What to ask, how often."""
+    """Requests that each worker sends."""
 
     hosts: list[tuple[str, int]]
-    """Addresses, taken in turn by the workers."""
+    """Hosts and ports, assigned to the workers in rotation."""
 
     path: str
     """Path of each request."""
@@ -33,33 +33,37 @@
     """Headers of each request."""
 
     requests: int
-    """Requests of one worker."""
+    """Number of requests of each worker."""
 
     gap: float
-    """Seconds that a worker pauses between two requests."""
+    """Pause of a worker after each request, in seconds."""
 
 
 @attrs.define
-class LoadCounts:
-    """What came of the requests."""
+class WorkerResults:
+    """Latencies and statuses of the requests of one worker."""
 
     seconds: list[float] = attrs.Factory(list)
-    """Time of each whole answer."""
+    """Seconds to the end of each complete successful answer."""
 
-    first: list[float] = attrs.Factory(list)
-    """Time to the head of each whole answer."""
+    head_seconds: list[float] = attrs.Factory(list)
+    """Seconds to the head of each complete successful answer."""
 
     statuses: dict[int, int] = attrs.Factory(dict)
-    """Answers by status; 0 for those cut short."""
+    """Number of answers by status; 0 stands for incomplete answers."""
 
 
-def run_worker(spec: LoadSpec, worker: int, counts: LoadCounts) -> None:
-    """Make the requests of one worker."""
+def run_worker(
+    spec: LoadSpec, worker: int, worker_results: WorkerResults
+) -> None:
+    """Send the requests of one worker and record the results."""
     host, port = spec.hosts[worker % len(spec.hosts)]
     connection = HTTPConnection(host, port, timeout=60)
     for _ in range(spec.requests):
-        status = make_request(connection, spec, counts)
-        counts.statuses[status] = counts.statuses.get(status, 0) + 1
+        status = make_request(connection, spec, worker_results)
+        worker_results.statuses[status] = (
+            worker_results.statuses.get(status, 0) + 1
+        )
         if not status:
             connection.close()
         if spec.gap:
@@ -70,18 +74,18 @@
 def make_request(
     connection: HTTPConnection,
     spec: LoadSpec,
-    counts: LoadCounts,
+    worker_results: WorkerResults,
 ) -> int:
-    """Make one request; return its status, or 0 when it was cut."""
-    began_at = time.perf_counter()
+    """Send one request; return its status, or 0 if no answer completed."""
+    started_at = time.perf_counter()
     try:
         status, head_at = read_answer(connection, spec)
     except (OSError, HTTPException):
         return 0
     ended_at = time.perf_counter()
     if status < 300:
-        counts.first.append(head_at - began_at)
-        counts.seconds.append(ended_at - began_at)
+        worker_results.head_seconds.append(head_at - started_at)
+        worker_results.seconds.append(ended_at - started_at)
     return status
 
 
@@ -89,7 +93,13 @@
     connection: HTTPConnection,
     spec: LoadSpec,
 ) -> tuple[int, float]:
-    """Read a whole answer; return its status and when its head came."""
+    """Send a request and read its answer.
+
+    Returns
+    -------
+    tuple
+        Status, and the time at which the head arrived, in seconds.
+    """
     connection.request('GET', spec.path, headers=spec.headers)
     response = connection.getresponse()
     head_at = time.perf_counter()
@@ -98,28 +108,40 @@
 
 
 def run_load(spec: LoadSpec, workers: int) -> dict[str, Any]:
-    """Run all workers; return the figures."""
-    tallies = [LoadCounts() for _ in range(workers)]
+    """Run all workers; return the summarised results."""
+    all_results = [WorkerResults() for _ in range(workers)]
     threads = [
-        threading.Thread(target=run_worker, args=(spec, number, tally))
-        for number, tally in enumerate(tallies)
+        threading.Thread(
+            target=run_worker, args=(spec, number, worker_results)
+        )
+        for number, worker_results in enumerate(all_results)
     ]
-    began_at = time.perf_counter()
+    started_at = time.perf_counter()
     for thread in threads:
         thread.start()
     for started in threads:
         started.join()
-    wall = time.perf_counter() - began_at
-    return sum_up(tallies, wall)
-
-
-def sum_up(tallies: list[LoadCounts], wall: float) -> dict[str, Any]:
-    """Return the figures of several workers."""
-    seconds = [one for tally in tallies for one in tally.seconds]
-    first = [one for tally in tallies for one in tally.first]
+    wall = time.perf_counter() - started_at
+    return summarise_results(all_results, wall)
+
+
+def summarise_results(
+    all_results: list[WorkerResults], wall: float
+) -> dict[str, Any]:
+    """Return counts and latency quantiles over all workers."""
+    seconds = [
+        duration
+        for worker_results in all_results
+        for duration in worker_results.seconds
+    ]
+    head_seconds = [
+        duration
+        for worker_results in all_results
+        for duration in worker_results.head_seconds
+    ]
     statuses: dict[int, int] = {}
-    for tally in tallies:
-        for status, count in tally.statuses.items():
+    for worker_results in all_results:
+        for status, count in worker_results.statuses.items():
             statuses[status] = statuses.get(status, 0) + count
     return {
         'wall': wall,
@@ -128,8 +150,10 @@
         'median': find_quantile(seconds, 0.5) if seconds else 0,
         'p95': find_quantile(seconds, 0.95) if seconds else 0,
         'p99': find_quantile(seconds, 0.99) if seconds else 0,
-        'first_median': find_quantile(first, 0.5) if first else 0,
-        'first_p95': find_quantile(first, 0.95) if first else 0,
+        'first_median': find_quantile(head_seconds, 0.5)
+        if head_seconds
+        else 0,
+        'first_p95': find_quantile(head_seconds, 0.95) if head_seconds else 0,
         'statuses': statuses,
     }
 
@@ -142,7 +166,11 @@
     gap: float = 0,
     headers: str = '{}',
 ) -> None:
-    """Run a load and print its figures as JSON."""
+    """Run a load and print the results as JSON.
+
+    ``--hosts`` takes addresses such as ``127.0.0.1:8000``, joined by ``+``;
+    ``--headers`` takes a JSON object.
+    """
     pairs = [host.rpartition(':') for host in str(hosts).split('+')]
     spec = LoadSpec(
         hosts=[(host, int(port)) for host, _, port in pairs],
--- a/waywell/bench/request.py
+++ b/waywell/bench/request.py
@@ -1,4 +1,4 @@
-"""The request path: one entry box against going straight to the target."""
+"""Cost of the request path: through an entry box or directly to the target."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 )
 
 ROUNDS = 3
-"""Rounds, straight and through the entry box in turn."""
+"""Number of rounds; each measures both direct and proxied requests."""
 
 REQUESTS = 1500
-"""Requests of one worker in a round."""
+"""Number of requests of one worker in a round."""
 
 STREAMS = 16
-"""Streams at once."""
+"""Number of concurrent streams."""
 
 TOKENS = 400
-"""Tokens of one stream."""
+"""Number of tokens in one stream."""
 
 AUTH = {'authorization': f'Bearer {CALLER_KEY}'}
-"""Headers that name the client account."""
+"""Headers that authenticate the client account."""
 
 
-def start_one(bench: Bench) -> tuple[int, int, int]:
-    """Start one entry box before one model and one plain target.
+def start_system(bench: Bench) -> tuple[int, int, int]:
+    """Start one entry box with one model target and one plain target.
 
     Returns
     -------
     tuple
-        Caller port, port of the plain target, process id of the entry.
+        Caller port of the entry box, port of the plain target, and process
+        id of the entry box.
     """
     bench.start_entry('entry-1', top={'history': ''})
     bench.start_boxes(
@@ -53,9 +54,9 @@
 
 
 def measure_small(caller: int, app: int, pid: int) -> dict[str, Any]:
-    """Measure small requests, one worker at a time for the latency."""
-    straight = run_load([app], '/x', {}, workers=1, requests=REQUESTS)
-    through = run_load(
+    """Measure small requests: latency with 1 worker, throughput with 8."""
+    direct = run_load([app], '/x', {}, workers=1, requests=REQUESTS)
+    proxied = run_load(
         [caller],
         '/services/app/x',
         AUTH,
@@ -63,7 +64,7 @@
         requests=REQUESTS,
     )
     before = read_cpu(pid)
-    full = run_load(
+    loaded = run_load(
         [caller],
         '/services/app/x',
         AUTH,
@@ -72,22 +73,22 @@
     )
     used = read_cpu(pid) - before
     return {
-        'straight_median_ms': straight['median'] * 1000,
-        'through_median_ms': through['median'] * 1000,
-        'ratio_median': through['median'] / straight['median'],
-        'straight_p99_ms': straight['p99'] * 1000,
-        'through_p99_ms': through['p99'] * 1000,
-        'ratio_p99': through['p99'] / straight['p99'],
-        'requests_a_second': full['a_second'],
-        'cpu_ms_a_request': used / full['whole'] * 1000,
+        'straight_median_ms': direct['median'] * 1000,
+        'through_median_ms': proxied['median'] * 1000,
+        'ratio_median': proxied['median'] / direct['median'],
+        'straight_p99_ms': direct['p99'] * 1000,
+        'through_p99_ms': proxied['p99'] * 1000,
+        'ratio_p99': proxied['p99'] / direct['p99'],
+        'requests_a_second': loaded['a_second'],
+        'cpu_ms_a_request': used / loaded['whole'] * 1000,
     }
 
 
 def measure_streams(caller: int, pid: int) -> dict[str, Any]:
-    """Measure tokens of streams through the entry box."""
+    """Measure the throughput of streams through the entry box."""
     headers = {**AUTH, 'standin-tokens': str(TOKENS)}
     before = read_cpu(pid)
-    told = run_load(
+    figures = run_load(
         [caller],
         '/services/llm/v1/chat',
         headers,
@@ -95,19 +96,19 @@
         requests=2,
     )
     used = read_cpu(pid) - before
-    tokens = told['whole'] * TOKENS
+    tokens = figures['whole'] * TOKENS
     return {
         'tokens': tokens,
-        'tokens_a_second': tokens / told['wall'],
+        'tokens_a_second': tokens / figures['wall'],
         'cpu_us_a_token': used / tokens * 1e6,
-        'first_p95_ms': told['first_p95'] * 1000,
+        'first_p95_ms': figures['first_p95'] * 1000,
     }
 
 
 def main() -> None:
     """Run the benchmark."""
     with Bench() as bench:
-        caller, app, pid = start_one(bench)
+        caller, app, pid = start_system(bench)
         idle = read_memory(pid)
         rows = [measure_small(caller, app, pid) for _ in range(ROUNDS)]
         write_figures('request', rows, memory_idle_mb=idle)
--- a/waywell/bench/search.py
+++ b/waywell/bench/search.py
@@ -1,7 +1,8 @@
-"""What the search for changes of groups costs, by the number of boxes.
+"""Cost of the search for group changes, by the number of boxes.
 
-``python -m waywell.bench.search``; domains of 19 boxes with idle ones in each,
-two of which change between two searches; times as the least of several rounds.
+``python -m waywell.bench.search`` searches fabric domains of 19 boxes with
+idle boxes in each.  Two domains change between two searches.  The shortest
+time of several rounds counts.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 import msgspec
 
-from waywell.bench.feed import SERVICE, measure
+from waywell.bench.feed import SERVICE, measure_cpu_ms
 from waywell.bench.figures import write_figures
 from waywell.ids import BoxId, DomainName, Epoch, HallName, ModelName
 from waywell.version.fleet import (
@@ -31,28 +32,28 @@
     from waywell.version.fleet import BoxesByDomain
 
 DOMAINS = (6, 40, 126)
-"""Fabric domains: a small site, a large one, the target."""
+"""Numbers of fabric domains: a small site, a large one, and the target."""
 
 DOMAIN_BOXES = 19
-"""Boxes of a domain."""
+"""Number of boxes in a domain."""
 
 BIG = EngineModel(ModelName('big'), 8, 0.5, load_seconds=16.0)
 SMALL = EngineModel(ModelName('small'), 4, 0.5, load_seconds=12.0)
 GROUP_MODELS = (BIG, SMALL, SMALL)
-"""Models of the groups of a domain; the boxes left over are idle."""
+"""Models of the groups in a domain; the remaining boxes are idle."""
 
 ENGINE = Engine(7, (BIG, SMALL), loads_per_second=63.0, loads_at_once=95)
-"""The engine."""
+"""Engine figures of both models."""
 
-CHANGED = 2
-"""Domains that change between two searches."""
+CHANGED_DOMAINS = 2
+"""Number of domains that change between two searches."""
 
 
 def make_boxes(domain: int) -> list[FleetBox]:
-    """Return the boxes of a domain: three groups, and idle ones."""
+    """Return the boxes of a domain: three groups and idle boxes."""
     boxes: list[FleetBox] = []
-    for place, model in enumerate(GROUP_MODELS):
-        epoch = Epoch(domain * len(GROUP_MODELS) + place + 1)
+    for index, model in enumerate(GROUP_MODELS):
+        epoch = Epoch(domain * len(GROUP_MODELS) + index + 1)
         group = make_group_name(model.name, epoch)
         other = BIG if model is SMALL else SMALL
         for rank in range(model.boxes_per_group):
@@ -70,7 +71,7 @@
     staged: EngineModel,
     standing: Standing | None = None,
 ) -> FleetBox:
-    """Return a box that holds a second model."""
+    """Return a box with a staged model."""
     return FleetBox(
         BoxId(name),
         SERVICE,
@@ -83,8 +84,8 @@
     )
 
 
-class _Site:
-    """A fleet and what the holder of the duty remembers of it."""
+class _SimulatedSite:
+    """A fleet and the memory of the forming duty's holder."""
 
     def __init__(self, domains: int) -> None:
         self.memory = FormingMemory()
@@ -102,7 +103,7 @@
         }
 
     def search(self) -> None:
-        """Look for the best change of each domain."""
+        """Search for the best change in each domain."""
         serving = tuple(self.fleet.groups.values())
         need = ModelNeed(
             ENGINE,
@@ -114,14 +115,14 @@
         need.serving.update(need.groups)
         RegroupSearch(need, self.memory, serving).list_best(self._list_idle())
 
-    def search_whole(self) -> None:
-        """Search as if nothing were known."""
+    def search_without_cache(self) -> None:
+        """Search without cached candidates."""
         self.memory.candidate_changes.clear()
         self.search()
 
-    def search_changed(self) -> None:
+    def search_after_changes(self) -> None:
         """Search after boxes of two domains have changed."""
-        for domain in range(CHANGED):
+        for domain in range(CHANGED_DOMAINS):
             name = BoxId(f'idle{domain}-{DOMAIN_BOXES - 1}')
             box = self.fleet.boxes[name]
             self.fleet.boxes[name] = msgspec.structs.replace(
@@ -138,14 +139,14 @@
 
 
 def measure_domains(domains: int) -> dict[str, Any]:
-    """Return the figures for a number of domains."""
-    site = _Site(domains)
+    """Return all figures for a number of domains."""
+    site = _SimulatedSite(domains)
     return {
         'boxes': domains * DOMAIN_BOXES,
         'domains': domains,
-        'whole_ms': measure(site.search_whole),
-        'changed_ms': measure(site.search_changed),
-        'same_ms': measure(site.search),
+        'whole_ms': measure_cpu_ms(site.search_without_cache),
+        'changed_ms': measure_cpu_ms(site.search_after_changes),
+        'same_ms': measure_cpu_ms(site.search),
     }
 
 
--- a/waywell/bench/size.py
+++ b/waywell/bench/size.py
@@ -1,7 +1,7 @@
-"""Entry boxes that hold the roster of many groups: memory and probing.
+"""Memory and probing cost of entry boxes with a large roster.
 
-All boxes of the list lead to one target stand-in of a service without
-fences, so that the size of the roster is real and the targets are not.
+All entries of the box list point to one stand-in target of an unfenced
+service, so that the roster has its real size without as many targets.
 """
 
 from __future__ import annotations
@@ -18,23 +18,25 @@
 from waywell.standins.harness import Bench, BoxSpec, make_configuration
 
 GROUPS = (0, 60, 600)
-"""Groups of four boxes."""
+"""Numbers of groups to measure."""
 
 GROUP_BOXES = 4
-"""Boxes of a group."""
+"""Number of boxes in a group."""
 
 PROBE_SECONDS = 15.0
-"""Seconds between two probes of a group; long, as one target answers all."""
+"""Interval between two probes of a group; long because a single target answers
+all probes."""
 
 NODES = 2
-"""Entry boxes; each probes every group, as every group has two probers."""
+"""Number of entry boxes; since each group has two probers, both probe every
+group."""
 
-WINDOWS = 2
-"""Rounds of probes over which processor time is measured."""
+PROBE_ROUNDS = 2
+"""Number of probe rounds over which processor time is measured."""
 
 
 def start_nodes(bench: Bench) -> list[str]:
-    """Start the entry boxes."""
+    """Start the entry boxes; return their names."""
     names = [f'entry-{number}' for number in range(NODES)]
     for name in names:
         bench.start_entry(
@@ -45,8 +47,8 @@
     return names
 
 
-def list_boxes(bench: Bench, count: int) -> None:
-    """Put boxes on the box list that all lead to one target."""
+def register_boxes(bench: Bench, count: int) -> None:
+    """Register boxes that all have the address of one target."""
     spec = BoxSpec('app-1', fenced=False, labels={'pool': 'app'})
     bench.restart_target(spec)
     port = bench.targets['app-1'].ports['port']
@@ -56,36 +58,36 @@
 
 
 def form_groups(bench: Bench, names: list[str], groups: int) -> float:
-    """Form groups; return the seconds until all serve at each node."""
-    began_at = time.monotonic()
-    bench.apply(names[0], make_unfenced(groups))
+    """Form groups; return the seconds until all serve on each node."""
+    started_at = time.monotonic()
+    bench.apply(names[0], make_unfenced_configuration(groups))
     for name in names:
         bench.wait_serving(name, 'llm-main', groups)
-    return time.monotonic() - began_at
+    return time.monotonic() - started_at
 
 
 def measure(groups: int) -> dict[str, Any]:
-    """Measure two entry boxes with some groups."""
+    """Measure the entry boxes with a number of groups."""
     with Bench() as bench:
         names = start_nodes(bench)
-        list_boxes(bench, groups * GROUP_BOXES)
-        formed = form_groups(bench, names, groups)
+        register_boxes(bench, groups * GROUP_BOXES)
+        forming_seconds = form_groups(bench, names, groups)
         time.sleep(PROBE_SECONDS)
         pids = [bench.entries[name].pid for name in names]
         before = sum(map(read_cpu, pids))
-        time.sleep(PROBE_SECONDS * WINDOWS)
+        time.sleep(PROBE_SECONDS * PROBE_ROUNDS)
         used = sum(map(read_cpu, pids)) - before
         return {
             'groups': groups,
-            'formed_s': formed,
+            'formed_s': forming_seconds,
             'memory_mb': max(map(read_memory, pids)),
-            'probes_a_node': groups * GROUP_BOXES * WINDOWS,
+            'probes_a_node': groups * GROUP_BOXES * PROBE_ROUNDS,
             'cpu_s_a_node': used / NODES,
         }
 
 
-def make_unfenced(groups: int) -> dict[str, Any]:
-    """Return a configuration whose model service has no fences."""
+def make_unfenced_configuration(groups: int) -> dict[str, Any]:
+    """Return a configuration with an unfenced model service."""
     service = [
         {'name': 'llm', 'type': 'model', 'fenced': False},
         {'name': 'app', 'type': 'plain', 'fenced': False},
--- a/waywell/bench/turn_fleet.py
+++ b/waywell/bench/turn_fleet.py
@@ -1,8 +1,8 @@
-"""Nodes that send to one replica with a limit, without sockets.
+"""Nodes that draw permits for one limited replica, without sockets.
 
-The decisions are those of the daemons, with the time as an argument: who
-deals, at which rate, and to whom.  What each node knows of the others is set
-from outside, so that nodes may see different fleets.
+The daemons' own code, with the time as an argument, decides which nodes issue
+permits, at which rate and to whom.  The test or benchmark sets which other
+nodes each node sees, so that the views of the nodes can differ.
 """
 
 from __future__ import annotations
@@ -21,99 +21,105 @@
     from collections.abc import Mapping
     from random import Random
 
-LIFE = BoxLife(BoxId('box'), Incarnation(1))
-"""The replica."""
+BOX_LIFE = BoxLife(BoxId('box'), Incarnation(1))
+"""Life of the box whose replica has the limit."""
 
 HALL = HallName('hall-0')
-"""Its data hall."""
+"""Data hall of that box, and default data hall of the nodes."""
 
 
 @attrs.define
-class TurnNode:
-    """One node: what it knows, and what it deals."""
+class PermitNode:
+    """A node with its view of the membership and its permit issuer."""
 
     name: NodeId
     hall: HallName
     limits: ReportedLimits = attrs.Factory(ReportedLimits)
-    part: int = 0
-    choice: IssuerAssignment = attrs.field(init=False)
-    dealer: PermitIssuer = attrs.field(init=False)
+    partition: int = 0
+    assignment: IssuerAssignment = attrs.field(init=False)
+    issuer: PermitIssuer = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """See nobody else yet."""
-        self.dealer = PermitIssuer(self.limits)
-        self.see({self.name: self.hall}, 1, has_joined=False)
+        """Start with a view that contains only the node itself."""
+        self.issuer = PermitIssuer(self.limits)
+        self.set_visible_nodes({self.name: self.hall}, 1, has_joined=False)
 
-    def see(
+    def set_visible_nodes(
         self,
         halls: Mapping[NodeId, HallName],
-        known: int,
+        known_count: int,
         *,
         has_joined: bool = True,
     ) -> None:
-        """See other nodes from now on."""
-        view = MembershipView(self.name, dict(halls), known, has_joined)
-        self.choice = IssuerAssignment(view)
+        """Set which nodes this node sees, by their data halls."""
+        view = MembershipView(self.name, dict(halls), known_count, has_joined)
+        self.assignment = IssuerAssignment(view)
 
 
-class TurnFleet:
-    """All nodes, and what came to the replica.
+class PermitFleet:
+    """All nodes, and the times of the requests sent to the replica.
 
     Parameters
     ----------
     random
-        Draws the order in which dealers are asked.
+        Source of the order in which issuers are asked.
     """
 
     def __init__(self, random: Random) -> None:
-        """Start without nodes."""
-        self.nodes: dict[NodeId, TurnNode] = {}
-        self.sent: list[float] = []
+        """Create a fleet without nodes."""
+        self.nodes: dict[NodeId, PermitNode] = {}
+        self.sent_at: list[float] = []
         self._random = random
 
-    def add(self, name: str, hall: HallName = HALL) -> TurnNode:
-        """Add a node that sees nobody yet."""
-        node = TurnNode(NodeId(name), hall)
+    def add_node(self, name: str, hall: HallName = HALL) -> PermitNode:
+        """Add a node that sees only itself."""
+        node = PermitNode(NodeId(name), hall)
         self.nodes[node.name] = node
         return node
 
-    def see_all(self) -> None:
-        """Let every node see the nodes that are in its part."""
+    def update_visible_nodes(self) -> None:
+        """Show every node the nodes of its network partition."""
         for node in self.nodes.values():
-            self.see(node)
+            self.show_partition(node)
 
-    def see(self, node: TurnNode) -> None:
-        """Let a node see who is in its part, and that there are others."""
+    def show_partition(self, node: PermitNode) -> None:
+        """Show a node the nodes of its partition and the number of all."""
         live = {
             other.name: other.hall
             for other in self.nodes.values()
-            if other.part == node.part
+            if other.partition == node.partition
         }
-        known = node.choice.view.halls.keys() | self.nodes.keys()
-        node.see(live, max(node.choice.view.known_count, len(known)))
-
-    def name_limit(self, limit: float, now: float) -> None:
-        """Let every node hear of a limit."""
-        word = LimitReport(limit, now, now, now, HALL)
+        known_nodes = node.assignment.view.halls.keys() | self.nodes.keys()
+        node.set_visible_nodes(
+            live, max(node.assignment.view.known_count, len(known_nodes))
+        )
+
+    def report_limit(self, limit: float, now: float) -> None:
+        """Record a limit of the replica at every node."""
+        report = LimitReport(limit, now, now, now, HALL)
         for node in self.nodes.values():
-            node.limits.record(LIFE, word, 'test')
-            node.dealer.update(node.choice, now)
+            node.limits.record(BOX_LIFE, report, 'test')
+            node.issuer.update(node.assignment, now)
 
-    def tend(self, now: float) -> None:
-        """Let every node look at the limits and the nodes of now."""
+    def update_issuers(self, now: float) -> None:
+        """Update every node's issuer for its current limits and view."""
         for node in self.nodes.values():
-            node.dealer.update(node.choice, now)
+            node.issuer.update(node.assignment, now)
+
+    def request_permit(self, name: NodeId, now: float, rank: int = 0) -> bool:
+        """Request a permit for a node and send a request if it is granted.
 
-    def ask(self, name: NodeId, now: float, rank: int = 0) -> bool:
-        """Let a node send a request, if it gets a turn for it."""
+        Return whether the request was sent.  Only issuers in the partition of
+        the node are reachable.
+        """
         node = self.nodes[name]
-        dealers = list(node.choice.choose(LIFE.box, HALL))
-        self._random.shuffle(dealers)
-        for dealer in dealers:
-            other = self.nodes.get(dealer)
-            if other is None or other.part != node.part:
+        issuers = list(node.assignment.choose(BOX_LIFE.box, HALL))
+        self._random.shuffle(issuers)
+        for issuer in issuers:
+            other = self.nodes.get(issuer)
+            if other is None or other.partition != node.partition:
                 continue
-            if other.dealer.grant(LIFE, rank, now).permits:
-                self.sent.append(now)
+            if other.issuer.grant(BOX_LIFE, rank, now).permits:
+                self.sent_at.append(now)
                 return True
         return False
--- a/waywell/bench/turns.py
+++ b/waywell/bench/turns.py
@@ -1,10 +1,11 @@
-"""How much of a replica's limit is used, and by whom.
-
-A replica names a limit, and nodes have requests for it at random, as many as
-it takes or many more: evenly, or all at one node.  Figures: the part of the
-limit that is used (before: the share of one of n nodes that each keep an n-th
-of the limit, `alone`), the most requests within 4 s against what is allowed,
-and the part of urgent requests among those that were sent.
+"""How much of a replica's limit the nodes use, and for which requests.
+
+A replica reports a limit.  Requests for it arrive at random, as many as the
+limit allows or three times as many, evenly at all nodes or all at one.  The
+figures are the fraction of the limit that is used (``alone`` shows it for n
+nodes that each use only an n-th of the limit), the most requests within 4 s
+compared with the number allowed, and the fraction of urgent requests among
+those sent.
 """
 
 from __future__ import annotations
@@ -14,32 +15,32 @@
 from typing import Any
 
 from waywell.bench.figures import write_figures
-from waywell.bench.turn_fleet import TurnFleet
+from waywell.bench.turn_fleet import PermitFleet
 from waywell.ids import HallName
 
 NODES = (2, 9, 69, 195, 350)
-"""Numbers of nodes."""
+"""Numbers of nodes to measure."""
 
 LIMITS = (0.2, 1.0, 20.0)
-"""Requests a second that the replica takes."""
+"""Limits of the replica, in requests a second."""
 
 DEMANDS = (1.0, 3.0)
-"""Requests that there are, as a part of the limit."""
+"""Arrival rates, as multiples of the limit."""
 
 SECONDS = 120.0
-"""Length of a run."""
+"""Duration of a simulation."""
 
 HALLS = 5
-"""Data halls."""
+"""Number of data halls."""
 
 WINDOW = 4.0
-"""Seconds for which requests are added up."""
+"""Length of the window in which requests are counted, in seconds."""
 
 URGENT = 0.5
-"""Part of the requests that are urgent."""
+"""Fraction of the requests that are urgent."""
 
 
-def run(
+def simulate(
     nodes: int,
     limit: float,
     demand: float,
@@ -47,23 +48,23 @@
     is_even: bool,
     seed: int,
 ) -> dict[str, Any]:
-    """Return the figures of one run."""
+    """Return the figures of one simulation."""
     random = Random(seed)
-    fleet = TurnFleet(random)
+    fleet = PermitFleet(random)
     for number in range(nodes):
-        fleet.add(f'n{number}', HallName(f'hall-{number % HALLS}'))
-    fleet.see_all()
-    fleet.name_limit(limit, 0.0)
+        fleet.add_node(f'n{number}', HallName(f'hall-{number % HALLS}'))
+    fleet.update_visible_nodes()
+    fleet.report_limit(limit, 0.0)
     names = sorted(fleet.nodes)
     urgent = 0
     now = 0.0
     while now < SECONDS:
         now += random.expovariate(limit * demand)
-        fleet.tend(now)
+        fleet.update_issuers(now)
         name = random.choice(names) if is_even else names[0]
         rank = int(random.random() >= URGENT)
-        urgent += fleet.ask(name, now, rank) and not rank
-    sent = len(fleet.sent)
+        urgent += fleet.request_permit(name, now, rank) and not rank
+    sent = len(fleet.sent_at)
     return {
         'nodes': nodes,
         'limit': limit,
@@ -71,14 +72,14 @@
         'at': 'all' if is_even else 'one',
         'used': round(sent / (limit * now), 3),
         'alone': 1.0 if is_even else round(1 / nodes, 3),
-        'most_in_4s': count_most(fleet.sent),
+        'most_in_4s': count_most_in_window(fleet.sent_at),
         'allowed': 6 * limit + 5,
         'urgent': round(urgent / max(1, sent), 3),
     }
 
 
-def count_most(sent: list[float]) -> int:
-    """Return the most requests within a window."""
+def count_most_in_window(sent: list[float]) -> int:
+    """Return the largest number of requests within a window."""
     first, most = 0, 0
     for last, moment in enumerate(sent):
         while moment - sent[first] > WINDOW:
@@ -91,7 +92,7 @@
     """Run the benchmark."""
     cases = itertools.product(NODES, LIMITS, DEMANDS, (True, False))
     rows = [
-        run(nodes, limit, demand, is_even=is_even, seed=1)
+        simulate(nodes, limit, demand, is_even=is_even, seed=1)
         for nodes, limit, demand, is_even in cases
     ]
     write_figures('turns', rows)
--- a/waywell/experiment/arrivals.py
+++ b/waywell/experiment/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests of a load, drawn by seed."""
+"""Random arrivals of a load's requests, determined by the seed."""
 
 from __future__ import annotations
 
@@ -24,54 +24,58 @@
 
 @attrs.frozen
 class Arrival:
-    """A request of a caller."""
+    """One request of a caller."""
 
     at: float
-    """When, in seconds from the first caller."""
+    """Arrival time, in seconds after the warm-up."""
 
     kind: KindSettings
-    """Its kind."""
+    """Settings of its kind: model, goals and worth."""
 
     prompt_tokens: int
-    """Tokens of its prompt."""
+    """Length of the prompt, in tokens."""
 
     answer_tokens: int
-    """Tokens of its answer."""
+    """Length of the complete answer, in tokens."""
 
     node: int
-    """Number of the node that it is sent to."""
+    """Index of the node that receives it."""
 
 
 def make_random(seed: int, purpose: str) -> Random:
-    """Return draws that depend on the seed and on their purpose alone."""
+    """Return a generator that depends only on the seed and the purpose.
+
+    Separate generators keep the draws of one purpose unchanged when another
+    purpose draws more or fewer numbers.
+    """
     return Random(f'{purpose}:{seed}')
 
 
-def draw(random: Random, ends: Range) -> float:
-    """Return a figure within a range."""
-    return random.uniform(*ends)
+def draw_number(random: Random, bounds: Range) -> float:
+    """Return a uniformly distributed number within a range."""
+    return random.uniform(*bounds)
 
 
-def draw_whole(random: Random, ends: Range) -> int:
-    """Return a whole number within a range."""
-    return random.randint(int(ends[0]), int(ends[1]))
+def draw_integer(random: Random, bounds: Range) -> int:
+    """Return a uniformly distributed integer within a range, ends included."""
+    return random.randint(int(bounds[0]), int(bounds[1]))
 
 
 def draw_arrivals(load: Load, seed: int, nodes: int) -> list[Arrival]:
-    """Return all requests of a load, in the order of their time."""
+    """Return all requests of a load, sorted by arrival time."""
     arrivals = [
         arrival
         for kind in load.kind
-        for arrival in _draw_kind(load, kind, seed, nodes)
+        for arrival in _draw_arrivals_of_kind(load, kind, seed, nodes)
     ]
-    return sorted(arrivals, key=_get_time)
+    return sorted(arrivals, key=_get_arrival_time)
 
 
-def _get_time(arrival: Arrival) -> float:
+def _get_arrival_time(arrival: Arrival) -> float:
     return arrival.at
 
 
-def _draw_kind(
+def _draw_arrivals_of_kind(
     load: Load,
     kind: KindSettings,
     seed: int,
@@ -79,25 +83,25 @@
 ) -> Iterator[Arrival]:
     random = make_random(seed, f'arrivals.{kind.name}')
     settings = load.arrivals
-    peak = draw(random, kind.per_second) * (1 + settings.swing)
-    clumps = peak / (sum(settings.clump) / 2)
+    peak = draw_number(random, kind.per_second) * (1 + settings.swing)
+    bursts_per_second = peak / (sum(settings.clump) / 2)
     phase = random.random()
-    at = random.expovariate(clumps)
+    at = random.expovariate(bursts_per_second)
     while at < load.seconds:
-        if random.random() < _measure_part(settings, at, phase):
-            for _ in range(draw_whole(random, settings.clump)):
+        if random.random() < _compute_rate_fraction(settings, at, phase):
+            for _ in range(draw_integer(random, settings.clump)):
                 yield _draw_request(random, kind, at, nodes)
-        at += random.expovariate(clumps)
+        at += random.expovariate(bursts_per_second)
 
 
-def _measure_part(
+def _compute_rate_fraction(
     settings: ArrivalSettings,
     at: float,
     phase: float,
 ) -> float:
-    """Return the rate at a moment as a part of the highest one."""
-    turn = math.tau * (at / settings.period + phase)
-    return (1 + settings.swing * math.sin(turn)) / (1 + settings.swing)
+    """Return the arrival rate at a time as a fraction of the peak rate."""
+    angle = math.tau * (at / settings.period + phase)
+    return (1 + settings.swing * math.sin(angle)) / (1 + settings.swing)
 
 
 def _draw_request(
@@ -109,7 +113,7 @@
     return Arrival(
         at,
         kind,
-        draw_whole(random, kind.prompt_tokens),
-        draw_whole(random, kind.answer_tokens),
+        draw_integer(random, kind.prompt_tokens),
+        draw_integer(random, kind.answer_tokens),
         random.randrange(nodes),
     )
--- a/waywell/experiment/faults.py
+++ b/waywell/experiment/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a load, drawn by seed."""
+"""Random faults of a load, determined by the seed."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 import attrs
 
-from waywell.experiment.arrivals import draw, draw_whole, make_random
+from waywell.experiment.arrivals import draw_integer, draw_number, make_random
 from waywell.experiment.load_file import FaultKind
-from waywell.experiment.model_box import ModelBox
+from waywell.experiment.simulated_box import SimulatedBox
 from waywell.version.box_report import NORMAL_PACE
 
 if TYPE_CHECKING:
@@ -17,36 +17,36 @@
     from random import Random
 
     from waywell.experiment.load_file import FaultSettings, Load
-    from waywell.experiment.simulated_boxes import SimulatedBoxes
+    from waywell.experiment.simulated_fleet import SimulatedFleet
     from waywell.experiment.timeline import Timeline
 
 
 @attrs.frozen
 class Fault:
-    """A fault at a moment."""
+    """A fault with its time and the boxes that it affects."""
 
     kind: FaultKind
-    """What goes wrong."""
+    """Whether the boxes are lost or slow."""
 
     at: float
-    """When, in seconds from the first caller."""
+    """Start, in seconds after the warm-up."""
 
-    boxes: tuple[ModelBox, ...]
-    """Boxes that it meets."""
+    boxes: tuple[SimulatedBox, ...]
+    """Boxes that it affects."""
 
     lasts: float
-    """Seconds after which it is over; 0 for never."""
+    """Duration in seconds; 0 if it never ends."""
 
     pace: float
-    """Factor on all times of slow boxes."""
+    """Factor by which all work of a slow box takes longer."""
 
 
 def draw_faults(
     load: Load,
     seed: int,
-    boxes: Sequence[ModelBox],
+    boxes: Sequence[SimulatedBox],
 ) -> list[Fault]:
-    """Return the faults of a load."""
+    """Return the faults of a load with their times and boxes drawn."""
     return [
         _draw_fault(settings, make_random(seed, f'fault.{index}'), boxes)
         for index, settings in enumerate(load.fault)
@@ -55,55 +55,74 @@
 
 def schedule_fault(
     fault: Fault,
-    fleet_model: SimulatedBoxes,
+    simulated_fleet: SimulatedFleet,
     timeline: Timeline,
-    begins_at: float,
+    load_start: float,
 ) -> None:
-    """Let a fault begin, and end where it does."""
-    at = begins_at + fault.at
+    """Schedule the start of a fault and, if it ends, its end.
+
+    Parameters
+    ----------
+    fault
+        Fault to schedule.
+    simulated_fleet
+        Fleet that the boxes of the fault belong to.
+    timeline
+        Events of the simulation.
+    load_start
+        End of the warm-up, in seconds of the timeline.
+    """
+    at = load_start + fault.at
     for box in fault.boxes:
-        timeline.schedule(at, partial(_begin, fault, fleet_model, box))
+        timeline.schedule(
+            at, partial(_begin_fault, fault, simulated_fleet, box)
+        )
         if fault.lasts:
             timeline.schedule(
-                at + fault.lasts, partial(_end, fault, fleet_model, box)
+                at + fault.lasts,
+                partial(_end_fault, fault, simulated_fleet, box),
             )
 
 
 def _draw_fault(
     settings: FaultSettings,
     random: Random,
-    boxes: Sequence[ModelBox],
+    boxes: Sequence[SimulatedBox],
 ) -> Fault:
     return Fault(
         settings.kind,
-        draw(random, settings.at),
+        draw_number(random, settings.at),
         _draw_boxes(settings, random, boxes),
-        draw(random, settings.lasts),
-        draw(random, settings.pace),
+        draw_number(random, settings.lasts),
+        draw_number(random, settings.pace),
     )
 
 
 def _draw_boxes(
     settings: FaultSettings,
     random: Random,
-    boxes: Sequence[ModelBox],
-) -> tuple[ModelBox, ...]:
+    boxes: Sequence[SimulatedBox],
+) -> tuple[SimulatedBox, ...]:
     if settings.kind is FaultKind.DOMAIN:
         domain = random.choice(boxes).domain
         return tuple(box for box in boxes if box.domain == domain)
-    count = min(len(boxes), draw_whole(random, settings.count))
+    count = min(len(boxes), draw_integer(random, settings.count))
     return tuple(random.sample(boxes, count))
 
 
-def _begin(fault: Fault, fleet_model: SimulatedBoxes, box: ModelBox) -> None:
+def _begin_fault(
+    fault: Fault, simulated_fleet: SimulatedFleet, box: SimulatedBox
+) -> None:
     if fault.kind is FaultKind.SLOW:
-        fleet_model.change_pace(box, fault.pace)
+        simulated_fleet.change_pace(box, fault.pace)
     else:
-        fleet_model.lose(box)
+        simulated_fleet.lose_box(box)
 
 
-def _end(fault: Fault, fleet_model: SimulatedBoxes, box: ModelBox) -> None:
+def _end_fault(
+    fault: Fault, simulated_fleet: SimulatedFleet, box: SimulatedBox
+) -> None:
     if fault.kind is FaultKind.SLOW:
-        fleet_model.change_pace(box, NORMAL_PACE)
+        simulated_fleet.change_pace(box, NORMAL_PACE)
     else:
-        fleet_model.restart(box)
+        simulated_fleet.restart_box(box)
--- a/waywell/experiment/runner.py
+++ b/waywell/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Plays of many seeds, in one process or several."""
+"""Simulations of many seeds, in one process or several."""
 
 from __future__ import annotations
 
@@ -14,93 +14,93 @@
 
 from waywell.experiment.comparison import Pair
 from waywell.experiment.load_file import Load
-from waywell.experiment.play import play
 from waywell.experiment.policy import Policy
+from waywell.experiment.simulation import simulate
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
 
-Progress = Callable[[int, int, float], None]
-"""Called with the seeds done, all seeds, and the seconds left."""
+ProgressCallback = Callable[[int, int, float], None]
+"""Called with the completed seeds, all seeds and the seconds left."""
 
 
 @attrs.frozen
 class Experiment:
-    """One or two policies before one load."""
+    """One policy, or two to compare, under one load."""
 
     load: Load
-    """The load."""
+    """Load of every simulation."""
 
     base: Policy
-    """One policy."""
+    """Base of the comparison."""
 
     other: Policy | None = None
-    """The policy that it is compared with; ``None`` for no comparison."""
+    """Policy compared with the base; ``None`` for no comparison."""
 
-    def play_seed(self, seed: int) -> Pair:
-        """Play the policies with one seed."""
-        with _silence_log():
-            base = play(self.load, self.base, seed)
+    def simulate_seed(self, seed: int) -> Pair:
+        """Simulate each policy with one seed."""
+        with _disable_log():
+            base = simulate(self.load, self.base, seed)
             if self.other is None:
                 return Pair(seed, base, base)
-            return Pair(seed, base, play(self.load, self.other, seed))
+            return Pair(seed, base, simulate(self.load, self.other, seed))
 
 
-def play_seeds(
+def simulate_seeds(
     experiment: Experiment,
     seeds: int,
     jobs: int,
-    report: Progress,
+    report_progress: ProgressCallback,
 ) -> list[Pair]:
-    """Play the seeds from 0 on; return their pairs in order.
+    """Simulate the seeds from 0 on; return the results in their order.
 
-    An interrupt ends it early, with the pairs that are done.
+    A keyboard interrupt ends the run early with the completed seeds.
 
     Parameters
     ----------
     experiment
-        What is played.
+        Load and policies to simulate.
     seeds
-        How many seeds.
+        Number of seeds.
     jobs
-        Processes that play; 1 for this process alone.
-    report
+        Number of worker processes; 1 to use this process.
+    report_progress
         Called after each seed.
     """
-    begun_at = time.monotonic()
+    started_at = time.monotonic()
     pairs: list[Pair] = []
-    playing = _play_here if jobs == 1 else _play_beside
-    # Fewer pairs than seeds tell the caller of an interrupt.
+    run_seeds = _simulate_in_process if jobs == 1 else _simulate_in_pool
+    # The caller recognises an interrupt by fewer pairs than seeds.
     with suppress(KeyboardInterrupt):
-        for pair in playing(experiment, seeds, jobs):
+        for pair in run_seeds(experiment, seeds, jobs):
             pairs.append(pair)
-            passed = time.monotonic() - begun_at
-            left = passed / len(pairs) * (seeds - len(pairs))
-            report(len(pairs), seeds, left)
+            elapsed = time.monotonic() - started_at
+            seconds_left = elapsed / len(pairs) * (seeds - len(pairs))
+            report_progress(len(pairs), seeds, seconds_left)
     return sorted(pairs, key=_get_seed)
 
 
-def _play_here(
+def _simulate_in_process(
     experiment: Experiment,
     seeds: int,
     _jobs: int,
 ) -> Iterator[Pair]:
-    yield from map(experiment.play_seed, range(seeds))
+    yield from map(experiment.simulate_seed, range(seeds))
 
 
-def _play_beside(
+def _simulate_in_pool(
     experiment: Experiment,
     seeds: int,
     jobs: int,
 ) -> Iterator[Pair]:
-    # Leaving the block ends the processes, whatever they play.
+    # Leaving the block terminates the workers, even in mid-simulation.
     with Pool(jobs, _ignore_interrupts) as pool:
-        yield from pool.imap_unordered(experiment.play_seed, range(seeds))
+        yield from pool.imap_unordered(experiment.simulate_seed, range(seeds))
 
 
 def _ignore_interrupts() -> None:
-    """Leave interrupts to the process that began this one."""
+    """Ignore interrupts in a worker; the parent process handles them."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
@@ -109,8 +109,8 @@
 
 
 @contextmanager
-def _silence_log() -> Iterator[None]:
-    """Write no log lines: those of the decisions tell of the model."""
+def _disable_log() -> Iterator[None]:
+    """Suppress log lines, which would describe simulated events."""
     logger.disable('waywell')
     try:
         yield
--- a/waywell/experiment/weight_store.py
+++ b/waywell/experiment/weight_store.py
@@ -1,4 +1,4 @@
-"""The weight store of the model: loads beyond its pace are slow."""
+"""The simulated weight store, which slows down when it is overloaded."""
 
 from __future__ import annotations
 
@@ -17,27 +17,31 @@
 
 @attrs.define(eq=False)
 class WeightStore:
-    """Loads weights."""
+    """Delivers model weights to boxes."""
 
     load: Load
-    """Published figures."""
+    """Capacity of the store and length of the warm-up."""
 
     timeline: Timeline
-    """Events of the model."""
+    """Events of the simulation."""
 
-    loads: int = 0
-    """Loads that run."""
+    running_loads: int = 0
+    """Number of loads in progress."""
 
-    def begin(self, model: ModelSettings, finish: Action) -> None:
-        """Load a model; a load keeps the pace that it begins with."""
-        self.loads += 1
+    def start_load(self, model: ModelSettings, finish: Action) -> None:
+        """Start loading a model and call ``finish`` when it is loaded.
+
+        The number of concurrent loads at the start sets the speed, which
+        stays the same until the end.
+        """
+        self.running_loads += 1
         engine = self.load.engine
-        crowd = self.loads / engine.loads_at_once
+        slowdown = self.running_loads / engine.loads_at_once
         if self.timeline.now < self.load.warm_up:
-            crowd = min(crowd, engine.first_crowd)
-        seconds = model.load_seconds * max(1.0, crowd)
-        self.timeline.schedule_in(seconds, partial(self._end, finish))
+            slowdown = min(slowdown, engine.first_crowd)
+        seconds = model.load_seconds * max(1.0, slowdown)
+        self.timeline.schedule_in(seconds, partial(self._finish_load, finish))
 
-    def _end(self, finish: Action) -> None:
-        self.loads -= 1
+    def _finish_load(self, finish: Action) -> None:
+        self.running_loads -= 1
         finish()
