--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 from hypothesis import settings
 
 from tests.forwarder_harness import ForwarderHarness, intercept_attempts
-from tests.front_bench import Front
+from tests.front_harness import FrontHarness
 from waywell.standins.harness import Bench, BoxSpec, make_configuration
 
 if TYPE_CHECKING:
@@ -78,9 +78,9 @@
 
 
 @pytest.fixture
-def front(tmp_path: Path) -> Iterator[Front]:
+def front(tmp_path: Path) -> Iterator[FrontHarness]:
     """Return front daemons to be, with a store, engines and plain servers."""
-    made = Front(tmp_path)
+    made = FrontHarness(tmp_path)
     made.add_servers()
     yield made
     made.close()
--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -10,9 +10,9 @@
 import pytest
 
 from tests.boxes import make_fleet, make_group
-from tests.held_clock import HeldClock
 from tests.lone_quarantine import LoneQuarantine
 from tests.lone_rate_limiter import LoneRateLimiter
+from tests.manual_clock import ManualClock
 from waywell.codes import Refusal
 from waywell.connection.body_end import BodyEnd, BodyOutcome
 from waywell.connection.exchange import SendFault
@@ -114,7 +114,7 @@
     """A forwarder whose attempts receive their answers from a test."""
 
     def __init__(self, kind: RouteKind = RouteKind.STREAM) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.connects_at_once = True
         self.book = ReplicaBook()
         self.attempts: list[Attempt] = []
--- a/tests/front_bench.py
+++ b/tests/front_harness.py
@@ -22,7 +22,7 @@
 """For a call to be answered, in seconds; only a hang takes so long."""
 
 
-class Front:
+class FrontHarness:
     """Front daemons with a store and servers.
 
     Parameters
--- a/tests/lone_rate_limiter.py
+++ b/tests/lone_rate_limiter.py
@@ -10,13 +10,13 @@
 from waywell.limits.rate_limiter import STARTUP_SECONDS, RateLimiter
 
 if TYPE_CHECKING:
-    from tests.held_clock import HeldClock
+    from tests.manual_clock import ManualClock
 
 
 class LoneRateLimiter(RateLimiter):
     """Issues all permits itself, like a node past its startup delay."""
 
-    def __init__(self, clock: HeldClock) -> None:
+    def __init__(self, clock: ManualClock) -> None:
         """Start without limits, with the startup delay over."""
         self.noted = RecordingLinks()
         now = clock.now
--- a/tests/held_clock.py
+++ b/tests/manual_clock.py
@@ -5,7 +5,7 @@
 from waywell.process.clock import Clock
 
 
-class HeldClock(Clock):
+class ManualClock(Clock):
     """Tells the moment that a test has set."""
 
     now = 100.0
--- a/tests/replica_paths.py
+++ b/tests/replica_paths.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from tests.front_bench import Front
+    from tests.front_harness import FrontHarness
 
 CALL_SECONDS = 60
 """Timeout in seconds of a store call, longer than the store delays a watch."""
@@ -108,7 +108,7 @@
         Store and servers; all servers must have been started.
     """
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: FrontHarness) -> None:
         """Start the proxy and a relay in front of each server."""
         addresses = [
             server.entry['address'] for server in front.servers.values()
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from tests.held_clock import HeldClock
+from tests.manual_clock import ManualClock
 
 DOMAIN = 'd0'
 """Fabric domain of replicas without another one."""
@@ -212,7 +212,7 @@
     violations: list[str] = attrs.Factory(list)
     """Descriptions of the rules that were violated."""
 
-    clock: HeldClock = attrs.Factory(HeldClock)
+    clock: ManualClock = attrs.Factory(ManualClock)
     """Source of the current time."""
 
     left: dict[str, set[str]] = attrs.Factory(lambda: defaultdict(set))
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,7 +21,7 @@
 import fire
 
 from tests.broken_bodies import BodyScript, Ending, Framing
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE, FrontHarness
 from tests.house import KEY, Server, StoreCopy, make_manifest
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 from tests.relay import Relay, Way
@@ -222,7 +222,7 @@
         self._told_leaving: dict[tuple[Process, str], float] = {}
         self._asked: dict[str, Process] = {}
         self._spoiled: set[int] = set()
-        self.front = Front(folder)
+        self.front = FrontHarness(folder)
         self.front.add_servers()
         self._ways_to_servers = [
             self._lead_through_relay(server)
--- a/tests/switched.py
+++ b/tests/switched.py
@@ -59,7 +59,7 @@
     adopt = documents.InForce.adopt
 
     def adopt_any(self: Any, kind: Any, document: Any) -> bool:
-        self.ledgers[kind].current = type(document)()
+        self.histories[kind].current = type(document)()
         return adopt(self, kind, document)
 
     documents.InForce.adopt = adopt_any
--- a/tests/test_crashing_prompt_parts.py
+++ b/tests/test_crashing_prompt_parts.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.front_bench import Front
+from tests.front_harness import FrontHarness
 from tests.house import Server, make_manifest
 from tests.test_crashing_requests import (
     REPLICAS,
@@ -45,13 +45,13 @@
 
 
 @pytest.fixture
-def front(tmp_path: Path) -> Iterator[Front]:
-    front_bench = Front(tmp_path)
-    yield front_bench
-    front_bench.close()
+def front(tmp_path: Path) -> Iterator[FrontHarness]:
+    harness = FrontHarness(tmp_path)
+    yield harness
+    harness.close()
 
 
-def start(front: Front, *bad: str) -> list[Process]:
+def start(front: FrontHarness, *bad: str) -> list[Process]:
     """Start two entry boxes and replicas that the given parts crash."""
     for number in range(REPLICAS):
         server = Server(front.store, f'a{number}', 'app')
@@ -67,7 +67,11 @@
 
 
 def send_request(
-    front: Front, node: Process, number: int, *parts: str, path: str = 'match'
+    front: FrontHarness,
+    node: Process,
+    number: int,
+    *parts: str,
+    path: str = 'match',
 ) -> tuple[int, str | None]:
     """Send a distinct request; return its status and code."""
     entries = [*(f'{part}:40' for part in parts), f'{number + 4096:x}:9']
@@ -80,7 +84,7 @@
     return status, answer.getheader('waywell-code')
 
 
-def crash_three(front: Front, nodes: list[Process]) -> None:
+def crash_three(front: FrontHarness, nodes: list[Process]) -> None:
     """Crash three replicas by three consecutive requests."""
     for number in range(3):
         assert send_request(front, nodes[0], number, SYSTEM, BAD)[0] == 502
@@ -89,7 +93,7 @@
 
 @pytest.mark.parametrize('path', ['match', 'stock'])
 def test_a_prompt_part_that_crashes_replicas_reaches_few_of_them(
-    front: Front, path: str
+    front: FrontHarness, path: str
 ) -> None:
     nodes = start(front)
     for number in range(REQUESTS):
@@ -108,7 +112,9 @@
     assert (status, code) == (503, str(int(Code.REQUEST_HELD_BACK)))
 
 
-def test_concurrent_requests_with_a_bad_part_are_stopped(front: Front) -> None:
+def test_concurrent_requests_with_a_bad_part_are_stopped(
+    front: FrontHarness,
+) -> None:
     nodes = start(front)
     assert send_request(front, nodes[0], 99, SYSTEM)[0] == 200
     with ThreadPoolExecutor(4) as pool:
@@ -118,7 +124,7 @@
     assert count_crashed(front) <= MAX_CRASHES
 
 
-def test_a_bad_first_part_is_found(front: Front) -> None:
+def test_a_bad_first_part_is_found(front: FrontHarness) -> None:
     nodes = start(front)
     for number in range(REQUESTS):
         send_request(front, nodes[number % 2], number, BAD, f'e{number:x}')
@@ -126,7 +132,7 @@
     assert send_request(front, nodes[0], 50, SYSTEM)[0] == 200
 
 
-def test_two_bad_parts_are_both_found(front: Front) -> None:
+def test_two_bad_parts_are_both_found(front: FrontHarness) -> None:
     nodes = start(front, BAD, 'bad1')
     for number in range(REQUESTS):
         part = BAD if number % 2 else 'bad1'
@@ -139,7 +145,7 @@
 
 
 def test_harmless_requests_are_served_after_the_part_is_held(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     """No earlier request had the first part without the bad one."""
     nodes = start(front)
@@ -152,7 +158,7 @@
 
 
 def test_a_request_rejected_by_replicas_clears_no_part(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     nodes = start(front)
     for server in front.servers.values():
@@ -170,7 +176,7 @@
     assert count_crashed(front) == 3
 
 
-def test_a_node_that_starts_later_holds_the_part(front: Front) -> None:
+def test_a_node_that_starts_later_holds_the_part(front: FrontHarness) -> None:
     nodes = start(front)
     crash_three(front, nodes)
     later = front.start('front-3')
@@ -182,7 +188,7 @@
 
 
 def test_the_hold_on_a_part_survives_the_loss_of_all_nodes(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     nodes = start(front)
     crash_three(front, nodes)
@@ -204,7 +210,7 @@
 
 
 def test_a_node_that_reaches_only_the_platform_holds_the_part(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     front.store.hidden.add('waywell-entries')
     first, other = start(front)
@@ -218,7 +224,7 @@
     assert count_crashed(front) == 3
 
 
-def test_the_status_shows_the_held_part(front: Front) -> None:
+def test_the_status_shows_the_held_part(front: FrontHarness) -> None:
     nodes = start(front)
     crash_three(front, nodes)
     _status, raw = front.get(nodes[1], 'metrics_port', '/v1/status')
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.front_bench import Front
+from tests.front_harness import FrontHarness
 from tests.house import Server, make_manifest
 from waywell.codes import Code
 from waywell.standins.harness import wait_until
@@ -41,13 +41,13 @@
 
 
 @pytest.fixture
-def front(tmp_path: Path) -> Iterator[Front]:
-    front_bench = Front(tmp_path)
-    yield front_bench
-    front_bench.close()
+def front(tmp_path: Path) -> Iterator[FrontHarness]:
+    harness = FrontHarness(tmp_path)
+    yield harness
+    harness.close()
 
 
-def start(front: Front) -> list[Process]:
+def start(front: FrontHarness) -> list[Process]:
     """Start two entry boxes and plain replicas."""
     for number in range(REPLICAS):
         server = Server(front.store, f'a{number}', 'app')
@@ -60,7 +60,7 @@
     return nodes
 
 
-def wait_serving(front: Front, node: Process) -> None:
+def wait_serving(front: FrontHarness, node: Process) -> None:
     """Wait until a node is ready and serves by all listed replicas."""
     wait_until(lambda: front.is_ready(node), 'readiness')
 
@@ -71,19 +71,19 @@
     wait_until(sees_all, 'all replicas')
 
 
-def crash_three(front: Front, node: Process) -> None:
+def crash_three(front: FrontHarness, node: Process) -> None:
     """Crash three replicas by requests at one node."""
     for _repeat in range(3):
         assert front.ask(node, '/match/1', body=DEADLY)[0] == 502
 
 
-def read_quarantine(front: Front, node: Process) -> dict[str, Any]:
+def read_quarantine(front: FrontHarness, node: Process) -> dict[str, Any]:
     _status, raw = front.get(node, 'metrics_port', '/dump')
     found: dict[str, Any] = json.loads(raw)['quarantine']
     return found
 
 
-def wait_crashes_known(front: Front, nodes: list[Process]) -> None:
+def wait_crashes_known(front: FrontHarness, nodes: list[Process]) -> None:
     """Wait until all nodes know of each crash."""
     for node in nodes:
         wait_until(
@@ -94,13 +94,13 @@
         )
 
 
-def count_crashed(front: Front) -> int:
+def count_crashed(front: FrontHarness) -> int:
     return sum(server.has_ended for server in front.servers.values())
 
 
 @pytest.mark.parametrize('path', ['/stock/1', '/match/1'])
 def test_a_request_that_crashes_replicas_reaches_few_of_them(
-    front: Front,
+    front: FrontHarness,
     path: str,
 ) -> None:
     nodes = start(front)
@@ -114,7 +114,9 @@
         assert front.ask(node, path)[0] == 200
 
 
-def test_no_node_sends_the_request_after_the_third_crash(front: Front) -> None:
+def test_no_node_sends_the_request_after_the_third_crash(
+    front: FrontHarness,
+) -> None:
     nodes = start(front)
     for _repeat in range(REPEATS):
         for node in nodes:
@@ -138,7 +140,7 @@
 
 
 def test_a_node_that_starts_later_gets_the_holds_of_the_others(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     nodes = start(front)
     crash_three(front, nodes[0])
@@ -150,7 +152,7 @@
     assert count_crashed(front) == 3
 
 
-def test_a_hold_survives_the_loss_of_all_nodes(front: Front) -> None:
+def test_a_hold_survives_the_loss_of_all_nodes(front: FrontHarness) -> None:
     nodes = start(front)
     crash_three(front, nodes[0])
     wait_until(
@@ -171,7 +173,7 @@
 
 
 def test_a_node_that_reaches_only_the_platform_gets_the_hold(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     """The nodes have no streams, like data halls that can't reach each other."""
     front.store.hidden.add('waywell-entries')
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -7,8 +7,8 @@
 from unittest.mock import AsyncMock
 
 from tests.boxes import make_box
-from tests.held_clock import HeldClock
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from waywell.connection.peer import ReplicaDoubt, ReplicaHeard
 from waywell.health.doubts import (
     LISTEN_INTERVAL,
@@ -47,7 +47,7 @@
     """The task with a simulated clock and recorded messages."""
 
     def __init__(self, are_links_sound: bool = True) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.links = _RecordingLinks()
         self.book = ReplicaBook()
         self.doubted: list[GroupId] = []
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -8,8 +8,8 @@
 import pytest
 from returns.result import Failure, Result, Success
 
-from tests.held_clock import HeldClock
 from tests.lone_gossip import LoneGossip
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import PlatformFault, Stored
 from waywell.duties.duty import Duty
 from waywell.duties.lease import LeaseState
@@ -61,7 +61,7 @@
 class _NotedDuty(Duty):
     """Notes the epochs under which it was taken up."""
 
-    def __init__(self, store: _Store, clock: HeldClock) -> None:
+    def __init__(self, store: _Store, clock: ManualClock) -> None:
         super().__init__('forming', store, LoneGossip(), clock, TERM)
         self.taken: list[int] = []
 
@@ -71,7 +71,7 @@
 
 def test_a_term_after_a_silent_store_has_an_epoch_of_its_own() -> None:
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _NotedDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
@@ -89,7 +89,7 @@
 
 def test_a_lease_taken_anew_within_one_look_is_a_new_term() -> None:
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _NotedDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         # The process stood still for longer than the term.
@@ -103,7 +103,7 @@
 
 def test_a_renewal_whose_answer_was_lost_keeps_no_lapsed_term() -> None:
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _NotedDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         clock.now += TERM / 2
@@ -125,7 +125,7 @@
     """A holder that stops in good order; nobody waits for its term."""
 
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty, other = _NotedDuty(store, clock), _NotedDuty(store, clock)
         other.lease.state = LeaseState(NodeId('b'), Incarnation(1), TERM)
         await duty.on_lease_tick(Duty.LeaseTick())
@@ -157,7 +157,7 @@
     """
 
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _NotedDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         assert store.stored is not None
@@ -179,7 +179,7 @@
     """A node that never read the lease must not number its groups lower."""
 
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         store.stored = Stored('lease', 'forming', 4, 'x')
         duty = _NotedDuty(store, clock)
         duty.find_least_epoch = lambda: 17  # type: ignore[method-assign]
--- a/tests/test_era_history.py
+++ b/tests/test_era_history.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.boxes import make_fleet, make_group
-from tests.held_clock import HeldClock
+from tests.manual_clock import ManualClock
 from waywell.connection.store_era import StoreEra
 from waywell.knowledge import era_history
 from waywell.knowledge.cluster_view import ClusterView
@@ -17,7 +17,7 @@
     """Node with routes and boxes in force, whose log lines are captured."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.is_holder = True
         self.lines: list[dict[str, object]] = []
         self.cluster = ClusterView(PromiseSettings())
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -78,8 +78,8 @@
         False,
         False,
     ]
-    assert budget.take_left_out(1.9) == {}
-    assert budget.take_left_out(2.0) == {'a': 2}
+    assert budget.pop_dropped_counts(1.9) == {}
+    assert budget.pop_dropped_counts(2.0) == {'a': 2}
     assert budget.allow('a', 2.0)
 
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from tests.boxes import make_box, make_fleet
-from tests.held_clock import HeldClock
+from tests.manual_clock import ManualClock
 from tests.test_membership import make_record
 from waywell.connection.peer import FeedAnswer, FeedAsk
 from waywell.ids import HallName, NodeId
@@ -67,7 +67,7 @@
     """Feed of node a; node b is the reader of the given hall."""
 
     def __init__(self, read_after: float = 0.0, hall: str = HALL) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.links = _Links()
         self.cluster = ClusterView(PromiseSettings())
         reader = msgspec.structs.replace(
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 from returns.result import Success
 
-from tests.held_clock import HeldClock
+from tests.manual_clock import ManualClock
 from waywell.connection.http_calls import CallAnswer, HttpCalls
 from waywell.connection.platform import Changes, Kind
 from waywell.ids import BoxId
@@ -253,7 +253,7 @@
     context = WatchContext(
         None,  # type: ignore[arg-type]
         cluster,
-        HeldClock(),
+        ManualClock(),
         lambda _now: True,
         lambda: True,
         lambda: 1,
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,7 +11,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE, FrontHarness
 from tests.house import HOST, KEY, make_manifest
 from waywell.cli import EXIT_REFUSED, run_command
 from waywell.codes import Code
@@ -25,14 +25,14 @@
 
 
 @pytest.fixture
-def front(tmp_path: Path) -> Iterator[Front]:
-    made = Front(tmp_path)
+def front(tmp_path: Path) -> Iterator[FrontHarness]:
+    made = FrontHarness(tmp_path)
     yield made
     made.close()
 
 
 @pytest.fixture
-def served(front: Front) -> tuple[Front, Process]:
+def served(front: FrontHarness) -> tuple[FrontHarness, Process]:
     front.add_servers()
     process = front.start()
     front.wait_serving(process)
@@ -40,7 +40,7 @@
 
 
 def test_a_node_without_routes_is_not_ready_and_promises_not_run(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     process = front.start()
     assert not front.is_ready(process)
@@ -51,7 +51,7 @@
 
 
 def test_streams_and_plain_requests_are_served(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     status, body, answer = front.ask(process, '/notes/1', model='small')
@@ -73,7 +73,7 @@
 
 
 def test_unknown_keys_and_routes_are_refused_and_never_sent(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     assert front.ask(process, '/stock/1', key='wrong')[0] == 401
@@ -82,7 +82,7 @@
 
 
 def test_a_request_that_may_not_repeat_is_sent_again_only_when_rejected(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
@@ -102,7 +102,7 @@
 
 
 def test_not_run_is_not_said_of_a_request_that_may_have_run(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     """One replica broke off under it; the other was only full."""
     front, process = served
@@ -117,7 +117,7 @@
 
 
 def test_a_request_that_all_rejected_has_not_run(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
@@ -130,7 +130,7 @@
 
 
 def test_an_answer_to_another_request_is_not_passed_on(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
@@ -139,7 +139,7 @@
 
 
 def test_a_safe_request_goes_on_elsewhere(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for act in ('reset', 'fail'):
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize('act', ['cut-3', 'wait-3', 'cut-1'])
 def test_a_stream_that_breaks_or_stalls_goes_on_at_another_group(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
     act: str,
 ) -> None:
     front, process = served
@@ -170,7 +170,7 @@
 
 
 def test_keys_are_refused_when_the_store_is_silent_for_too_long(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     front.add_servers()
     process = front.start(keys_refused_within_ms=2500)
@@ -189,7 +189,7 @@
 
 
 def test_a_new_version_is_in_force_and_a_removed_key_is_refused(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     tenants = [{'name': 'shop', 'api_keys': ['another']}]
@@ -202,7 +202,7 @@
 
 
 def test_a_version_that_is_not_understood_leaves_the_last_one_in_force(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     front.store.put('config', 'main', {'version': 'x', 'routes': 3})
@@ -212,7 +212,7 @@
 
 
 def test_a_planned_stop_finishes_what_was_read(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
@@ -236,7 +236,7 @@
 
 
 def test_a_node_that_leaves_takes_nothing_that_it_can_not_finish(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     """What would be cut by the node's end is refused as not run.
 
@@ -259,7 +259,9 @@
     assert not front.list_runs('m1', 'm2', 'm3', 'm4')
 
 
-def test_a_hang_up_signal_ends_nothing(served: tuple[Front, Process]) -> None:
+def test_a_hang_up_signal_ends_nothing(
+    served: tuple[FrontHarness, Process],
+) -> None:
     front, process = served
     process.send_signal(signal.SIGHUP)
     log = front.folder / 'front-1.log'
@@ -268,7 +270,7 @@
 
 
 def test_a_lost_box_is_seen_by_its_silence_and_its_group_is_patched(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     head = front.list_heads()[0]
@@ -297,7 +299,7 @@
 
 
 def test_a_holder_whose_orders_are_outdated_begins_a_later_term(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     front.add_servers()
     for server in front.store.servers.values():
@@ -316,7 +318,7 @@
 
 
 def test_an_id_is_followed_through_the_log(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
@@ -333,7 +335,7 @@
 
 
 def test_operators_see_what_a_node_knows_and_no_key(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     shown = {}
@@ -351,7 +353,7 @@
 
 
 def test_the_command_line_asks_a_front_daemon_where_requests_go(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     _front, process = served
@@ -371,7 +373,7 @@
 
 
 def test_latencies_and_what_a_node_knows_are_shown_as_metrics(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for path, model in (('/notes/1', 'small'), ('/stock/1', '')):
@@ -407,7 +409,7 @@
 
 
 def test_a_node_that_stops_takes_itself_off_the_platforms_list(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     kind = 'waywell-entries'
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.held_clock import HeldClock
+from tests.manual_clock import ManualClock
 from tests.test_membership import make_record
 from waywell.ids import NodeId
 from waywell.membership.gossip import Gossip
@@ -44,10 +44,10 @@
         self.dialled.append(node)
 
 
-def make_gossip() -> tuple[Gossip, _Links, HeldClock]:
+def make_gossip() -> tuple[Gossip, _Links, ManualClock]:
     table = MembershipTable(make_record('a'), 2.0)
     table.merge(make_record('b'), 0.0)
-    links, clock = _Links(), HeldClock()
+    links, clock = _Links(), ManualClock()
     gossip = Gossip(table, links, clock, TimingSettings())  # type: ignore[arg-type]
     gossip._heard_at[B] = clock.now
     return gossip, links, clock
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -6,7 +6,7 @@
 from waywell.health.health import Evidence, HealthTable, Verdict
 from waywell.health.prober import ProbeRing, judge_probes
 from waywell.ids import BoxId, Epoch, GroupId, HallName, NodeId
-from waywell.process.loads import LoadTable, find_level
+from waywell.process.loads import LoadTable, get_load_level
 from waywell.version.roster import Group, GroupState, Member
 
 GROUP = GroupId('g')
@@ -167,14 +167,14 @@
 
 def test_loads_are_reported_when_they_change_level() -> None:
     table = LoadTable()
-    table.note(GROUP, 10)
-    assert [report[2] for report in table.take_news()] == [10]
-    table.note(GROUP, 11)
-    assert table.take_news() == ()
+    table.record_probe(GROUP, 10)
+    assert [report[2] for report in table.pop_updates()] == [10]
+    table.record_probe(GROUP, 11)
+    assert table.pop_updates() == ()
     other = LoadTable()
-    other.hear(((GROUP, 1, 10),))
-    assert other.take_news() == ((GROUP, 1, 10),)
-    other.hear(((GROUP, 1, 10),))
-    assert other.take_news() == ()
-    assert other.get_reported() == {GROUP: 10}
-    assert find_level(0) == 0
+    other.merge_reports(((GROUP, 1, 10),))
+    assert other.pop_updates() == ((GROUP, 1, 10),)
+    other.merge_reports(((GROUP, 1, 10),))
+    assert other.pop_updates() == ()
+    assert other.list_loads() == {GROUP: 10}
+    assert get_load_level(0) == 0
--- a/tests/test_lease_eras.py
+++ b/tests/test_lease_eras.py
@@ -16,9 +16,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from returns.result import Failure, Result, Success
 
-from tests.held_clock import HeldClock
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import PlatformFault, Stored
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.duties.duty import Duty
@@ -158,19 +158,19 @@
         return Success(self.stored)
 
 
-async def tick(duty: Duty, clock: HeldClock, seconds: float = 0.0) -> bool:
+async def tick(duty: Duty, clock: ManualClock, seconds: float = 0.0) -> bool:
     clock.now += seconds
     await duty.on_lease_tick(Duty.LeaseTick())
     return duty.is_held()
 
 
-def make_duty(store: _Store, clock: HeldClock) -> Duty:
+def make_duty(store: _Store, clock: ManualClock) -> Duty:
     return Duty('forming', store, LoneGossip('a'), clock, TERM, store.eras)
 
 
 @in_loop
 async def test_no_lease_is_written_by_a_version_of_a_former_era() -> None:
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
     # A call of another task tells the era; the next look fails.
@@ -182,7 +182,7 @@
 
 @in_loop
 async def test_a_write_that_an_era_overtakes_is_looked_up() -> None:
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
     # The store goes back while the write is under way.
@@ -205,7 +205,7 @@
 @in_loop
 async def test_a_write_that_is_carried_out_in_a_later_era_is_none() -> None:
     """Its version was given out again: another holder may trust its term."""
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
     # The store goes back while the write is under way.
@@ -217,7 +217,7 @@
 
 @in_loop
 async def test_a_holder_that_the_copy_lacks_waits_like_others() -> None:
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     await tick(duty, clock)
     assert await tick(duty, clock, TERM + 0.1)
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -10,7 +10,7 @@
 import asyncio
 
 from tests.forwarder_harness import ForwarderHarness
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE, FrontHarness
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import wait_until
 
@@ -18,7 +18,9 @@
 """Of which some would go to a replica that is one of two."""
 
 
-def test_a_plain_replica_that_says_so_gets_nothing_more(front: Front) -> None:
+def test_a_plain_replica_that_says_so_gets_nothing_more(
+    front: FrontHarness,
+) -> None:
     node = front.start()
     front.wait_serving(node)
     leaving = front.servers['a1']
@@ -36,7 +38,9 @@
     assert leaving.arrivals == 1
 
 
-def test_a_group_whose_head_says_so_gets_nothing_more(front: Front) -> None:
+def test_a_group_whose_head_says_so_gets_nothing_more(
+    front: FrontHarness,
+) -> None:
     node = front.start()
     front.wait_serving(node)
     leaving = front.list_heads()[0]
@@ -52,7 +56,9 @@
     assert leaving.arrivals == 1
 
 
-def test_where_all_leave_callers_are_refused_at_once(front: Front) -> None:
+def test_where_all_leave_callers_are_refused_at_once(
+    front: FrontHarness,
+) -> None:
     node = front.start()
     front.wait_serving(node)
     servers = [front.servers[name] for name in ('a1', 'a2')]
--- a/tests/test_limited_replicas.py
+++ b/tests/test_limited_replicas.py
@@ -18,7 +18,7 @@
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 
 if TYPE_CHECKING:
-    from tests.front_bench import Front
+    from tests.front_harness import FrontHarness
     from tests.house import Server
     from waywell.standins.harness import Process
 
@@ -29,7 +29,7 @@
 """Requests sent; without a limit, each of two replicas would get half."""
 
 
-def start_nodes(front: Front, count: int = 3) -> list[Process]:
+def start_nodes(front: FrontHarness, count: int = 3) -> list[Process]:
     nodes = [front.start(f'front-{number}') for number in range(count)]
     for node in nodes:
         front.wait_serving(node)
@@ -37,7 +37,7 @@
 
 
 def report_limit(
-    front: Front, nodes: list[Process], servers: list[Server]
+    front: FrontHarness, nodes: list[Process], servers: list[Server]
 ) -> float:
     """Report the limits to every node; return when they must hold."""
     for server in servers:
@@ -51,7 +51,7 @@
 
 
 def send_round_robin(
-    front: Front, nodes: list[Process]
+    front: FrontHarness, nodes: list[Process]
 ) -> list[tuple[int, str]]:
     """Send requests to the nodes in turn; return statuses and retry times."""
     answers = []
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize('is_even', [True, False])
 def test_all_nodes_together_keep_the_limit_of_a_replica(
-    front: Front, is_even: bool
+    front: FrontHarness, is_even: bool
 ) -> None:
     nodes = start_nodes(front)
     limited = front.servers['a1']
@@ -79,7 +79,7 @@
 
 
 def test_requests_above_the_limits_of_all_replicas_are_refused(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     nodes = start_nodes(front)
     limited = [front.servers[name] for name in ('a1', 'a2')]
--- a/tests/test_lost_hedges.py
+++ b/tests/test_lost_hedges.py
@@ -16,7 +16,7 @@
 from waywell.standins.harness import Process, wait_until
 
 if TYPE_CHECKING:
-    from tests.front_bench import Front
+    from tests.front_harness import FrontHarness
     from tests.house import Server
 
 LONG_REST = '600'
@@ -26,13 +26,13 @@
 """Number of requests of which some would reach either of two replicas."""
 
 
-def read_backpressure(front: Front, node: Process) -> dict[str, Any]:
+def read_backpressure(front: FrontHarness, node: Process) -> dict[str, Any]:
     _status, raw = front.get(node, 'metrics_port', '/v1/status')
     backpressure: dict[str, Any] = json.loads(raw)['backpressure']
     return backpressure
 
 
-def lose_hedge(front: Front, node: Process, server: Server) -> None:
+def lose_hedge(front: FrontHarness, node: Process, server: Server) -> None:
     """Send requests until a hedge answers in place of a silent replica."""
     server.goes_on.clear()
     server.rest_text = LONG_REST
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize('is_leaving', [False, True])
 def test_a_pause_asked_for_by_a_replica_that_lost_a_hedge_is_kept(
-    front: Front, is_leaving: bool
+    front: FrontHarness, is_leaving: bool
 ) -> None:
     node = front.start()
     front.wait_serving(node)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -28,7 +28,7 @@
     """Return the values of the lines of a name that have some labels."""
     return {
         line.rpartition(' ')[2]
-        for line in metrics.write().decode().splitlines()
+        for line in metrics.render().decode().splitlines()
         if line.startswith(f'{name}{{') and all(lab in line for lab in labels)
     }
 
@@ -51,10 +51,12 @@
 
 def test_what_was_counted_before_the_first_scrape_is_shown() -> None:
     metrics = Metrics()
-    early = metrics.add(make_spec('waywell_test_early_seconds'))
-    early.note(0.05, {'service': 'notes'})
+    early = metrics.add_instrument(make_spec('waywell_test_early_seconds'))
+    early.record(0.05, {'service': 'notes'})
     metrics.count_request(Code.OK, Ran.RAN)
-    metrics.show('waywell_test_level', 'A level.', 'part', lambda: {'a': 2.5})
+    metrics.add_gauge(
+        'waywell_test_level', 'A level.', 'part', lambda: {'a': 2.5}
+    )
     assert read(metrics, 'waywell_requests_total', 'code="0"') == {'1.0'}
     bucket = 'waywell_test_early_seconds_bucket'
     assert read(metrics, bucket, 'service="notes"', 'le="0.1"') == {'1.0'}
@@ -64,9 +66,11 @@
 def test_what_comes_after_the_first_scrape_is_shown() -> None:
     metrics = Metrics()
     metrics.load()
-    late = metrics.add(make_spec('waywell_test_late_seconds'))
-    late.note(0.5, {'service': 'notes'})
-    metrics.show('waywell_test_late', 'A level.', 'part', lambda: {'b': 1.5})
+    late = metrics.add_instrument(make_spec('waywell_test_late_seconds'))
+    late.record(0.5, {'service': 'notes'})
+    metrics.add_gauge(
+        'waywell_test_late', 'A level.', 'part', lambda: {'b': 1.5}
+    )
     bucket = 'waywell_test_late_seconds_bucket'
     assert read(metrics, bucket, 'service="notes"', 'le="1.0"') == {'1.0'}
     assert read(metrics, 'waywell_test_late', 'part="b"') == {'1.5'}
@@ -75,14 +79,14 @@
 def test_no_heap_of_words_waits_for_a_scrape(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr('waywell.telemetry.metrics.MOST_WAITING', 3)
+    monkeypatch.setattr('waywell.telemetry.metrics.MAX_PENDING_RECORDINGS', 3)
     metrics = Metrics()
-    counter = metrics.add(
+    counter = metrics.add_instrument(
         InstrumentSpec(
             InstrumentKind.COUNTER, 'waywell_test_waiting', 'Words.'
         )
     )
     for _ in range(7):
-        counter.note(1, {})
-        assert len(counter._kept) < 3
+        counter.record(1, {})
+        assert len(counter._pending) < 3
     assert read(metrics, 'waywell_test_waiting_total') == {'7.0'}
--- a/tests/test_old_answers.py
+++ b/tests/test_old_answers.py
@@ -21,9 +21,9 @@
 
 from returns.result import Result, Success
 
-from tests.held_clock import HeldClock
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from tests.test_membership import make_record
 from waywell.connection.platform import Stored
 from waywell.duties.duty import TICKS_A_TERM, Duty
@@ -43,7 +43,7 @@
 class _LaggingStore:
     """One object with its history; cheap answers show it as it was."""
 
-    def __init__(self, clock: HeldClock) -> None:
+    def __init__(self, clock: ManualClock) -> None:
         self.fresh_looks = 0
         self.lag = LAG
         self._clock = clock
@@ -81,7 +81,7 @@
     """A contender, and a holder that renewed its lease until just now."""
 
     def __init__(self) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.store = _LaggingStore(self.clock)
         self.gossip = LoneGossip()
         for beat in range(20):
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tests.boxes import make_fleet, make_group
-from tests.held_clock import HeldClock
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from tests.test_peer_chooser import make_node
 from waywell.connection.peer import ReachabilityQuery, ReachabilityReport
 from waywell.health import partition, reachability_queries
@@ -96,7 +96,7 @@
     """A node whose links to replicas a test can cut."""
 
     def __init__(self, name: str, names: str, nodes: dict[str, Node]) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.cluster = make_cluster()
         self.reached: set[str] = set(HEADS)
         self.restored_count = 0
--- a/tests/test_partitioned_nodes.py
+++ b/tests/test_partitioned_nodes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE, FrontHarness
 from tests.house import HOST, make_manifest
 from tests.replica_paths import Cut, ReplicaPaths
 from waywell.standins.harness import Process, wait_until
@@ -31,7 +31,7 @@
 class Fleet:
     """Two nodes with links to all servers, and one whose links can be cut."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: FrontHarness) -> None:
         self.front = front
         front.store.put('config', 'main', make_patient_manifest())
         self.paths = ReplicaPaths(front)
@@ -80,7 +80,7 @@
 
 
 @pytest.fixture
-def fleet(front: Front) -> Iterator[Fleet]:
+def fleet(front: FrontHarness) -> Iterator[Fleet]:
     fleet_of_nodes = Fleet(front)
     yield fleet_of_nodes
     fleet_of_nodes.paths.close()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -10,9 +10,9 @@
 import pytest
 
 from tests.boxes import make_box
-from tests.held_clock import HeldClock
 from tests.lone_quarantine import LoneQuarantine
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from waywell.codes import Code, Ran, Refusal
 from waywell.connection.exchange import SendFault
 from waywell.connection.peer import (
@@ -57,7 +57,7 @@
     """Quarantine tasks of one or more nodes that share a clock."""
 
     def __init__(self, nodes: int = 1) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.nodes = [LoneQuarantine(self.clock) for _node in range(nodes)]
         self.node = self.nodes[0]
 
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tests.forwarder_harness import ForwarderHarness
-from tests.held_clock import HeldClock
 from tests.lone_rate_limiter import LoneRateLimiter
+from tests.manual_clock import ManualClock
 from tests.test_membership import make_record
 from waywell.codes import Code, Ran
 from waywell.connection.exchange import SendFault
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def limiter() -> LoneRateLimiter:
-    return LoneRateLimiter(HeldClock())
+    return LoneRateLimiter(ManualClock())
 
 
 def receive(limiter: LoneRateLimiter, message: Any) -> None:
@@ -103,7 +103,10 @@
 
 @pytest.mark.parametrize('gap', [-0.2, -0.01, 0.0, 0.01, 0.04, 0.06, 0.2])
 def test_nodes_with_different_limits_converge(gap: float) -> None:
-    first, second = LoneRateLimiter(HeldClock()), LoneRateLimiter(HeldClock())
+    first, second = (
+        LoneRateLimiter(ManualClock()),
+        LoneRateLimiter(ManualClock()),
+    )
     first.note_answer(LIFE, HALL, 1.0, first._clock.now - 0.1)
     second._clock.now += gap
     second.note_answer(LIFE, HALL, 2.0, second._clock.now)
@@ -127,7 +130,7 @@
     limiter.note_answer(LIFE, HALL, 1.0, 0.0)
     limiter.on_opened(PeerLinks.Opened(make_record('other')))
     ((_node, known),) = limiter.noted.sent
-    other = LoneRateLimiter(HeldClock())
+    other = LoneRateLimiter(ManualClock())
     receive(other, known)
     assert isinstance(known, KnownLimits)
     assert other.get_limit(LIFE) == 1.0
@@ -158,7 +161,7 @@
 
 
 def test_a_node_issues_no_permits_right_after_its_start() -> None:
-    limiter = LoneRateLimiter(HeldClock())
+    limiter = LoneRateLimiter(ManualClock())
     limiter._issues_from = limiter._clock.read() + STARTUP_SECONDS
     limiter.note_answer(LIFE, HALL, 100.0, 0.0)
     assert acquire(limiter) is None
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE, FrontHarness
 from waywell.standins.harness import wait_until
 
 if TYPE_CHECKING:
@@ -22,8 +22,8 @@
 
 
 @pytest.fixture
-def served(tmp_path: Path) -> Iterator[tuple[Front, Process]]:
-    front = Front(tmp_path)
+def served(tmp_path: Path) -> Iterator[tuple[FrontHarness, Process]]:
+    front = FrontHarness(tmp_path)
     front.add_servers()
     process = front.start()
     front.wait_serving(process)
@@ -38,7 +38,7 @@
 
 
 def test_a_ready_node_takes_a_new_connection_beside_a_crowd(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     crowd = crowd_in(process)
@@ -49,7 +49,7 @@
 
 
 def test_a_node_that_stood_still_takes_those_who_came_meanwhile(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     """Their connections wait in the machine's queue until it goes on."""
     front, process = served
@@ -64,7 +64,7 @@
 
 
 def test_a_member_that_starts_again_under_its_id_serves_again(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     head = front.list_heads()[0]
@@ -85,7 +85,7 @@
 
 
 def test_a_foreign_entry_beside_them_disturbs_no_box(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     front.store.put('servers', 'odd', {'service': 7, 'address': ':99999'})
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -11,7 +11,7 @@
 from waywell.process.release import (
     ReleaseTracker,
     may_route_unfenced,
-    sees_most,
+    sees_majority,
 )
 from waywell.version.roster import Group, GroupState, Member
 
@@ -45,7 +45,7 @@
     load: int | None = 0,
     fenced: bool = False,
 ) -> bool:
-    tracker.note_nodes(records, now)
+    tracker.update_lost_nodes(records, now)
     return tracker.is_released(LEAVING, fenced, records, load, now)
 
 
@@ -127,7 +127,7 @@
         )
         for index, state in enumerate(states)
     ]
-    assert not (sees_most(one) and sees_most(other))
+    assert not (sees_majority(one) and sees_majority(other))
 
 
 def test_a_platform_outage_alone_does_not_stop_routing() -> None:
--- a/tests/test_resting_replicas.py
+++ b/tests/test_resting_replicas.py
@@ -20,7 +20,7 @@
 import time
 
 from tests.forwarder_harness import ForwarderHarness
-from tests.front_bench import Front
+from tests.front_harness import FrontHarness
 from tests.house import Server
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import Process, wait_until
@@ -35,13 +35,13 @@
 """Of which some would go to a replica that is one of two."""
 
 
-def start(front: Front) -> Process:
+def start(front: FrontHarness) -> Process:
     node = front.start()
     front.wait_serving(node)
     return node
 
 
-def wait_rested(front: Front, node: Process, server: Server) -> None:
+def wait_rested(front: FrontHarness, node: Process, server: Server) -> None:
     """Ask until a replica has turned a request away for its rest."""
     server.rest_text = LONG_REST
     server.script.append('rest')
@@ -53,12 +53,14 @@
     wait_until(ask, f'the wish of {server.name}')
 
 
-def ask_all(front: Front, node: Process) -> None:
+def ask_all(front: FrontHarness, node: Process) -> None:
     for _request in range(REQUESTS):
         assert front.ask(node, '/stock/1')[0] == 200
 
 
-def test_the_rest_lasts_for_as_long_as_the_replica_asks(front: Front) -> None:
+def test_the_rest_lasts_for_as_long_as_the_replica_asks(
+    front: FrontHarness,
+) -> None:
     node = start(front)
     resting = front.servers['a1']
     wait_rested(front, node, resting)
@@ -97,7 +99,7 @@
 
 
 def test_where_all_ask_for_rest_callers_are_refused_at_once(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = start(front)
     servers = [front.servers[name] for name in ('a1', 'a2')]
@@ -117,7 +119,9 @@
     assert sum(server.arrivals for server in servers) == before
 
 
-def test_a_replica_is_asked_again_when_its_rest_is_over(front: Front) -> None:
+def test_a_replica_is_asked_again_when_its_rest_is_over(
+    front: FrontHarness,
+) -> None:
     node = start(front)
     servers = [front.servers[name] for name in ('a1', 'a2')]
     for server in servers:
--- a/tests/test_restored_machine.py
+++ b/tests/test_restored_machine.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 from tests.boxes import make_box, make_fleet
-from tests.held_clock import HeldClock
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import Changes, Kind, PlatformFault, Stored
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.ids import BoxId, Incarnation
@@ -237,7 +237,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.cluster = ClusterView(PromiseSettings())
         self.store = RouteStore(self.cluster.eras)
         self.latest = 1
--- a/tests/test_restored_writes.py
+++ b/tests/test_restored_writes.py
@@ -14,8 +14,8 @@
 
 from returns.result import Failure, Result, Success
 
-from tests.held_clock import HeldClock
 from tests.loops import in_loop, wait_until
+from tests.manual_clock import ManualClock
 from tests.test_membership import make_record
 from waywell.connection.platform import Changes, Kind, PlatformFault, Stored
 from waywell.connection.store_era import EraTracker, StoreEra
@@ -73,7 +73,7 @@
     context = WatchContext(
         store,  # type: ignore[arg-type]
         cluster or ClusterView(PromiseSettings()),
-        HeldClock(),
+        ManualClock(),
         lambda _now: True,
         lambda: True,
         lambda: 1,
@@ -106,7 +106,7 @@
     store = Store()
     cluster = ClusterView(PromiseSettings())
     cluster.eras.observe(StoreEra(1))
-    hold = Hold(CRASHES_TO_HOLD, HeldClock.now)
+    hold = Hold(CRASHES_TO_HOLD, ManualClock.now)
     records = make_records(store, {Fingerprint('f'): hold}, cluster)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
     await wait_until(lambda: 'f' in store.objects)
@@ -142,7 +142,7 @@
 async def test_no_record_remains_of_a_request_freed_during_the_write() -> None:
     """Otherwise a node that starts later holds it back for ten minutes."""
     store, held = SlowStore(), {}
-    hold = Hold(CRASHES_TO_HOLD, HeldClock.now)
+    hold = Hold(CRASHES_TO_HOLD, ManualClock.now)
     held[Fingerprint('f')] = hold
     records = make_records(store, held)
     records.on_held(Quarantine.Held(Fingerprint('f'), hold))
--- a/tests/test_started_after_return.py
+++ b/tests/test_started_after_return.py
@@ -13,11 +13,11 @@
 from waywell.standins.harness import wait_until
 
 if TYPE_CHECKING:
-    from tests.front_bench import Front
+    from tests.front_harness import FrontHarness
 
 
 def test_a_node_that_starts_serves_no_key_that_others_know_to_be_removed(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     first = front.start()
     front.wait_serving(first)
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -13,11 +13,11 @@
 
 from returns.result import Result, Success
 
-from tests.front_bench import Front
-from tests.held_clock import HeldClock
+from tests.front_harness import FrontHarness
 from tests.house import KEY, StoreCopy, make_manifest
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import Stored
 from waywell.duties.duty import Duty
 from waywell.standins.harness import Process, wait_until
@@ -39,29 +39,29 @@
 """Of which some would go to a replica that is one of two."""
 
 
-def read_status(front: Front, node: Process) -> Any:
+def read_status(front: FrontHarness, node: Process) -> Any:
     _status, raw = front.get(node, 'metrics_port', '/v1/status')
     return json.loads(raw)
 
 
-def read_boxes(front: Front, node: Process) -> dict[str, Any]:
+def read_boxes(front: FrontHarness, node: Process) -> dict[str, Any]:
     _status, raw = front.get(node, 'metrics_port', '/v1/boxes')
     return {box['box']: box for box in json.loads(raw)}
 
 
-def read_revision(front: Front, node: Process, part: str) -> int:
+def read_revision(front: FrontHarness, node: Process, part: str) -> int:
     _status, raw = front.get(node, 'metrics_port', '/dump')
     return int(json.loads(raw)[part]['revision'])
 
 
-def start(front: Front) -> Process:
+def start(front: FrontHarness) -> Process:
     node = front.start()
     front.wait_serving(node)
     return node
 
 
 def go_back_and_wait(
-    front: Front,
+    front: FrontHarness,
     node: Process,
     copy: StoreCopy,
     *again: tuple[str, str, Any],
@@ -84,7 +84,7 @@
 
 
 def test_what_is_written_again_is_seen_though_its_revision_was_given_before(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = start(front)
     copy = front.store.take_copy()
@@ -104,7 +104,9 @@
     )
 
 
-def test_status_and_log_tell_that_the_store_came_back(front: Front) -> None:
+def test_status_and_log_tell_that_the_store_came_back(
+    front: FrontHarness,
+) -> None:
     node = start(front)
     assert read_status(front, node)['store_era_since'] is None
     go_back_and_wait(front, node, front.store.take_copy())
@@ -118,7 +120,7 @@
     assert 'boxes_kept=' in changes[0]
 
 
-def test_an_earlier_entry_ends_no_life(front: Front) -> None:
+def test_an_earlier_entry_ends_no_life(front: FrontHarness) -> None:
     node = start(front)
     front.servers.pop('a2').crash()
     wait_until(
@@ -146,7 +148,7 @@
     assert answers == [200]
 
 
-def test_a_word_of_leaving_is_not_taken_back(front: Front) -> None:
+def test_a_word_of_leaving_is_not_taken_back(front: FrontHarness) -> None:
     node = start(front)
     copy = front.store.take_copy()
     leaving = front.servers['a1']
@@ -165,7 +167,7 @@
 def test_boxes_that_the_copy_lacks_are_kept_until_they_write_again(
     tmp_path: Path,
 ) -> None:
-    front = Front(tmp_path)
+    front = FrontHarness(tmp_path)
     copy = front.store.take_copy()
     front.add_servers()
     try:
@@ -199,7 +201,7 @@
 
 @in_loop
 async def test_a_lease_that_the_copy_lacks_has_one_holder() -> None:
-    clock = HeldClock()
+    clock = ManualClock()
     store = _Lease()
     first, second = (
         Duty('forming', store, LoneGossip(name), clock, TERM)
--- a/tests/test_truncated_answers.py
+++ b/tests/test_truncated_answers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.broken_bodies import BodyScript, Ending, Framing
-from tests.front_bench import CALL_SECONDS, WHOLE, Front
+from tests.front_harness import CALL_SECONDS, WHOLE, FrontHarness
 from tests.house import EVENTS, HOST, KEY, make_manifest
 from tests.replica_paths import Cut, ReplicaPaths
 from waywell.standins.harness import Process, wait_until
@@ -84,8 +84,8 @@
 @pytest.fixture(scope='module')
 def running(
     tmp_path_factory: pytest.TempPathFactory,
-) -> Iterator[tuple[Front, Process]]:
-    front = Front(tmp_path_factory.mktemp('front'))
+) -> Iterator[tuple[FrontHarness, Process]]:
+    front = FrontHarness(tmp_path_factory.mktemp('front'))
     front.add_servers()
     front.store.put('config', 'main', make_routes())
     process = front.start()
@@ -95,7 +95,9 @@
 
 
 @pytest.fixture
-def served(running: tuple[Front, Process]) -> tuple[Front, Process]:
+def served(
+    running: tuple[FrontHarness, Process],
+) -> tuple[FrontHarness, Process]:
     """Return a node and servers without scripts or recorded runs."""
     front, _process = running
     for server in front.servers.values():
@@ -105,7 +107,7 @@
     return running
 
 
-def script_next(front: Front, *scripts: BodyScript | str) -> None:
+def script_next(front: FrontHarness, *scripts: BodyScript | str) -> None:
     """Set the next answers, whichever servers receive the requests."""
     shared = deque(scripts)
     for server in front.servers.values():
@@ -113,7 +115,7 @@
 
 
 def ask_stream(
-    front: Front, process: Process, route: str = 'notes'
+    front: FrontHarness, process: Process, route: str = 'notes'
 ) -> bytes | None:
     """Return the body of a stream; ``None`` if the caller sees it fail."""
     path = f'/{route}/{next(_numbers)}'
@@ -129,7 +131,7 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), ALL_ENDS)
 def test_a_stream_that_ends_within_an_event_resumes_elsewhere(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     for position, sent in WITHIN_EVENT.items():
@@ -142,7 +144,7 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), DETECTABLE_ENDS)
 def test_a_stream_that_ends_between_events_resumes_elsewhere(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     for position, sent in BETWEEN_EVENTS.items():
@@ -151,7 +153,7 @@
 
 
 def test_a_closed_stream_without_an_event_is_retried_elsewhere(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, b''))
@@ -160,7 +162,7 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), ALL_ENDS)
 def test_a_truncated_stream_that_may_not_run_again_fails_at_its_caller(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     """No other replica may continue the stream, so the caller must see it."""
     front, process = served
@@ -177,7 +179,7 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), COMPLETE_ENDS)
 def test_complete_answers_are_relayed_in_each_framing(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     script_next(front, BodyScript(framing, ending, WHOLE))
@@ -190,7 +192,7 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), DETECTABLE_ENDS)
 def test_a_truncated_plain_answer_is_retried(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     script_next(front, BodyScript(framing, ending, PLAIN[:7], 'text/plain'))
@@ -198,7 +200,7 @@
 
 
 def test_a_stream_that_is_truncated_by_each_replica_fails_at_its_caller(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     parts = [
@@ -214,7 +216,7 @@
 
 
 def test_a_truncated_hedge_of_a_silent_attempt_fails_at_its_caller(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for server in front.servers.values():
@@ -227,7 +229,7 @@
 
 @pytest.mark.parametrize('line_end', [b'\r\n', b'\r'], ids=['crlf', 'cr'])
 def test_truncation_is_detected_with_other_line_ends(
-    served: tuple[Front, Process], line_end: bytes
+    served: tuple[FrontHarness, Process], line_end: bytes
 ) -> None:
     front, process = served
     complete = WHOLE.replace(b'\n', line_end)
@@ -259,7 +261,7 @@
 
 @pytest.fixture
 def connection(
-    running: tuple[Front, Process],
+    running: tuple[FrontHarness, Process],
 ) -> Iterator[http.client.HTTPConnection]:
     """Return a connection of a caller to the node."""
     port = running[1].ports['caller_port']
@@ -269,7 +271,8 @@
 
 
 def test_events_with_other_line_ends_are_relayed_as_they_arrive(
-    served: tuple[Front, Process], connection: http.client.HTTPConnection
+    served: tuple[FrontHarness, Process],
+    connection: http.client.HTTPConnection,
 ) -> None:
     front, process = served
     complete = WHOLE.replace(b'\n', b'\r\n')
@@ -284,7 +287,7 @@
 
 
 def test_the_content_type_of_a_stream_is_case_insensitive(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     broken = BodyScript(
@@ -298,7 +301,7 @@
 
 
 def test_comments_do_not_count_as_an_unfinished_event(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     commented = b': ping\n\n' + WHOLE + b': bye\n'
@@ -308,7 +311,7 @@
 
 @pytest.mark.parametrize('body', [b': ping\n\n', b'\n\n'])
 def test_a_closed_stream_of_comments_only_fails_at_its_caller(
-    served: tuple[Front, Process], body: bytes
+    served: tuple[FrontHarness, Process], body: bytes
 ) -> None:
     front, process = served
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, body))
@@ -317,7 +320,7 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), COMPLETE_ENDS)
 def test_complete_compressed_streams_are_relayed(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     body = b'\x1f\x8b\x08 compressed'
@@ -327,7 +330,8 @@
 
 
 def test_a_caller_on_a_persistent_connection_sees_the_truncation(
-    served: tuple[Front, Process], connection: http.client.HTTPConnection
+    served: tuple[FrontHarness, Process],
+    connection: http.client.HTTPConnection,
 ) -> None:
     front, process = served
     answer = open_stream('kept-1', connection)
@@ -342,7 +346,8 @@
 
 
 def test_a_slow_caller_sees_the_truncation(
-    served: tuple[Front, Process], connection: http.client.HTTPConnection
+    served: tuple[FrontHarness, Process],
+    connection: http.client.HTTPConnection,
 ) -> None:
     """The body ends while reading from the replica is paused."""
     front, process = served
@@ -361,7 +366,7 @@
 
 
 def test_an_answer_without_a_length_does_not_count_as_a_crash(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     log = front.folder / 'front-1.log'
@@ -376,7 +381,9 @@
 
 
 @pytest.fixture
-def through_peer(front: Front) -> Iterator[tuple[Front, Process]]:
+def through_peer(
+    front: FrontHarness,
+) -> Iterator[tuple[FrontHarness, Process]]:
     """Return a node that reaches replicas only through a peer."""
     front.store.put('config', 'main', make_routes())
     paths = ReplicaPaths(front)
@@ -401,7 +408,7 @@
 
 @pytest.mark.parametrize('framing', Framing)
 def test_a_truncation_behind_a_peer_fails_at_the_caller(
-    through_peer: tuple[Front, Process], framing: Framing
+    through_peer: tuple[FrontHarness, Process], framing: Framing
 ) -> None:
     front, partitioned = through_peer
     script = BodyScript(framing, Ending.CLOSE, WHOLE[: 2 * EVENT + 3])
--- a/tests/test_truncated_targets.py
+++ b/tests/test_truncated_targets.py
@@ -11,7 +11,7 @@
 
 from tests.broken_bodies import BodyScript, Ending, Framing, reset_connection
 from tests.conftest import QUICK
-from tests.front_bench import WHOLE
+from tests.front_harness import WHOLE
 from waywell.client import UnreachableError
 from waywell.standins.harness import Bench, BoxSpec, make_configuration
 
--- a/tests/test_watch_eras.py
+++ b/tests/test_watch_eras.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Result, Success
 
-from tests.held_clock import HeldClock
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import Changes, Kind, PlatformFault, Stored
 from waywell.connection.store_era import StoreEra
 from waywell.knowledge.cluster_view import ClusterView
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self.store = Store()
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.cluster = ClusterView(PromiseSettings())
         self.cluster.eras.observe(StoreEra(1))
         context = WatchContext(
--- a/waywell/health/prober.py
+++ b/waywell/health/prober.py
@@ -174,7 +174,7 @@
         """Record evidence and loads of other nodes; forward new evidence."""
         message = received.message
         if isinstance(message, LoadNews):
-            self._parts.loads.hear(message.loads)
+            self._parts.loads.merge_reports(message.loads)
             return
         now = self._parts.clock.read()
         news = tuple(
@@ -208,7 +208,7 @@
             await self._probe_batch(
                 groups[start : start + MAX_CONCURRENT_GROUPS]
             )
-        news = self._parts.loads.take_news()
+        news = self._parts.loads.pop_updates()
         if news:
             self._parts.links.spread(LoadNews(news))
 
@@ -253,7 +253,7 @@
         )
         head = answers[0]
         if head is not None:
-            self._parts.loads.note(group.group, head.load)
+            self._parts.loads.record_probe(group.group, head.load)
         fenced = self._is_fenced(group)
         verdict, detail = judge_probes(group, answers, fenced=fenced)
         must_publish = self._must_publish(group, verdict)
--- a/waywell/process/administration.py
+++ b/waywell/process/administration.py
@@ -105,8 +105,8 @@
 
         An object's labels are its own, with ``kind`` and ``name``.
         """
-        ledgers = self._documents.in_force.ledgers
-        current = ledgers[DocumentKind.CONFIGURATION].current
+        histories = self._documents.in_force.histories
+        current = histories[DocumentKind.CONFIGURATION].current
         entries = {
             key: entry
             for key, entry in current.entries.items()
--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -276,7 +276,7 @@
         now: float,
     ) -> frozenset[GroupId]:
         records = self.gossip.table.records
-        self._tracker.note_nodes(records, now)
+        self._tracker.update_lost_nodes(records, now)
         leaving = [
             group for group in roster if group.state is GroupState.LEAVING
         ]
--- a/waywell/process/claims.py
+++ b/waywell/process/claims.py
@@ -88,7 +88,7 @@
         )
         return ClaimAnswer(state)
 
-    def note_node(self, record: NodeRecord) -> None:
+    def handle_node_change(self, record: NodeRecord) -> None:
         """Take in a change of the membership."""
         if record.node == self._members.own_name:
             self.table.change_incarnation(record.incarnation)
--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         """Start with an empty configuration and roster."""
-        self.ledgers = {kind: DocumentHistory(kind) for kind in DocumentKind}
+        self.histories = {kind: DocumentHistory(kind) for kind in DocumentKind}
         self.configuration = Configuration()
         self.roster = Roster(0)
         self.index = ServingIndex(self.configuration, self.roster)
@@ -48,8 +48,8 @@
     def numbers(self) -> Numbers:
         """Return the versions in force."""
         return Numbers(
-            self.ledgers[DocumentKind.CONFIGURATION].current.number,
-            self.ledgers[DocumentKind.ROSTER].current.number,
+            self.histories[DocumentKind.CONFIGURATION].current.number,
+            self.histories[DocumentKind.ROSTER].current.number,
         )
 
     def adopt(self, kind: DocumentKind, document: Document) -> bool:
@@ -60,13 +60,13 @@
         Exception
             When the document is not valid; what is in force stays.
         """
-        if document.number <= self.ledgers[kind].current.number:
+        if document.number <= self.histories[kind].current.number:
             return False
         if kind is DocumentKind.CONFIGURATION:
             self.configuration = parse_configuration(document)
         else:
             self.roster = parse_roster(document)
-        self.ledgers[kind].adopt(document)
+        self.histories[kind].adopt(document)
         self.index = ServingIndex(self.configuration, self.roster)
         return True
 
@@ -114,7 +114,7 @@
 
     def get_current(self, kind: DocumentKind) -> Document:
         """Return the version in force of a document."""
-        return self.in_force.ledgers[kind].current
+        return self.in_force.histories[kind].current
 
     def adopt(
         self,
@@ -123,7 +123,7 @@
         source: NodeId | None = None,
     ) -> bool:
         """Put a document in force if it is higher, and pass it on."""
-        before = self.in_force.ledgers[kind].current
+        before = self.in_force.histories[kind].current
         try:
             adopted = self.in_force.adopt(kind, document)
         except Exception as error:
@@ -156,11 +156,11 @@
         """Return the versions in force as plain values."""
         return {
             kind.value: {
-                'number': ledger.current.number,
-                'entries': len(ledger.current.entries),
-                'operations': list(ledger.current.operations[-1:]),
+                'number': history.current.number,
+                'entries': len(history.current.entries),
+                'operations': list(history.current.operations[-1:]),
             }
-            for kind, ledger in self.in_force.ledgers.items()
+            for kind, history in self.in_force.histories.items()
         }
 
     def _compare(self, node: NodeId, beat: Beat) -> None:
@@ -180,7 +180,7 @@
         self._links.send(node, DocumentWanted(kind, have))
 
     def _answer(self, node: NodeId, wanted: DocumentWanted) -> None:
-        offered = self.in_force.ledgers[wanted.kind].make_update(wanted.have)
+        offered = self.in_force.histories[wanted.kind].make_update(wanted.have)
         if isinstance(offered, Change):
             news = DocumentNews(wanted.kind, change=offered)
         else:
@@ -188,16 +188,16 @@
         self._links.send(node, news)
 
     def _take_news(self, node: NodeId, news: DocumentNews) -> None:
-        ledger = self.in_force.ledgers[news.kind]
+        history = self.in_force.histories[news.kind]
         if news.document is not None:
             self.adopt(news.kind, news.document, node)
             return
         change = news.change
-        if change is None or change.number <= ledger.current.number:
+        if change is None or change.number <= history.current.number:
             return
-        changed = ledger.preview(change)
+        changed = history.preview(change)
         if changed is None:
-            self._ask(node, news.kind, ledger.current.number)
+            self._ask(node, news.kind, history.current.number)
         else:
             self.adopt(news.kind, changed, node)
 
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -213,7 +213,7 @@
         admin = AdminBackend(
             find_operator=operations.find_operator,
             handlers=operations.list_handlers(),
-            write_metrics=self.metrics.write,
+            write_metrics=self.metrics.render,
         )
         peer = PeerService(self._accept_peer, self._answer_claim)
         return Ports(self.settings.node, caller, admin, peer)
@@ -296,7 +296,7 @@
             self.links,
             self.clock,
             self._random,
-            self._joiner.is_placed,
+            self._joiner.has_cluster_contact,
         )
         self.actors = (
             self.links,
@@ -326,7 +326,7 @@
         history = open_history(self.settings.history, own.node, self.clock)
         claims = ClaimTable(own.node, self.incarnation)
         self.home_claimer = HomeClaimer(claims, self.members, self.clock)
-        self.gossip.watch_changes(self.home_claimer.note_node)
+        self.gossip.watch_changes(self.home_claimer.handle_node_change)
         parts = Parts(
             in_force=self.in_force,
             health=self.health,
@@ -350,26 +350,26 @@
         self._dispatcher = Dispatcher(parts, self.describe)
 
     def _show_metrics(self) -> None:
-        show = self.metrics.show
-        show(
+        add_gauge = self.metrics.add_gauge
+        add_gauge(
             'waywell_groups_serving',
             'Groups of a set that serve, as this node sees it.',
             'group_set',
             self._count_serving,
         )
-        show(
+        add_gauge(
             'waywell_downtime_seconds',
             'Group-seconds of downtime of a set since this node started.',
             'group_set',
             self.meter.list_seconds,
         )
-        show(
+        add_gauge(
             'waywell_in_flight',
             'Requests in flight by client account.',
             'account',
             self.admission.list_in_flight,
         )
-        show(
+        add_gauge(
             'waywell_entry_boxes',
             'Entry boxes by state, as this node sees them.',
             'state',
@@ -423,7 +423,7 @@
 
     async def _measure(self) -> None:
         while True:
-            self.meter.look(
+            self.meter.update(
                 self.in_force.configuration,
                 self._count_serving(),
                 self.clock.read(),
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -131,7 +131,7 @@
         await self._ports.open()
         self._make_tasks()
         self._forwarder = self._make_forwarder()
-        FrontGauges(self).show()
+        FrontGauges(self).register()
         self._is_started = True
         for actor in self.actors:
             actor.start()
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -26,7 +26,7 @@
     from waywell.version.routes import Route, ServiceShare
 
 
-MOST_SHOWN = 20
+MAX_FOREIGN_SHOWN = 20
 """Names of other writers' objects that a status shows of each part."""
 
 
@@ -63,7 +63,7 @@
         }
 
     def _answer_metrics(self, _query: Mapping[str, str]) -> DeskAnswer:
-        text = self._node.metrics.write()
+        text = self._node.metrics.render()
         return DeskAnswer(HTTPStatus.OK, text, 'text/plain')
 
     def _answer_dump(self, _query: Mapping[str, str]) -> DeskAnswer:
@@ -86,8 +86,8 @@
                 'serving': cluster.count_serving(),
                 **self._era_history.show(),
                 'foreign': {
-                    'routes': node.routes.foreign[:MOST_SHOWN],
-                    'boxes': node.fleet.foreign[:MOST_SHOWN],
+                    'routes': node.routes.foreign[:MAX_FOREIGN_SHOWN],
+                    'boxes': node.fleet.foreign[:MAX_FOREIGN_SHOWN],
                 },
                 'backpressure': node.backpressure.dump(now),
                 'limits': node.turns.limits.dump(now),
--- a/waywell/process/joiner.py
+++ b/waywell/process/joiner.py
@@ -72,7 +72,7 @@
                     self._links.dial(host, port)
             await asyncio.sleep(JOIN_SECONDS)
 
-    def is_placed(self) -> bool:
+    def has_cluster_contact(self) -> bool:
         """Answer whether this node has met others, or heard of none."""
         age = self._gossip.get_platform_age(self._clock.read())
         return bool(self._links.list_peers()) or math.isfinite(age)
--- a/waywell/process/loads.py
+++ b/waywell/process/loads.py
@@ -17,7 +17,7 @@
 """Group, sequence of the report, requests in flight."""
 
 
-def find_level(load: int) -> int:
+def get_load_level(load: int) -> int:
     """Return the coarse level of a load."""
     return round(math.log(load + 1, LEVEL_RATIO))
 
@@ -31,16 +31,16 @@
         self._loads: dict[GroupId, float] = {}
         self._news: dict[GroupId, Report] = {}
 
-    def note(self, group: GroupId, load: int) -> None:
+    def record_probe(self, group: GroupId, load: int) -> None:
         """Take in what a probe of this node saw."""
         sequence, known = self._known.get(group, (0, 0))
-        if find_level(load) == find_level(known):
+        if get_load_level(load) == get_load_level(known):
             return
         self._known[group] = (sequence + 1, load)
         self._loads[group] = load
         self._news[group] = (group, sequence + 1, load)
 
-    def take_news(self) -> tuple[Report, ...]:
+    def pop_updates(self) -> tuple[Report, ...]:
         """Return the reports to spread, once.
 
         Those heard from others wait here with the own ones, so that a
@@ -50,7 +50,7 @@
         self._news.clear()
         return news
 
-    def hear(self, reports: tuple[Report, ...]) -> None:
+    def merge_reports(self, reports: tuple[Report, ...]) -> None:
         """Take in reports; those that are news are to be passed on."""
         for group, sequence, load in reports:
             if sequence > self._known.get(group, (0, 0))[0]:
@@ -58,6 +58,6 @@
                 self._loads[group] = load
                 self._news[group] = (group, sequence, load)
 
-    def get_reported(self) -> Mapping[GroupId, float]:
+    def list_loads(self) -> Mapping[GroupId, float]:
         """Return the loads by group."""
         return self._loads
--- a/waywell/process/release.py
+++ b/waywell/process/release.py
@@ -21,7 +21,7 @@
 """Times the route term that a release waits for a silent node."""
 
 
-def sees_most(records: Iterable[NodeRecord]) -> bool:
+def sees_majority(records: Iterable[NodeRecord]) -> bool:
     """Answer whether more than half of the known nodes are present."""
     states = [record.state for record in records]
     present = sum(state is not NodeState.LOST for state in states)
@@ -49,7 +49,7 @@
     route_term
         Term of the right, in seconds.
     """
-    return platform_age < route_term or sees_most(records)
+    return platform_age < route_term or sees_majority(records)
 
 
 class ReleaseTracker:
@@ -70,7 +70,9 @@
         self._let_go_at: dict[tuple[str, int], float] = {}
         self._lost_at: dict[str, float] = {}
 
-    def note_nodes(self, records: Iterable[NodeRecord], now: float) -> None:
+    def update_lost_nodes(
+        self, records: Iterable[NodeRecord], now: float
+    ) -> None:
         """Take in the membership view, to know how long nodes are lost."""
         lost = {
             record.node for record in records if record.state is NodeState.LOST
@@ -139,4 +141,4 @@
             now - self._lost_at.get(record.node, now) >= term
             for record in behind
         )
-        return silent and sees_most(records)
+        return silent and sees_majority(records)
--- a/waywell/request/balance.py
+++ b/waywell/request/balance.py
@@ -100,7 +100,7 @@
         now: float,
     ) -> LoadSource:
         """Return the loads of a service's groups at ``now``."""
-        reported = self._loads.get_reported()
+        reported = self._loads.list_loads()
         summary = self._summaries.get(service)
         if summary is None or now - summary.at >= SUMMARY_SECONDS:
             summary = self._sum_up(groups, reported, now)
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -593,7 +593,7 @@
         group: Group,
         **pairs: object,
     ) -> None:
-        self._parts.history.note(
+        self._parts.history.record(
             event,
             request=work.facts.request_id or '',
             group=group.group,
--- a/waywell/request/request_claims.py
+++ b/waywell/request/request_claims.py
@@ -62,7 +62,7 @@
             return None
         key = ClaimKey(work.account.name, request_id)
         state = await self._get_claimer(key).claim(key)
-        self.history.note(
+        self.history.record(
             'claimed',
             request=request_id,
             state=state.value if state else 'none',
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -150,7 +150,7 @@
             'answered', attempt, now, status=status, **end.outcome.describe()
         )
         self._dependencies.answer_times.note(self._context, now)
-        self._dependencies.metrics.time_answer(
+        self._dependencies.metrics.record_answer(
             self._context.service, self._get_age()
         )
         raise _Answered
@@ -318,7 +318,7 @@
         if not self._context.is_begun:
             self._context.is_begun = True
             self._begun_status = head.status
-            self._dependencies.metrics.time_first(
+            self._dependencies.metrics.record_first_piece(
                 self._context.service, self._get_age()
             )
             length = head.length
--- a/waywell/telemetry/events.py
+++ b/waywell/telemetry/events.py
@@ -17,7 +17,7 @@
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:/@+-',
 )
 
-LINES_A_SECOND = 200
+MAX_LINES_PER_SECOND = 200
 """Lines of one event that a process writes in a second; some 20 requests a
 second are usual, so only a flood is cut."""
 
@@ -68,7 +68,7 @@
         self._written[event] += 1
         return self._written[event] <= self._lines
 
-    def take_left_out(self, now: float) -> dict[str, int]:
+    def pop_dropped_counts(self, now: float) -> dict[str, int]:
         """Return the lines left out in a second that is over, by event."""
         if int(now) == self._second:
             return {}
@@ -127,7 +127,7 @@
             return 0
 
 
-_budget = LineBudget(LINES_A_SECOND)
+_budget = LineBudget(MAX_LINES_PER_SECOND)
 
 
 def open_log(level: str) -> None:
@@ -161,7 +161,7 @@
 
 def _log(level: str, event: str, pairs: dict[str, object]) -> None:
     now = time.monotonic()
-    for left_event, count in _budget.take_left_out(now).items():
+    for left_event, count in _budget.pop_dropped_counts(now).items():
         left_out = {'event': 'left_out', 'of': left_event, 'lines': count}
         logger.log('WARNING', format_pairs(left_out))
     if _budget.allow(event, now):
--- a/waywell/telemetry/front_gauges.py
+++ b/waywell/telemetry/front_gauges.py
@@ -23,77 +23,77 @@
         """Keep the node; its parts are read at each scrape."""
         self._node = node
 
-    def show(self) -> None:
+    def register(self) -> None:
         """Add the gauges to the node's metrics."""
-        show = self._node.metrics.show
-        show(
+        add_gauge = self._node.metrics.add_gauge
+        add_gauge(
             'waywell_serving_replicas',
             'Replicas that may get requests, by service and model.',
             'model',
             self._count_serving,
         )
-        show(
+        add_gauge(
             'waywell_knowledge_age_seconds',
             'For how long what is known was not confirmed.',
             'part',
             self._read_ages,
         )
-        show(
+        add_gauge(
             'waywell_nodes',
             'Entry boxes that this one knows, by state.',
             'state',
             self._count_nodes,
         )
-        show(
+        add_gauge(
             'waywell_duties',
             'Whether this node holds a duty now: 1 or 0.',
             'duty',
             self._read_duties,
         )
-        show(
+        add_gauge(
             'waywell_requests_in_flight',
             'Requests of callers that are not answered yet.',
             'node',
             self._count_in_flight,
         )
-        show(
+        add_gauge(
             'waywell_foreign_objects',
             'Objects of the platform that another writer has written.',
             'part',
             self._count_foreign,
         )
-        show(
+        add_gauge(
             'waywell_quarantine',
             'Replicas that ended under requests, and requests held back.',
             'part',
             self._count_quarantine,
         )
-        show(
+        add_gauge(
             'waywell_backpressure',
             'Replicas that have asked this node for no more requests.',
             'part',
             self._count_wishes,
         )
-        show(
+        add_gauge(
             'waywell_limits',
             'Replicas that have a limit, and what this node dealt of it.',
             'part',
             self._count_turns,
         )
-        show(
+        add_gauge(
             'waywell_unreachable_boxes',
             'Boxes that recently refused this node a connection, by service.',
             'service',
             self._count_unreachable,
         )
-        show(
+        add_gauge(
             'waywell_store_era',
             'Era of the store, and the changes of it that this node saw.',
             'part',
             self._read_era,
         )
 
-        show(
+        add_gauge(
             'waywell_crashing_loads',
             'Loads in a row that ended their boxes, by service and model.',
             'model',
--- a/waywell/telemetry/history.py
+++ b/waywell/telemetry/history.py
@@ -16,14 +16,14 @@
     """Takes in what happens to requests."""
 
     @abc.abstractmethod
-    def note(self, event: str, /, **pairs: object) -> None:
+    def record(self, event: str, /, **pairs: object) -> None:
         """Note an event."""
 
 
 class NoHistory(History):
     """Keeps nothing."""
 
-    def note(self, event: str, /, **pairs: object) -> None:
+    def record(self, event: str, /, **pairs: object) -> None:
         """Do nothing."""
 
 
@@ -46,7 +46,7 @@
         self._node = node
         self._clock = clock
 
-    def note(self, event: str, /, **pairs: object) -> None:
+    def record(self, event: str, /, **pairs: object) -> None:
         """Write an event."""
         at = self._clock.read_wall()
         line = {'event': event, 'at': at, 'node': self._node, **pairs}
--- a/waywell/telemetry/measures.py
+++ b/waywell/telemetry/measures.py
@@ -45,7 +45,7 @@
         self._seconds: dict[str, float] = {}
         self._looked_at: float | None = None
 
-    def look(
+    def update(
         self,
         configuration: Configuration,
         serving: Mapping[str, int],
--- a/waywell/telemetry/metrics.py
+++ b/waywell/telemetry/metrics.py
@@ -22,10 +22,10 @@
 
     from waywell.codes import Code, Ran
 
-Attributes = Mapping[str, Any]
+MetricAttributes = Mapping[str, Any]
 """What a number is counted by."""
 
-MOST_WAITING = 4000
+MAX_PENDING_RECORDINGS = 4000
 """Words that wait for the first scrape: some minutes of a node's requests, in
 less memory than OpenTelemetry itself takes."""
 
@@ -90,23 +90,23 @@
         """Start without a number."""
         self._metrics = metrics
         self._spec = spec
-        self._note: Callable[[float, Any], None] = self._keep
-        self._kept: list[tuple[float, Attributes]] = []
+        self._record: Callable[[float, Any], None] = self._buffer
+        self._pending: list[tuple[float, MetricAttributes]] = []
 
-    def note(self, number: float, attributes: Attributes) -> None:
+    def record(self, number: float, attributes: MetricAttributes) -> None:
         """Take a number in."""
-        self._note(number, attributes)
+        self._record(number, attributes)
 
     def open(self, meter: Meter) -> None:
         """Make the instrument, and give it what was kept."""
-        self._note = self._spec.make(meter)
-        for number, attributes in self._kept:
-            self._note(number, attributes)
-        self._kept.clear()
-
-    def _keep(self, number: float, attributes: Attributes) -> None:
-        self._kept.append((number, attributes))
-        if len(self._kept) >= MOST_WAITING:
+        self._record = self._spec.make(meter)
+        for number, attributes in self._pending:
+            self._record(number, attributes)
+        self._pending.clear()
+
+    def _buffer(self, number: float, attributes: MetricAttributes) -> None:
+        self._pending.append((number, attributes))
+        if len(self._pending) >= MAX_PENDING_RECORDINGS:
             self._metrics.load()
 
 
@@ -118,7 +118,7 @@
         self._meter: Meter | None = None
         self._instruments: list[Instrument] = []
         self._gauges: list[_Gauge] = []
-        self._requests = self.add(
+        self._requests = self.add_instrument(
             InstrumentSpec(
                 InstrumentKind.COUNTER,
                 'waywell_requests',
@@ -126,7 +126,7 @@
             ),
         )
 
-    def add(self, spec: InstrumentSpec) -> Instrument:
+    def add_instrument(self, spec: InstrumentSpec) -> Instrument:
         """Return an instrument of this process."""
         instrument = Instrument(self, spec)
         self._instruments.append(instrument)
@@ -136,9 +136,9 @@
 
     def count_request(self, code: Code, ran: Ran) -> None:
         """Count an ended request."""
-        self._requests.note(1, {'code': int(code), 'ran': ran.value})
+        self._requests.record(1, {'code': int(code), 'ran': ran.value})
 
-    def show(
+    def add_gauge(
         self,
         name: str,
         description: str,
@@ -161,7 +161,7 @@
         gauge = _Gauge(name, description, attribute, read)
         self._gauges.append(gauge)
         if self._meter is not None:
-            _show_gauge(self._meter, gauge)
+            _register_gauge(self._meter, gauge)
 
     def load(self) -> None:
         """Load OpenTelemetry; give it what was kept."""
@@ -171,9 +171,9 @@
         for instrument in self._instruments:
             instrument.open(self._meter)
         for gauge in self._gauges:
-            _show_gauge(self._meter, gauge)
+            _register_gauge(self._meter, gauge)
 
-    def write(self) -> bytes:
+    def render(self) -> bytes:
         """Return all metrics in text form."""
         self.load()
         from prometheus_client import (  # noqa: PLC0415
@@ -194,7 +194,7 @@
     return MeterProvider([PrometheusMetricReader()]).get_meter('waywell')
 
 
-def _show_gauge(meter: Meter, gauge: _Gauge) -> None:
+def _register_gauge(meter: Meter, gauge: _Gauge) -> None:
     meter.create_observable_gauge(
         gauge.name,
         [partial(_observe, gauge)],
--- a/waywell/telemetry/request_metrics.py
+++ b/waywell/telemetry/request_metrics.py
@@ -41,14 +41,14 @@
 
     def __init__(self, metrics: Metrics) -> None:
         """Make the instruments."""
-        self._attempts = metrics.add(
+        self._attempts = metrics.add_instrument(
             InstrumentSpec(
                 InstrumentKind.COUNTER,
                 'waywell_attempts',
                 'What became of attempts at replicas, by log event.',
             ),
         )
-        self._firsts = metrics.add(
+        self._firsts = metrics.add_instrument(
             InstrumentSpec(
                 InstrumentKind.HISTOGRAM,
                 'waywell_first_piece_seconds',
@@ -56,7 +56,7 @@
                 LATENCY_BOUNDS,
             ),
         )
-        self._answers = metrics.add(
+        self._answers = metrics.add_instrument(
             InstrumentSpec(
                 InstrumentKind.HISTOGRAM,
                 'waywell_answer_seconds',
@@ -75,12 +75,12 @@
         service
             Service of the request.
         """
-        self._attempts.note(1, {'event': event, 'service': service})
+        self._attempts.record(1, {'event': event, 'service': service})
 
-    def time_first(self, service: str, seconds: float) -> None:
+    def record_first_piece(self, service: str, seconds: float) -> None:
         """Take in when the first piece of an answer was passed on."""
-        self._firsts.note(seconds, {'service': service})
+        self._firsts.record(seconds, {'service': service})
 
-    def time_answer(self, service: str, seconds: float) -> None:
+    def record_answer(self, service: str, seconds: float) -> None:
         """Take in when an answer was whole."""
-        self._answers.note(seconds, {'service': service})
+        self._answers.record(seconds, {'service': service})
