--- a/waywell/__init__.py
+++ b/waywell/__init__.py
@@ -1,1 +1,1 @@
-"""Serves models whose replicas span several boxes."""
+"""Serving system for models whose replicas span several boxes."""
--- a/waywell/__main__.py
+++ b/waywell/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m waywell``."""
+"""Entry point of ``python -m waywell``."""
 
 from __future__ import annotations
 
--- a/waywell/ids.py
+++ b/waywell/ids.py
@@ -1,25 +1,27 @@
-"""Identifiers, each a type of its own so that they cannot be mixed up."""
+"""Identifiers as distinct types, so that mypy reports one used for another."""
 
 from __future__ import annotations
 
 from typing import NewType
 
 BoxId = NewType('BoxId', str)
-"""Name of a target box in the platform's box list."""
+"""Name of a target box, as listed by the platform."""
 
 GroupId = NewType('GroupId', str)
 """Name of a replica group in the roster."""
 
 NodeId = NewType('NodeId', str)
-"""Name of an entry box, from its settings."""
+"""Name of an entry box, as given in its settings."""
 
 Incarnation = NewType('Incarnation', int)
-"""One run of an entry process, or one life of a box.  A later run of a process
-has a higher number; of two lives of a box the later one is told by what was
-read later, as the clock of a box may step back."""
+"""Number of one run of an entry process or of a box.
+
+A later run of an entry process has a higher number.  The numbers of a box are
+not ordered, because its clock may step back: the run that was read last is the
+current one."""
 
 ServiceName = NewType('ServiceName', str)
-"""Name of a service that callers ask for."""
+"""Name of a service to which callers send requests."""
 
 AccountName = NewType('AccountName', str)
 """Name of a client account."""
@@ -31,22 +33,23 @@
 """Name of a fabric domain."""
 
 SessionId = NewType('SessionId', str)
-"""A caller's name for a session; unique within its client account."""
+"""Session id chosen by the caller, unique within its client account."""
 
 RequestId = NewType('RequestId', str)
-"""A caller's name for a request; unique within its client account."""
+"""Id of a request, unique within its client account."""
 
 Trait = NewType('Trait', str)
-"""Something that requests may share and that may crash replicas."""
+"""Property that requests may share and that may make them crash replicas."""
 
 Fingerprint = NewType('Fingerprint', Trait)
-"""Digest of what a request asks and for whom, the same at each repeat."""
+"""Digest of a request's content and client account, equal for each repeat."""
 
 PromptPart = NewType('PromptPart', Trait)
-"""Name of a part of a prompt that other requests may have as well."""
+"""Identifier of a part of a prompt that several requests may share."""
 
 Epoch = NewType('Epoch', int)
-"""Fence of a group: a target refuses work of an epoch below its own."""
+"""Fencing number of a group: a target refuses work of a lower epoch than its
+own."""
 
 ModelName = NewType('ModelName', str)
-"""Name of a model that engines serve."""
+"""Name of a model that replicas serve."""
--- a/waywell/process/__init__.py
+++ b/waywell/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for a process: settings, membership, leases, the daemon."""
+"""Entry daemons: settings, assembly of their components, and duties."""
--- a/waywell/process/administration.py
+++ b/waywell/process/administration.py
@@ -1,4 +1,4 @@
-"""What operators ask for: read, apply, explain, status, relabel."""
+"""Operations on the configuration and the boxes, requested by operators."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
     from waywell.process.documents import Documents
 
 ANY_NUMBER = -1
-"""Expected version of an apply that replaces whatever is in force."""
+"""Expected version of an apply that replaces any stored version."""
 
 RETRY_SECONDS = 2.0
-"""Advice to operators while the platform doesn't answer."""
+"""Seconds after which an operator should retry a call that the platform
+didn't carry out."""
 
 _CODE_BY_FAULT = MappingProxyType(
     {
@@ -45,45 +46,45 @@
 
 @attrs.frozen
 class ExplainQuestion:
-    """Which request to explain."""
+    """Request whose routing is to be explained."""
 
     service: str
-    """Service."""
+    """Name of the requested service."""
 
     account: str
-    """Client account."""
+    """Client account that sends the request."""
 
     kind: str = DEFAULT_KIND
-    """Request kind."""
+    """Kind of the request, which routing rules may match."""
 
     session_labels: dict[str, str] = attrs.Factory(dict)
-    """Labels of the session."""
+    """Labels of the request's session, which routing rules may match."""
 
 
 @attrs.frozen
 class Relabel:
-    """Which labels to set on which boxes."""
+    """Change of the labels of boxes."""
 
     boxes: Selector
-    """Over the boxes' labels."""
+    """Selects the boxes by their labels."""
 
     labels: dict[str, str]
-    """Labels to set; an empty text removes one."""
+    """Labels to set; an empty value removes the label."""
 
 
 class Administration:
-    """Answers operators; every order goes through the platform.
+    """Carries out operators' calls; every change is written to the platform.
 
     Parameters
     ----------
     platform
-        The platform.
+        Client of the platform's object API.
     documents
         Documents in force at this node.
     """
 
     def __init__(self, platform: Platform, documents: Documents) -> None:
-        """Keep what orders go through."""
+        """Open the store of the configuration document."""
         self._platform = platform
         self._documents = documents
         self._store = DocumentStore(DocumentKind.CONFIGURATION, platform)
@@ -93,7 +94,10 @@
         key: str,
         bootstrap_hashes: list[str],
     ) -> str | None:
-        """Return the operator whom a key belongs to."""
+        """Return the name of the operator that owns a key, if any.
+
+        A key whose hash is in the settings belongs to ``bootstrap``.
+        """
         digits = hash_key(key)
         for operator in self._documents.in_force.configuration.operator:
             if digits in operator.key_hashes:
@@ -101,16 +105,17 @@
         return 'bootstrap' if digits in bootstrap_hashes else None
 
     def read_configuration(self, wanted: Selector) -> dict[str, Any]:
-        """Return the configuration in force, filtered by labels.
+        """Return the entries in force that a selector matches.
 
-        An object's labels are its own, with ``kind`` and ``name``.
+        Besides an entry's own labels, the selector may match its ``kind``
+        and ``name``.
         """
         histories = self._documents.in_force.histories
         current = histories[DocumentKind.CONFIGURATION].current
         entries = {
             key: entry
             for key, entry in current.entries.items()
-            if wanted.admits(_label_entry(key, entry))
+            if wanted.admits(_get_entry_labels(key, entry))
         }
         return {'number': current.number, 'entries': entries}
 
@@ -129,13 +134,14 @@
         expected
             Version that it replaces, or ``ANY_NUMBER``.
         operation
-            Id of the operation; a repeat with the same id is answered
-            as the first time.
+            Id of the operation; a repeat with the same id isn't applied
+            again and returns the stored number.
 
         Raises
         ------
         Refusal
-            Refused with a reason, or unknown.
+            When the configuration is invalid, its expected version is
+            outdated, or the write failed or has an unknown outcome.
         """
         try:
             configuration = check_configuration(raw, 'configuration')
@@ -145,7 +151,7 @@
                 detail='\n'.join(error.faults),
             ) from error
         entries = make_configuration_entries(configuration)
-        stored = await self._read_stored()
+        stored = await self._read_stored_document()
         if operation in stored.document.operations:
             return {'number': stored.document.number, 'repeated': True}
         number = stored.document.number
@@ -157,14 +163,21 @@
         return await self._write(stored, entries, operation)
 
     def explain(self, raw: Any, down: dict[str, str]) -> dict[str, Any]:
-        """Return why a request would go to which group.
+        """Return to which groups a request would be routed, and why.
+
+        Parameters
+        ----------
+        raw
+            Plain values of an ``ExplainQuestion``.
+        down
+            Reason by group for the groups that are down.
 
         Raises
         ------
         Refusal
-            When the question has faults.
+            When the question is invalid.
         """
-        question = _structure(raw, ExplainQuestion, 'question')
+        question = _parse_body(raw, ExplainQuestion, 'question')
         shape = RequestShape(
             question.service,
             question.account,
@@ -174,7 +187,7 @@
         return explain_choice(self._documents.in_force.index, shape, down)
 
     async def list_boxes(self, wanted: Selector) -> list[Any]:
-        """Return the boxes that a selector matches.
+        """Return the boxes that a selector matches, sorted by name.
 
         Raises
         ------
@@ -182,7 +195,7 @@
             When the platform doesn't answer.
         """
         stored = await self._fetch_boxes()
-        boxes = [msgspec.convert(one.body, Box) for one in stored]
+        boxes = [msgspec.convert(listed.body, Box) for listed in stored]
         return [
             msgspec.to_builtins(box)
             for box in sorted(boxes, key=lambda box: box.box)
@@ -190,12 +203,15 @@
         ]
 
     async def count_stranded(self) -> int | None:
-        """Return the stranded accelerators, if the platform answers."""
+        """Return the number of stranded accelerators.
+
+        The result is ``None`` when the platform doesn't answer.
+        """
         try:
             stored = await self._fetch_boxes()
         except Refusal:
             return None
-        boxes = [msgspec.convert(one.body, Box) for one in stored]
+        boxes = [msgspec.convert(listed.body, Box) for listed in stored]
         return count_stranded(boxes, self._documents.in_force.roster)
 
     async def relabel(self, raw: Any) -> dict[str, Any]:
@@ -204,9 +220,10 @@
         Raises
         ------
         Refusal
-            When the order has faults or can't be carried out whole.
+            When the call is invalid, the platform doesn't answer, or a
+            write fails; boxes written before that keep their new labels.
         """
-        order = _structure(raw, Relabel, 'relabel')
+        order = _parse_body(raw, Relabel, 'relabel')
         changed = []
         for stored in await self._fetch_boxes():
             box = msgspec.convert(stored.body, Box)
@@ -216,7 +233,7 @@
                 changed.append(box.box)
         return {'changed': changed}
 
-    async def _read_stored(self) -> StoredDocument:
+    async def _read_stored_document(self) -> StoredDocument:
         read = await self._store.read()
         if isinstance(read, Failure):
             raise Refusal(Code.PLATFORM_DOWN, retry_after=RETRY_SECONDS)
@@ -232,8 +249,8 @@
         document = stored.document.make_next_version(entries, operation, floor)
         written = await self._store.write(document, stored.version)
         if isinstance(written, Failure):
-            raise _refuse_write(written.failure())
-        # The own node has it in force before the operator hears of it.
+            raise _make_write_refusal(written.failure())
+        # This node serves by the new version before it answers the operator.
         self._documents.adopt(DocumentKind.CONFIGURATION, document)
         return {'number': document.number, 'repeated': False}
 
@@ -257,10 +274,10 @@
             stored.version,
         )
         if isinstance(answer, Failure):
-            raise _refuse_write(answer.failure())
+            raise _make_write_refusal(answer.failure())
 
 
-def _refuse_write(fault: PlatformFault) -> Refusal:
+def _make_write_refusal(fault: PlatformFault) -> Refusal:
     code = _CODE_BY_FAULT.get(fault, Code.PLATFORM_DOWN)
     unknown = code is Code.OUTCOME_UNKNOWN
     return Refusal(
@@ -270,7 +287,7 @@
     )
 
 
-def _structure(raw: Any, shape: type[Any], place: str) -> Any:
+def _parse_body(raw: Any, shape: type[Any], place: str) -> Any:
     try:
         return structure_input(raw, shape, place)
     except InvalidInputError as error:
@@ -280,7 +297,7 @@
         ) from error
 
 
-def _label_entry(key: str, entry: dict[str, Any]) -> dict[str, str]:
+def _get_entry_labels(key: str, entry: dict[str, Any]) -> dict[str, str]:
     kind, _, name = key.partition('/')
     return {**entry.get('labels', {}), 'kind': kind, 'name': name}
 
