--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -1,4 +1,8 @@
-"""The duty of group assembly: one node plans, writes and gives orders."""
+"""The assembly duty: one entry box plans groups and orders boxes to form them.
+
+The holder of the duty writes the roster to the platform before it sends the
+orders of a group to its boxes.
+"""
 
 from __future__ import annotations
 
@@ -44,50 +48,56 @@
     from waywell.version.draft import RosterPlan
 
 PLAN_SECONDS = 0.5
-"""Seconds between two plans."""
+"""Period of planning, in seconds."""
 
 ORDER_SECONDS = 5.0
-"""Seconds for a box to answer an order."""
+"""Timeout of an order to a box, in seconds."""
 
 PROBE_SECONDS = 1.0
-"""Seconds for a box to answer how many requests it has in flight."""
+"""Timeout of a probe for a box's requests in flight, in seconds."""
 
 WATCH_SECONDS = 20.0
-"""Seconds for which one watch of the box list waits."""
+"""Seconds that a watch of the box list waits for a change."""
 
-FAILED_WAIT = 1.0
-"""Seconds until a failed call is tried again."""
+RETRY_SECONDS = 1.0
+"""Seconds before a failed call is retried."""
 
 
 class AssemblyDuty(Duty):
-    """Plans groups, writes the roster and gives the orders.
+    """Plans groups, writes the roster and sends the orders.
 
     Parameters
     ----------
+    platform
+        Client of the platform's object API.
+    gossip
+        Membership, as exchanged with other entry boxes.
+    clock
+        Clock of the node.
     documents
         Documents in force at this node.
     target
-        Calls to boxes.
+        Client of the boxes.
     health
-        What the probers say about groups.
+        Results of health checks by group.
     timing
-        Periods and bounds.
+        Terms and timeouts.
     """
 
     class PlanTick(Message, frozen=True):
-        """A plan is due."""
+        """Starts the next plan."""
 
     class Ordered(Message, frozen=True):
-        """All boxes of a group have answered their orders."""
+        """Reports that the orders to all boxes of a group have ended."""
 
         group: GroupId
-        """The group."""
+        """Group that was ordered to form."""
 
         epoch: int
         """Epoch of the orders."""
 
         outcomes: tuple[OrderOutcome, ...]
-        """One for each box."""
+        """Outcome of the order to each member."""
 
     def __init__(
         self,
@@ -99,7 +109,7 @@
         health: HealthTable,
         timing: TimingSettings,
     ) -> None:
-        """Start without the lease."""
+        """Create the duty, which doesn't hold its lease yet."""
         self._health = health
         super().__init__('assembly', platform, gossip, clock, timing.lease)
         self._documents = documents
@@ -113,31 +123,31 @@
         self._ordering: set[tuple[GroupId, int]] = set()
         self._roster = Roster(0)
         self._box_changes = 0
-        self._planned_for: tuple[int, ...] = ()
-        self._fenced_off: set[tuple[GroupId, int]] = set()
+        self._planned_inputs: tuple[int, ...] = ()
+        self._fenced: set[tuple[GroupId, int]] = set()
         self._loads: dict[GroupId, int | None] = {}
         self._tracker = ReleaseTracker(timing.route_term, timing.group_drain)
 
     def start(self) -> None:
-        """Begin to look at the lease, and to plan when it is held."""
+        """Start to check the lease, to plan and to watch the box list."""
         super().start()
         self.repeat(PLAN_SECONDS, self.PlanTick())
         self.spawn(self._watch_boxes())
 
     async def take_up(self) -> None:
-        """Forget what an earlier term knew."""
+        """Discard the stored roster and readiness known in an earlier term."""
         self._base = None
         self._ready.clear()
 
     def on_ordered(self, ordered: Ordered) -> None:
-        """Note which group is ready to serve."""
+        """Record whether a group is ready to serve after its orders."""
         key = (ordered.group, ordered.epoch)
         self._ordering.discard(key)
         if all(outcome is OrderOutcome.TAKEN for outcome in ordered.outcomes):
             self._ready.add(key)
             return
         if OrderOutcome.FENCED in ordered.outcomes:
-            self._fenced_off.add(key)
+            self._fenced.add(key)
         log_warning(
             'order_failed',
             group=ordered.group,
@@ -146,7 +156,7 @@
         )
 
     async def on_plan_tick(self, _tick: PlanTick) -> None:
-        """Plan, write what changed, give the orders that are open."""
+        """Plan, write the changed roster and send outstanding orders."""
         if not self.is_held() or self._boxes is None:
             return
         if self._base is None and not await self._read_base():
@@ -154,19 +164,19 @@
         if self._base is None:
             return
         roster = self._roster
-        if self._is_settled(roster) or self._doubts_boxes(roster):
+        if self._is_unchanged(roster) or self._distrusts_boxes(roster):
             return
-        await self._ask_loads(roster)
+        await self._probe_loads(roster)
         plan = self._plan(roster)
         if plan and self.is_held():
-            # Until it is known to be written, the plan has to be made again.
-            self._planned_for = ()
+            # The same inputs have to be planned again if the write fails.
+            self._planned_inputs = ()
             await self._write(roster, plan)
         if self._base is not None and self.is_held():
-            self._give_orders(self._roster)
+            self._send_orders(self._roster)
 
     def dump(self) -> dict[str, object]:
-        """Return the duty as plain values."""
+        """Return the duty's state as plain values for the state dump."""
         boxes = self._boxes or {}
         return {
             **super().dump(),
@@ -177,11 +187,17 @@
 
     @property
     def boxes(self) -> dict[BoxId, Box]:
-        """Return the box list, empty where this node doesn't watch it."""
+        """Return the boxes by name; empty unless this node watches them."""
         return self._boxes or {}
 
     async def _read_base(self) -> bool:
-        """Read the stored roster, or restore it from what is in force."""
+        """Read the stored roster, or restore it from the one in force.
+
+        Returns
+        -------
+        bool
+            Whether the stored roster was read and can be planned on.
+        """
         read = await self._store.read()
         if isinstance(read, Failure):
             return False
@@ -197,39 +213,39 @@
         self._roster = parse_roster(stored.document)
         return True
 
-    def _is_settled(self, roster: Roster) -> bool:
-        """Answer whether a plan would be made of what the last one was.
+    def _is_unchanged(self, roster: Roster) -> bool:
+        """Return whether a plan has the same inputs as the last one.
 
-        A plan goes through all groups, so it is left out while all of
-        them serve and neither boxes, configuration nor words changed.
+        A plan goes through all groups, so it is skipped while all of them
+        serve and neither boxes, configuration nor health changed.
         """
-        looked_at = (
+        inputs = (
             roster.number,
             self._documents.in_force.numbers.configuration,
             self._box_changes,
             self._health.count_updates(),
         )
-        unsettled = looked_at != self._planned_for
-        self._planned_for = looked_at
-        moving = any(
+        has_changed = inputs != self._planned_inputs
+        self._planned_inputs = inputs
+        is_changing = any(
             group.state is not GroupState.SERVING
             for group in roster.groups.values()
         )
-        return not unsettled and not moving and not self._fenced_off
+        return not has_changed and not is_changing and not self._fenced
 
-    def _doubts_boxes(self, roster: Roster) -> bool:
-        """Answer whether the box list must not be acted on."""
+    def _distrusts_boxes(self, roster: Roster) -> bool:
+        """Return whether the box list is too implausible to plan on."""
         down = self._health.list_down(self.clock.read())
         if not is_box_list_implausible(roster, self.boxes, down):
             return False
-        # Looked at again at each tick: the probers may come to agree.
-        self._planned_for = ()
+        # Checked again at each tick: health checks may confirm the list.
+        self._planned_inputs = ()
         log_warning('box_list_doubted', boxes=len(self.boxes))
         return True
 
     def _plan(self, roster: Roster) -> RosterPlan:
         now = self.clock.read()
-        self._note_broken(roster, now)
+        self._update_broken(roster, now)
         configuration = self._documents.in_force.configuration
         view = AssemblyView(
             boxes=self.boxes,
@@ -241,26 +257,26 @@
                 for group in roster
                 if (group.group, group.epoch) in self._ready
             ),
-            with_stale_orders=self._find_disordered(roster, now),
+            with_stale_orders=self._find_stale_orders(roster, now),
         )
         policy = CostPolicy(configuration.goal)
         return plan_assembly(roster, view, policy, now)
 
-    def _find_disordered(
+    def _find_stale_orders(
         self,
         roster: Roster,
         now: float,
     ) -> frozenset[GroupId]:
         found = {
-            name for name, _epoch in self._fenced_off if name in roster.groups
+            name for name, _epoch in self._fenced if name in roster.groups
         }
-        for name, word in self._health.list_down(now).items():
+        for name, evidence in self._health.list_down(now).items():
             group = roster.groups.get(name)
-            if group is not None and _has_lost_order(group, word):
+            if group is not None and _has_lost_order(group, evidence):
                 found.add(name)
         return frozenset(found)
 
-    def _note_broken(self, roster: Roster, now: float) -> None:
+    def _update_broken(self, roster: Roster, now: float) -> None:
         broken = {
             group.group for group in roster if group.state is GroupState.BROKEN
         }
@@ -297,8 +313,8 @@
         service = self._documents.in_force.index.find_service(group.service)
         return service is not None and service.fenced
 
-    async def _ask_loads(self, roster: Roster) -> None:
-        """Ask the first boxes of leaving groups for their work in flight."""
+    async def _probe_loads(self, roster: Roster) -> None:
+        """Read the requests in flight from the heads of leaving groups."""
         leaving = [
             group for group in roster if group.state is GroupState.LEAVING
         ]
@@ -316,12 +332,14 @@
     async def _write(self, roster: Roster, plan: RosterPlan) -> None:
         if self._base is None:
             return
-        later = roster.replace(roster.number + 1, plan.changed, plan.removed)
+        next_roster = roster.replace(
+            roster.number + 1, plan.changed, plan.removed
+        )
         document = self._base.make_next_version(
-            later.to_entries(), make_operation()
+            next_roster.to_entries(), make_operation()
         )
         written = await self._store.write(document, self._object_version)
-        # Whatever came of it, the next plan starts from what is stored.
+        # Whatever the outcome, the next plan starts from the stored roster.
         self._base = None
         if isinstance(written, Failure):
             log_warning('roster_not_written', fault=written.failure().value)
@@ -338,16 +356,16 @@
             )
         await self._read_base()
 
-    def _give_orders(self, roster: Roster) -> None:
+    def _send_orders(self, roster: Roster) -> None:
         current = {(group.group, int(group.epoch)) for group in roster}
         self._ready &= current
-        self._fenced_off &= current
+        self._fenced &= current
         for group in roster:
             key = (group.group, int(group.epoch))
             if group.state is not GroupState.FORMING or key in self._ready:
                 continue
             if not self._is_fenced(group):
-                # A target that checks no fence takes no orders either.
+                # A target without fencing doesn't accept orders either.
                 self._ready.add(key)
             elif key not in self._ordering:
                 self._ordering.add(key)
@@ -364,13 +382,13 @@
             boxes=tuple(member.box for member in group.members),
         )
         outcomes = await asyncio.gather(
-            *(self._order_member(member, order) for member in group.members),
+            *(self._send_order(member, order) for member in group.members),
         )
         if any(outcome is OrderOutcome.UNKNOWN for outcome in outcomes):
-            await asyncio.sleep(FAILED_WAIT)
+            await asyncio.sleep(RETRY_SECONDS)
         self.post(self.Ordered(group.group, group.epoch, tuple(outcomes)))
 
-    async def _order_member(
+    async def _send_order(
         self,
         member: Member,
         order: GroupOrder,
@@ -382,7 +400,7 @@
         while True:
             if not self.is_held():
                 self._boxes = None
-                await asyncio.sleep(FAILED_WAIT / 4)
+                await asyncio.sleep(RETRY_SECONDS / 4)
                 continue
             if self._boxes is None:
                 answer = await self.platform.fetch_all(Kind.BOX)
@@ -393,13 +411,13 @@
                     WATCH_SECONDS,
                 )
             if isinstance(answer, Failure):
-                await asyncio.sleep(FAILED_WAIT)
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
             changes = answer.unwrap()
             revision = changes.revision
-            self._take_boxes(changes)
+            self._apply_box_changes(changes)
 
-    def _take_boxes(self, changes: Changes) -> None:
+    def _apply_box_changes(self, changes: Changes) -> None:
         boxes = {} if changes.complete else dict(self.boxes)
         for stored in changes.objects:
             name = BoxId(stored.name)
@@ -411,8 +429,8 @@
         self._box_changes += 1
 
 
-def _has_lost_order(group: Group, word: Evidence) -> bool:
-    """Answer whether a word says that a box serves without its order."""
-    disordered = word.verdict is Verdict.DISORDERED
-    current = word.epoch == group.epoch
+def _has_lost_order(group: Group, evidence: Evidence) -> bool:
+    """Return whether a box of a serving group no longer has its order."""
+    disordered = evidence.verdict is Verdict.DISORDERED
+    current = evidence.epoch == group.epoch
     return disordered and current and group.state is GroupState.SERVING
--- a/waywell/process/claims.py
+++ b/waywell/process/claims.py
@@ -1,4 +1,9 @@
-"""Claims across entry boxes: the home's table, its peers, the platform."""
+"""Claims of request ids across entry boxes.
+
+A claim makes sure that a request runs at most once.  An id that an entry box
+issued is claimed in the table of that box, its home; an id that a caller chose
+is claimed by creating an object in the platform.
+"""
 
 from __future__ import annotations
 
@@ -26,40 +31,46 @@
     from waywell.membership.membership import MembershipTable, NodeRecord
     from waywell.process.clock import Clock
 
-NAME_DIGITS = 40
-"""Hexadecimal digits in the name of a claim object."""
+CLAIM_NAME_DIGITS = 40
+"""Number of hexadecimal digits in the name of a claim object."""
 
-ASK_SECONDS = 2.0
-"""Seconds for a home to answer."""
+HOME_TIMEOUT_SECONDS = 2.0
+"""Timeout of a call to the home of a claim, in seconds."""
 
 
 class Claimer(abc.ABC):
-    """A way to claim request ids of one form."""
+    """Claims request ids of one form."""
 
     @abc.abstractmethod
     async def claim(self, key: ClaimKey) -> ClaimState | None:
-        """Claim an id; ``None`` when its claim can't be known now."""
+        """Claim an id for this node.
+
+        Returns
+        -------
+        ClaimState or None
+            State of the claim; ``None`` if it can't be determined now.
+        """
 
     @abc.abstractmethod
     def settle(self, key: ClaimKey, state: ClaimState) -> None:
-        """Tell how the run of a granted request ended.
+        """Record how the run of a granted request ended.
 
-        Nobody waits for it: until the home knows, it answers repeats as
-        those of a request that still runs.
+        The call doesn't wait for the home; until the home is notified, it
+        answers repeats as those of a running request.
         """
 
 
 class HomeClaimer(Claimer):
-    """Claims ids that an entry box gave out, at that box.
+    """Claims ids that an entry box issued, at that box.
 
     Parameters
     ----------
     table
-        Claims that have their home here.
+        Claims that have their home at this node.
     members
         Membership view, to find other homes.
     clock
-        Where the time is read.
+        Clock of the node.
     """
 
     def __init__(
@@ -68,14 +79,14 @@
         members: MembershipTable,
         clock: Clock,
     ) -> None:
-        """Serve as a home with an empty table."""
+        """Serve as the home of the claims in the table."""
         self.table = table
         self._members = members
         self._clock = clock
-        self._telling: set[asyncio.Task[ClaimState | None]] = set()
+        self._notifications: set[asyncio.Task[ClaimState | None]] = set()
 
     def answer(self, ask: ClaimAsk) -> ClaimAnswer:
-        """Answer another entry box about an id that has its home here."""
+        """Claim or settle an id with its home here for another entry box."""
         key = ClaimKey(ask.account, ask.request_id)
         if ask.settle is not None:
             self.table.settle(key, ask.settle)
@@ -89,7 +100,10 @@
         return ClaimAnswer(state)
 
     def handle_node_change(self, record: NodeRecord) -> None:
-        """Take in a change of the membership."""
+        """Update the claims after a change of a node's membership record.
+
+        Claims held by a lost or earlier run of the node are marked so.
+        """
         if record.node == self._members.own_name:
             self.table.change_incarnation(record.incarnation)
         elif record.state is NodeState.LOST:
@@ -98,22 +112,22 @@
             self.table.mark_holder_lost(record.node, record.incarnation - 1)
 
     async def claim(self, key: ClaimKey) -> ClaimState | None:
-        """Claim an id at its home."""
-        return await self._ask(key, None)
+        """Claim an id at the entry box that issued it."""
+        return await self._call(key, None)
 
     def settle(self, key: ClaimKey, state: ClaimState) -> None:
-        """Tell the home how the run ended."""
+        """Record how the run ended; a remote home is notified by a task."""
         issued = parse_issued_id(key.request_id)
         if issued is None or issued.node == self._members.own_name:
             self.table.settle(key, state)
             return
-        telling = asyncio.get_running_loop().create_task(
-            self._ask(key, state),
+        notification = asyncio.get_running_loop().create_task(
+            self._call(key, state),
         )
-        self._telling.add(telling)
-        telling.add_done_callback(self._telling.discard)
+        self._notifications.add(notification)
+        notification.add_done_callback(self._notifications.discard)
 
-    async def _ask(
+    async def _call(
         self,
         key: ClaimKey,
         settle: ClaimState | None,
@@ -134,13 +148,13 @@
             return ClaimState.UNKNOWN
         if home.state is NodeState.LOST:
             return ClaimState.UNKNOWN
-        return await _ask_home(home, ask)
+        return await _call_home(home, ask)
 
 
-async def _ask_home(home: NodeRecord, ask: ClaimAsk) -> ClaimState | None:
+async def _call_home(home: NodeRecord, ask: ClaimAsk) -> ClaimState | None:
     channel = open_channel(home.host, home.peer_port)
     try:
-        answer = await ask_claim(channel, ask, ASK_SECONDS)
+        answer = await ask_claim(channel, ask, HOME_TIMEOUT_SECONDS)
     except Exception:
         return None
     finally:
@@ -149,23 +163,23 @@
 
 
 class PlatformClaimer(Claimer):
-    """Claims ids that callers made up, by a conditional create.
+    """Claims ids that callers chose, by a conditional create.
 
     Parameters
     ----------
     platform
-        The platform.
+        Client of the platform's object API.
     clock
-        Where the time is read.
+        Clock of the node.
     """
 
     def __init__(self, platform: Platform, clock: Clock) -> None:
-        """Keep where to write."""
+        """Use a platform for the claim objects."""
         self._platform = platform
         self._clock = clock
 
     async def claim(self, key: ClaimKey) -> ClaimState | None:
-        """Create the claim object; whoever comes second finds it there."""
+        """Create the claim object; this fails if the id is claimed already."""
         name = _name_claim(key)
         operation = make_operation()
         body = {
@@ -178,22 +192,24 @@
         fault = answer.failure()
         if fault is PlatformFault.NOT_SENT:
             return None
-        return await self._look_up(name, operation)
+        return await self._check_outcome(name, operation)
 
     def settle(self, key: ClaimKey, state: ClaimState) -> None:
-        """Leave the claim as it is: a repeat learns that it may have run."""
+        """Do nothing: repeats are answered that the request may have run."""
 
-    async def _look_up(self, name: str, operation: str) -> ClaimState | None:
+    async def _check_outcome(
+        self, name: str, operation: str
+    ) -> ClaimState | None:
         read = await self._platform.fetch(Kind.CLAIM, name)
         if isinstance(read, Failure):
             return None
         stored = read.unwrap()
         if stored is None:
             return None
-        mine = stored.body.get('operation') == operation
-        return ClaimState.GRANTED if mine else ClaimState.UNKNOWN
+        is_own = stored.body.get('operation') == operation
+        return ClaimState.GRANTED if is_own else ClaimState.UNKNOWN
 
 
 def _name_claim(key: ClaimKey) -> str:
     text = f'{key.account}\n{key.request_id}'
-    return hashlib.sha256(text.encode()).hexdigest()[:NAME_DIGITS]
+    return hashlib.sha256(text.encode()).hexdigest()[:CLAIM_NAME_DIGITS]
--- a/waywell/process/clock.py
+++ b/waywell/process/clock.py
@@ -1,4 +1,4 @@
-"""Where the present time is read; decisions get it as an argument."""
+"""Clocks.  Code that decides by the time gets it as an argument."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 
 
 class Clock(abc.ABC):
-    """Reads the present time."""
+    """Source of the current time."""
 
     @abc.abstractmethod
     def read(self) -> float:
-        """Return seconds that never go back, from any start."""
+        """Return monotonic seconds from an arbitrary starting point."""
 
     @abc.abstractmethod
     def read_wall(self) -> float:
-        """Return seconds since the epoch of the calendar."""
+        """Return the wall-clock time, in seconds since the Unix epoch."""
 
 
 class SystemClock(Clock):
-    """The machine's clocks."""
+    """Clock that reads the machine's boot-time and wall clocks."""
 
     def read(self) -> float:
-        """Return the seconds since the machine's start."""
+        """Return the seconds since the machine started."""
         return read_boot_clock()
 
     def read_wall(self) -> float:
-        """Return the calendar clock, in seconds."""
+        """Return the wall-clock time, in seconds since the Unix epoch."""
         return time.time()
 
 
 def read_boot_clock() -> float:
-    """Return the seconds since the machine's start, suspended ones counted.
+    """Return the seconds since the machine started, including suspended time.
 
-    The monotonic clock leaves them out: a node that had slept for 4 s would
-    rely for 4 s longer on keys that were removed and a lease that it has lost.
+    The monotonic clock excludes suspended time: a node suspended for 4 s
+    would rely for 4 s longer on removed keys and on a lease that it has lost.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
