--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -1,4 +1,4 @@
-"""The task that keeps the documents in force and spreads them."""
+"""The documents in force at a node, and their distribution to its peers."""
 
 from __future__ import annotations
 
@@ -30,12 +30,15 @@
     from waywell.process.clock import Clock
 
 
-ASK_SECONDS = 1.0
-"""Seconds until another neighbour is asked for the same document."""
+REQUEST_INTERVAL_SECONDS = 1.0
+"""Seconds before the same document is requested from another neighbour."""
 
 
 class InForce:
-    """The versions that requests are served by; replaced, never changed."""
+    """Versions of the documents by which a node serves requests.
+
+    A new version replaces the objects held here; they are never modified.
+    """
 
     def __init__(self) -> None:
         """Start with an empty configuration and roster."""
@@ -46,19 +49,24 @@
 
     @property
     def numbers(self) -> Numbers:
-        """Return the versions in force."""
+        """Return the version numbers in force."""
         return Numbers(
             self.histories[DocumentKind.CONFIGURATION].current.number,
             self.histories[DocumentKind.ROSTER].current.number,
         )
 
     def adopt(self, kind: DocumentKind, document: Document) -> bool:
-        """Put a document in force if it is higher and holds together.
+        """Put a document in force if its number is higher.
+
+        Returns
+        -------
+        bool
+            Whether the document was put in force.
 
         Raises
         ------
         Exception
-            When the document is not valid; what is in force stays.
+            When the document is invalid; the former one stays in force.
         """
         if document.number <= self.histories[kind].current.number:
             return False
@@ -72,26 +80,26 @@
 
 
 class Documents(Actor):
-    """Owns the documents in force at this node.
+    """Updates the documents in force at this node.
 
     Parameters
     ----------
     in_force
-        The versions, read by the other tasks.
+        Documents in force, which the other tasks read.
     links
         Streams to other nodes.
     clock
-        Where the time is read.
+        Clock of the node.
     """
 
     class Offer(Message, frozen=True):
-        """A document is known to be stored in the platform."""
+        """Offers a version that is stored in the platform."""
 
         kind: DocumentKind
-        """Which document."""
+        """Kind of the document."""
 
         document: Document
-        """The whole version."""
+        """Complete version of the document."""
 
     def __init__(
         self,
@@ -99,17 +107,17 @@
         links: PeerLinks,
         clock: Clock,
     ) -> None:
-        """Start with what is in force."""
+        """Subscribe to messages of peers about documents."""
         super().__init__('documents')
         self.in_force = in_force
         self._links = links
         self._clock = clock
-        self._asked_at: dict[DocumentKind, float] = {}
+        self._requested_at: dict[DocumentKind, float] = {}
         self._watchers: list[Callable[[DocumentKind], None]] = []
         links.subscribe(self, Beat, DocumentNews, DocumentWanted)
 
     def watch_changes(self, watcher: Callable[[DocumentKind], None]) -> None:
-        """Call a watcher with the kind of each newly adopted document."""
+        """Register a function that gets the kind of each adopted document."""
         self._watchers.append(watcher)
 
     def get_current(self, kind: DocumentKind) -> Document:
@@ -122,7 +130,22 @@
         document: Document,
         source: NodeId | None = None,
     ) -> bool:
-        """Put a document in force if it is higher, and pass it on."""
+        """Put a document in force if its number is higher, and distribute it.
+
+        Parameters
+        ----------
+        kind
+            Kind of the document.
+        document
+            Complete version of the document.
+        source
+            Peer that sent the document and needs no copy of it.
+
+        Returns
+        -------
+        bool
+            Whether the document was put in force.
+        """
         before = self.in_force.histories[kind].current
         try:
             adopted = self.in_force.adopt(kind, document)
@@ -135,25 +158,25 @@
             )
             return False
         if adopted:
-            self._pass_on(kind, before, document, source)
+            self._publish(kind, before, document, source)
         return adopted
 
     def on_offer(self, offer: Offer) -> None:
-        """Take in a version that the platform holds."""
+        """Adopt a version that is stored in the platform."""
         self.adopt(offer.kind, offer.document)
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in what a peer says of documents."""
+        """Handle a peer's versions, update or request for an update."""
         message = received.message
         if isinstance(message, Beat):
-            self._compare(received.node, message)
+            self._compare_versions(received.node, message)
         elif isinstance(message, DocumentNews):
-            self._take_news(received.node, message)
+            self._apply_news(received.node, message)
         else:
-            self._answer(received.node, message)
+            self._send_update(received.node, message)
 
     def dump(self) -> dict[str, object]:
-        """Return the versions in force as plain values."""
+        """Return the versions in force as plain values for the state dump."""
         return {
             kind.value: {
                 'number': history.current.number,
@@ -163,31 +186,35 @@
             for kind, history in self.in_force.histories.items()
         }
 
-    def _compare(self, node: NodeId, beat: Beat) -> None:
+    def _compare_versions(self, node: NodeId, beat: Beat) -> None:
         numbers = self.in_force.numbers
         if beat.configuration > numbers.configuration:
-            self._ask(node, DocumentKind.CONFIGURATION, numbers.configuration)
+            self._request_update(
+                node, DocumentKind.CONFIGURATION, numbers.configuration
+            )
         if beat.roster > numbers.roster:
-            self._ask(node, DocumentKind.ROSTER, numbers.roster)
+            self._request_update(node, DocumentKind.ROSTER, numbers.roster)
 
-    def _ask(self, node: NodeId, kind: DocumentKind, have: int) -> None:
-        """Ask one neighbour, though several may have shown a later one."""
+    def _request_update(
+        self, node: NodeId, kind: DocumentKind, have: int
+    ) -> None:
+        """Request a later version unless another neighbour was just asked."""
         now = self._clock.read()
-        asked_at = self._asked_at.get(kind, -math.inf)
-        if now - asked_at < ASK_SECONDS:
+        requested_at = self._requested_at.get(kind, -math.inf)
+        if now - requested_at < REQUEST_INTERVAL_SECONDS:
             return
-        self._asked_at[kind] = now
+        self._requested_at[kind] = now
         self._links.send(node, DocumentWanted(kind, have))
 
-    def _answer(self, node: NodeId, wanted: DocumentWanted) -> None:
-        offered = self.in_force.histories[wanted.kind].make_update(wanted.have)
-        if isinstance(offered, Change):
-            news = DocumentNews(wanted.kind, change=offered)
+    def _send_update(self, node: NodeId, wanted: DocumentWanted) -> None:
+        update = self.in_force.histories[wanted.kind].make_update(wanted.have)
+        if isinstance(update, Change):
+            news = DocumentNews(wanted.kind, change=update)
         else:
-            news = DocumentNews(wanted.kind, document=offered)
+            news = DocumentNews(wanted.kind, document=update)
         self._links.send(node, news)
 
-    def _take_news(self, node: NodeId, news: DocumentNews) -> None:
+    def _apply_news(self, node: NodeId, news: DocumentNews) -> None:
         history = self.in_force.histories[news.kind]
         if news.document is not None:
             self.adopt(news.kind, news.document, node)
@@ -197,18 +224,18 @@
             return
         changed = history.preview(change)
         if changed is None:
-            self._ask(node, news.kind, history.current.number)
+            self._request_update(node, news.kind, history.current.number)
         else:
             self.adopt(news.kind, changed, node)
 
-    def _pass_on(
+    def _publish(
         self,
         kind: DocumentKind,
         before: Document,
         document: Document,
         source: NodeId | None,
     ) -> None:
-        self._asked_at.pop(kind, None)
+        self._requested_at.pop(kind, None)
         log_event('document_adopted', kind=kind.value, number=document.number)
         change = compare_documents(before, document)
         self._links.spread(DocumentNews(kind, change=change), skip=source)
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: its parts put together, its start and its stop."""
+"""The entry daemon: assembly of its components, start and stop."""
 
 from __future__ import annotations
 
@@ -56,23 +56,23 @@
     from waywell.version.roster import Group
 
 MEASURE_SECONDS = 0.5
-"""Seconds between two looks at the downtime."""
+"""Period of the downtime measurement and of clean-up, in seconds."""
 
-DRAIN_LOOK_SECONDS = 0.05
-"""Seconds between two looks at the work in flight while stopping."""
+DRAIN_POLL_SECONDS = 0.05
+"""Seconds between checks of the work in flight while the node stops."""
 
 
 class EntryNode:
-    """One entry box.
+    """The components of one entry box.
 
     Parameters
     ----------
     settings
-        Its settings.
+        Settings of the entry box.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Put the parts together; nothing listens yet."""
+        """Create the components that need no port; nothing listens yet."""
         self.settings = settings
         self.clock = SystemClock()
         self.metrics = Metrics()
@@ -92,7 +92,7 @@
         self._is_started = False
         self._random = Random(self.incarnation)
         self._ports = self._make_ports()
-        self._helpers: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def own(self) -> NodeRecord:
@@ -100,18 +100,20 @@
         return self.members.own
 
     async def start(self) -> None:
-        """Listen, join the others, begin to serve."""
+        """Open the ports, join the other entry boxes and begin to serve."""
         await self._ports.open()
-        self._make_tasks()
+        self._make_actors()
         self._make_dispatcher()
-        self._show_metrics()
+        self._register_gauges()
         self._is_started = True
         for actor in self.actors:
             actor.start()
         self.gossip.repeat(self.settings.timing.beat, Gossip.Tick())
         self.prober.repeat(self.settings.timing.probe, Prober.ProbeTick())
-        for work in (self._joiner.run(), self._measure()):
-            self._helpers.add(asyncio.get_running_loop().create_task(work))
+        for work in (self._joiner.run(), self._run_periodic_work()):
+            self._background_tasks.add(
+                asyncio.get_running_loop().create_task(work)
+            )
         own = self.own
         log_event(
             'listening',
@@ -122,10 +124,11 @@
         )
 
     async def stop(self) -> None:
-        """Leave the entry list, finish the work in flight, then end.
+        """Leave the entry list, finish the work in flight, then stop.
 
-        New requests are served for as long as callers may keep the entry
-        list; after that they are refused as not run, with where to go.
+        New requests are served for as long as callers may use an earlier
+        entry list.  Later ones are refused as not run, and the refusal
+        lists the other entry boxes.
         """
         timing = self.settings.timing
         log_event('leaving', node=self.own.node)
@@ -134,17 +137,17 @@
         self.refuses_new = True
         ends_at = self.clock.read() + timing.drain
         while self.admission.total and self.clock.read() < ends_at:
-            await asyncio.sleep(DRAIN_LOOK_SECONDS)
-        # The last answers may still wait for callers that read slowly.
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
+        # Slow callers may still be reading the last answers.
         self._ports.hang_up()
         while self._ports.count_callers() and self.clock.read() < ends_at:
-            await asyncio.sleep(DRAIN_LOOK_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
         left = self._ports.count_callers()
         await self._close()
         log_event('stopped', node=self.own.node, cut=left)
 
     def describe(self) -> NodeFacts:
-        """Return what the dispatcher has to know of this node."""
+        """Return the state of this node on which the dispatcher depends."""
         age = self.gossip.get_platform_age(self.clock.read())
         return NodeFacts(
             live_nodes=self.members.count_live(),
@@ -156,22 +159,22 @@
         )
 
     def is_usable(self, group: Group) -> bool:
-        """Answer whether nothing speaks against a group."""
+        """Return whether no health check reports a group as down."""
         now = self.clock.read()
         return self.health.is_usable(group.group, group.epoch, now)
 
     def list_entries(self) -> dict[str, Any]:
-        """Return the entry list: live nodes, those of this hall first.
+        """Return the entry list: live nodes, those of this data hall first.
 
-        Nodes that have lost their links to a service are left out where
-        enough others have theirs.
+        Nodes that have lost their links to a service are omitted where
+        enough others still have theirs.
 
         Raises
         ------
         Refusal
-            Before the node has started.
+            When the node has not started yet.
         """
-        self._check_started()
+        self._require_started()
         live = select_linked(
             [
                 record
@@ -219,7 +222,7 @@
         return Ports(self.settings.node, caller, admin, peer)
 
     def _make_record(self) -> NodeRecord:
-        """Return the first record of this node, which names its ports."""
+        """Return the initial membership record of this node."""
         node = self.settings.node
         return NodeRecord(
             node=NodeId(node.name),
@@ -233,14 +236,14 @@
             lost_services=(),
         )
 
-    def _make_tasks(self) -> None:
+    def _make_actors(self) -> None:
         timing = self.settings.timing
         record = self._make_record()
         self.members = MembershipTable(record, timing.suspicion)
         self.links = PeerLinks(lambda: self.members.own, self._transport)
         self.gossip = Gossip(self.members, self.links, self.clock, timing)
         self.documents = Documents(self.in_force, self.links, self.clock)
-        self.documents.watch_changes(self._note_document)
+        self.documents.watch_changes(self._announce_versions)
         self.administration = Administration(self.platform, self.documents)
         self.hall_duty = HallDuty(
             self.platform,
@@ -282,7 +285,7 @@
         self.quarantine = make_unstored_quarantine(
             self.links, self.clock, self._is_first_node
         )
-        self.quarantine.watch_crashes(self._let_rest)
+        self.quarantine.watch_crashes(self._rest_ended_group)
         self._joiner = Joiner(
             self.platform,
             self.gossip,
@@ -310,11 +313,11 @@
             self.prober,
         )
 
-    def _let_rest(self, ended: ReplicaKey) -> None:
-        """Let a group rest whose head is known to have ended.
+    def _rest_ended_group(self, ended: ReplicaKey) -> None:
+        """Record a failure of a group whose head is known to have ended.
 
-        Until the probers have noticed, requests would spend their retries on
-        groups that ended under requests of other entry boxes.
+        Until the health checks notice, requests would spend their retries on
+        groups that ended while they served requests of other entry boxes.
         """
         roster = self.in_force.roster
         holder = roster.find_holder(ended.box)
@@ -349,7 +352,7 @@
         self.parts = parts
         self._dispatcher = Dispatcher(parts, self.describe)
 
-    def _show_metrics(self) -> None:
+    def _register_gauges(self) -> None:
         add_gauge = self.metrics.add_gauge
         add_gauge(
             'waywell_groups_serving',
@@ -380,13 +383,19 @@
         return count_serving(self.in_force.roster, self.is_usable)
 
     async def _serve(self, submission: Any, caller: Any) -> None:
-        self._check_started()
+        self._require_started()
         if self.refuses_new:
             self._dispatcher.refuse_leaving(submission, self.list_entries())
         await self._dispatcher.serve(submission, caller)
 
-    def _check_started(self) -> None:
-        """Refuse callers that come between the ports and the rest."""
+    def _require_started(self) -> None:
+        """Refuse callers that connect before the node has started.
+
+        Raises
+        ------
+        Refusal
+            When the ports are open but the other components don't run yet.
+        """
         if not self._is_started:
             raise Refusal(
                 Code.NODE_STARTING,
@@ -398,7 +407,7 @@
         return self.in_force.numbers.configuration
 
     def _is_first_node(self) -> bool:
-        """Answer whether no peer's id comes before this node's."""
+        """Return whether this node's id precedes those of all its peers."""
         return all(peer > self.own.node for peer in self.links.list_peers())
 
     async def _accept_peer(self, stream: Any) -> None:
@@ -407,7 +416,7 @@
     def _answer_claim(self, ask: Any) -> Any:
         return self.home_claimer.answer(ask)
 
-    def _note_document(self, _kind: DocumentKind) -> None:
+    def _announce_versions(self, _kind: DocumentKind) -> None:
         self.gossip.post(Gossip.Advance(numbers=self.in_force.numbers))
 
     def _report(self, request: CallerRequest, code: Code, ran: Ran) -> None:
@@ -415,13 +424,13 @@
         log_event(
             'request',
             request=request.read_text(REQUEST_ID_HEADER),
-            # A body over the limit is refused before the path is known.
+            # The path is not known yet when an oversized body is refused.
             path=(request.path or b'').decode('latin-1'),
             code=int(code),
             ran=ran.value,
         )
 
-    async def _measure(self) -> None:
+    async def _run_periodic_work(self) -> None:
         while True:
             self.meter.update(
                 self.in_force.configuration,
@@ -435,7 +444,7 @@
 
     async def _close(self) -> None:
         self._ports.close()
-        for helper in self._helpers:
-            helper.cancel()
+        for task in self._background_tasks:
+            task.cancel()
         for actor in self.actors:
             await actor.stop()
