--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -1,4 +1,7 @@
-"""The front daemon: an entry box on the platform, put together."""
+"""The front daemon: assembly of its components, start and stop.
+
+A front daemon is an entry box that uses the platform's own protocols.
+"""
 
 from __future__ import annotations
 
@@ -56,49 +59,52 @@
     from waywell.process.front_settings import FrontSettings
     from waywell.request.decoded_request import DecodedRequest
 
-TEND_SECONDS = 0.25
-"""Seconds between two looks at whether this node is still ready and whether it
-has to read the platform itself: a small part of the 2 s within which routes
-must be in force and leaving boxes get nothing more."""
+MAINTENANCE_SECONDS = 0.25
+"""Period of checks whether this node is ready and has to read the platform
+itself, in seconds: a small part of the 2 s within which new routes must be in
+force and leaving boxes must get no new requests."""
 
-START_TEND_SECONDS = 0.05
-"""Seconds between two looks at whether this node has become ready: until the
-others know it, callers are not told of it; with all nodes restarted at once
-there is nobody else to tell of."""
+START_MAINTENANCE_SECONDS = 0.05
+"""Period of the same checks before this node is ready, in seconds.  It is
+shorter because callers learn of a node only after its peers know that it is
+ready, and after a restart of all nodes there is no other node to use."""
 
-FIRST_WAIT_SECONDS = 2.0
-"""Seconds for which a node lets the seeds read for it at the first start: two
-attempts to reach one of them."""
+FIRST_READ_DELAY_SECONDS = 2.0
+"""Seconds that a node waits at the first start for the seeds to read the
+platform for it: the time of two attempts to reach a seed."""
 
-KEPT_FACTOR = 3.0
-"""Times the term of the entry list for which some callers keep it."""
+ENTRY_LIST_TERM_FACTOR = 3.0
+"""Multiple of its term for which some callers keep the entry list."""
 
-LAST_SECONDS = 2.0
-"""Seconds before the forced end from which on no new request is taken."""
+REFUSAL_MARGIN = 2.0
+"""Seconds before the forced end of the process at which the node stops
+accepting new requests."""
 
-STOP_MARGIN = 0.6
-"""Seconds before the forced end at which what still runs is cut."""
+DRAIN_MARGIN = 0.6
+"""Seconds before the forced end of the process at which the node cuts the
+requests that still run."""
 
 WITHDRAW_MARGIN = 0.3
-"""Seconds after that for which the platform is waited for."""
+"""Seconds after that cut that the node may spend on removing its presence from
+the platform."""
 
-DRAIN_LOOK_SECONDS = 0.05
-"""Seconds between two looks at the work in flight while stopping."""
+DRAIN_POLL_SECONDS = 0.05
+"""Seconds between checks of the work in flight while the node stops."""
 
 
 class FrontNode:
-    """One entry box on the platform.
+    """The components of one front daemon.
 
     Parameters
     ----------
     settings
-        Its settings.
+        Settings of the entry box.
     adapter
-        What speaks the platform's language.
+        Implementation of the platform's protocols.
     """
 
     def __init__(self, settings: FrontSettings, adapter: FrontAdapter) -> None:
-        """Put the parts together; nothing listens yet."""
+        """Create the components that need no port; nothing listens yet."""
         self.settings = settings
         self.clock = SystemClock()
         self.metrics = Metrics()
@@ -117,9 +123,9 @@
         self._is_leaving = False
         self._is_started = False
         self._was_ready = False
-        self._tended_serial = 0
+        self._cleaned_serial = 0
         self._random = Random(self.incarnation)
-        self._helpers: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._transport = FrameTransport(FrontWire)
         self._ports = FrontPorts(
             settings.node, self._make_handlers(), self._transport
@@ -127,17 +133,19 @@
         self.budget = ResendBudget(settings.resends, self.clock.read())
 
     async def start(self) -> None:
-        """Listen, join the others, begin to serve."""
+        """Open the ports, join the other entry boxes and begin to serve."""
         await self._ports.open()
-        self._make_tasks()
+        self._make_actors()
         self._forwarder = self._make_forwarder()
         FrontGauges(self).register()
         self._is_started = True
         for actor in self.actors:
             actor.start()
         self.gossip.repeat(self.settings.timing.beat, Gossip.Tick())
-        for work in (self.presence.run(), self._tend()):
-            self._helpers.add(asyncio.get_running_loop().create_task(work))
+        for work in (self.presence.run(), self._run_maintenance()):
+            self._background_tasks.add(
+                asyncio.get_running_loop().create_task(work)
+            )
         log_event(
             'listening',
             node=self.settings.node.name,
@@ -149,18 +157,18 @@
         )
 
     async def stop(self) -> None:
-        """Leave the entry list, finish the work in flight, then end.
+        """Leave the entry list, finish the work in flight, then stop.
 
-        New requests are served for as long as callers may keep the entry
-        list, if they can be expected to end before the process does.
+        New requests are served for as long as callers may use an earlier
+        entry list, if they are expected to end before the process does.
         """
         promises = self.settings.promises
-        ends_at = self.clock.read() + promises.stop_within - STOP_MARGIN
+        ends_at = self.clock.read() + promises.stop_within - DRAIN_MARGIN
         self._forwarder.start_draining(ends_at)
         await self._leave()
         cut = await self._drain(ends_at)
-        for helper in self._helpers:
-            helper.cancel()
+        for task in self._background_tasks:
+            task.cancel()
         left = ends_at + WITHDRAW_MARGIN - self.clock.read()
         await self.presence.withdraw(left)
         self._ports.close()
@@ -169,7 +177,7 @@
         log_event('stopped', node=self.settings.node.name, cut=cut)
 
     def is_ready(self) -> bool:
-        """Answer whether callers should be sent here."""
+        """Return whether callers should send requests to this node."""
         now = self.clock.read()
         return (
             self._is_started
@@ -179,7 +187,7 @@
         )
 
     def list_addresses(self, hall: str) -> list[str]:
-        """Return the addresses of entry boxes that are ready."""
+        """Return the addresses of ready entry boxes, those of a hall first."""
         if not self._is_started:
             return []
         ready = [
@@ -189,8 +197,8 @@
         ]
         live = select_linked(ready)
         own = self.members.own.node
-        # Callers may take notice of the first ones only, so each node begins
-        # with those that follow it.
+        # Callers may use only the first addresses, so each node starts with
+        # the nodes after itself to spread the callers.
         live.sort(
             key=lambda record: (
                 record.hall != hall,
@@ -201,7 +209,7 @@
         return [f'{record.host}:{record.caller_port}' for record in live]
 
     def dump(self) -> dict[str, Any]:
-        """Return the state as plain values."""
+        """Return the node's state as plain values for the state dump."""
         return {
             'node': self.settings.node.name,
             'ready': self.is_ready(),
@@ -244,7 +252,7 @@
             lost_services=(),
         )
 
-    def _make_tasks(self) -> None:
+    def _make_actors(self) -> None:
         timing = self.settings.timing
         platform = self._adapter.platform
         intervals = make_poll_intervals(self.settings.promises)
@@ -276,14 +284,14 @@
             self.book,
             self.loads,
             intervals,
-            self._choose_first_reading(),
+            self._get_first_read_time(),
         )
         self.routes = RouteWatch(
-            self._make_watch_parts(self.feed.needs_routes),
+            self._make_watch_context(self.feed.needs_routes),
             intervals.route_watch_seconds,
         )
         self.fleet = FleetWatch(
-            self._make_watch_parts(self._needs_boxes),
+            self._make_watch_context(self._needs_boxes),
             intervals,
             lambda: self.forming.is_held(),
         )
@@ -305,14 +313,14 @@
             self.book,
             self.clock,
             DoubtListeners(
-                partial(self._tell_forming, FormingDuty.Doubted),
-                partial(self._tell_forming, FormingDuty.Heard),
+                partial(self._notify_forming, FormingDuty.Doubted),
+                partial(self._notify_forming, FormingDuty.Heard),
             ),
             verify=self.paths.watch.verify,
         )
         self.quarantine = make_quarantine(
             self.links,
-            self._make_watch_parts(self.feed.needs_routes),
+            self._make_watch_context(self.feed.needs_routes),
             self.forming.is_held,
             self.paths.watch.verify,
         )
@@ -338,7 +346,7 @@
             self.forming,
         )
 
-    def _make_watch_parts(
+    def _make_watch_context(
         self,
         is_needed: Callable[[float], bool],
     ) -> WatchContext:
@@ -382,33 +390,37 @@
             ),
         )
 
-    def _choose_first_reading(self) -> float:
+    def _get_first_read_time(self) -> float:
         """Return when this node may first read the platform itself.
 
-        At the very first start all nodes would read all at one moment, long
-        before callers come; the seeds do, and the others wait for them.
+        At the first start of the whole system, all nodes would read
+        everything at the same moment, long before callers connect.  Instead,
+        the seeds read and the other nodes wait for them.
         """
         now = self.clock.read()
         node = self.settings.node
         if node.first_start and node.peers not in self.settings.seeds:
-            return now + FIRST_WAIT_SECONDS
+            return now + FIRST_READ_DELAY_SECONDS
         return now
 
     def _needs_boxes(self, now: float) -> bool:
-        """Answer whether this node has to read the box list itself."""
+        """Return whether this node has to read the box list itself."""
         return self.forming.is_held() or self.feed.needs_boxes(now)
 
     def _reads_for_others(self) -> bool:
         return self.feed.is_reader() or self.forming.is_held()
 
-    def _tell_forming(
+    def _notify_forming(
         self,
-        word: type[FormingDuty.Doubted | FormingDuty.Heard],
+        message_type: type[FormingDuty.Doubted | FormingDuty.Heard],
         group: GroupId,
     ) -> None:
-        """Tell the forming duty of a doubt; plain services have no group."""
+        """Post a message about a group to the forming duty.
+
+        Replicas of plain services have no group and need no message.
+        """
         if group:
-            self.forming.post(word(group))
+            self.forming.post(message_type(group))
 
     def _read_demand(self, now: float) -> Mapping[Any, float]:
         loads = self.loads.add_up()
@@ -417,24 +429,35 @@
         return self.demand.observe(in_flight, now)
 
     async def _leave(self) -> None:
-        """Leave the entry list; wait until callers no longer keep it."""
+        """Leave the entry list and wait until callers have dropped it."""
         promises = self.settings.promises
         log_event('leaving', node=self.settings.node.name)
         self._is_leaving = True
         self.gossip.post(Gossip.Advance(state=NodeState.LEAVING))
         await self.forming.retire()
-        kept = promises.entry_list_term * KEPT_FACTOR
-        await asyncio.sleep(min(kept, promises.stop_within - LAST_SECONDS))
+        kept = promises.entry_list_term * ENTRY_LIST_TERM_FACTOR
+        await asyncio.sleep(min(kept, promises.stop_within - REFUSAL_MARGIN))
 
     async def _drain(self, ends_at: float) -> int:
-        """Finish the work in flight; return how many requests are cut."""
+        """Finish the work in flight.
+
+        Parameters
+        ----------
+        ends_at
+            Time at which requests are cut, in seconds of the clock.
+
+        Returns
+        -------
+        int
+            Number of requests that were still in flight at that time.
+        """
         self._ports.stop_accepting()
         while self.in_flight and self.clock.read() < ends_at:
-            await asyncio.sleep(DRAIN_LOOK_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
         cut = self.in_flight
         self._ports.hang_up()
         while self._ports.count_callers() and self.clock.read() < ends_at:
-            await asyncio.sleep(DRAIN_LOOK_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
         return cut
 
     async def _serve(self, ask: DecodedRequest, answer: AnswerWriter) -> None:
@@ -460,30 +483,32 @@
     def _accept_peer(self) -> StreamListener | None:
         return self.links.make_listener() if self._is_started else None
 
-    async def _tend(self) -> None:
-        """Do by one timer what is due now and then.
+    async def _run_maintenance(self) -> None:
+        """Run all periodic maintenance from a single timer.
 
-        Timers of 0.1 s for each watch were 20 of some 38 that fell due in a
-        second at a node that has nothing to do (counted by their periods).
+        A timer of 0.1 s for each watch accounted for 20 of some 38 timer
+        events in a second on an idle node, counted by their periods.
         """
         while True:
             now = self.clock.read()
             self.cluster.update_gate(self.presence.get_contacts(), now)
-            self._tell_readiness()
-            self._forget_replicas()
+            self._announce_readiness()
+            self._drop_missing_replicas()
             self.backpressure.forget_old(now)
             self.turns.refresh(now)
             for watch in (self.routes, self.fleet, self.quarantine.records):
                 watch.resume_reading(now)
             await asyncio.sleep(
-                TEND_SECONDS if self._was_ready else START_TEND_SECONDS
+                MAINTENANCE_SECONDS
+                if self._was_ready
+                else START_MAINTENANCE_SECONDS
             )
 
-    def _tell_readiness(self) -> None:
-        """Tell the others whether this node serves.
+    def _announce_readiness(self) -> None:
+        """Announce to other nodes whether this node is ready.
 
-        They need not know by which version: each that they were told would
-        send this node's record along every stream.
+        The version of the routes isn't announced: each new one would send
+        this node's record along every stream.
         """
         is_ready = self.is_ready()
         if is_ready == self._was_ready:
@@ -493,10 +518,10 @@
         version = self.cluster.index.table.version
         log_event('readiness', ready=is_ready, routes=version)
 
-    def _forget_replicas(self) -> None:
-        """Drop the records of replicas that a newer box list lacks."""
-        if self.cluster.fleet_serial != self._tended_serial:
-            self._tended_serial = self.cluster.fleet_serial
+    def _drop_missing_replicas(self) -> None:
+        """Drop the records of replicas that a newer box list doesn't have."""
+        if self.cluster.fleet_serial != self._cleaned_serial:
+            self._cleaned_serial = self.cluster.fleet_serial
             self.book.forget_others(self.cluster.list_replica_keys())
             self.paths.watch.table.retain(
                 box.life for box in self.cluster.fleet.boxes.values()
@@ -504,7 +529,7 @@
 
 
 def _choose_first_dials(cluster: ClusterView) -> int:
-    """Return how many nodes one that has started calls at its first look."""
+    """Return how many nodes a starting node dials in its first attempt."""
     if cluster.gate.is_open or cluster.eras.is_first_start:
         return JOIN_DIALS
     return START_DIALS
--- a/waywell/process/front_adapter.py
+++ b/waywell/process/front_adapter.py
@@ -1,4 +1,4 @@
-"""What a front daemon needs of the part that speaks a platform's language."""
+"""Interface between a front daemon and the protocols of its platform."""
 
 from __future__ import annotations
 
@@ -13,36 +13,39 @@
 from waywell.connection.wire import Wire
 
 Handlers = Mapping[str, DeskHandler]
-"""Handlers of small calls, by path."""
+"""Handlers of HTTP calls by path."""
 
 ListAddresses = Callable[[str], Sequence[str]]
-"""Returns the addresses of entry boxes, those of a data hall first."""
+"""Returns the addresses of entry boxes, those of the given data hall first."""
 
 ReadyMaker = Callable[[Callable[[], bool]], Handlers]
-"""Makes handlers of what answers whether the node is ready."""
+"""Creates the readiness handlers from a function that returns readiness."""
 
 DirectoryMaker = Callable[[ListAddresses, float], Handlers]
-"""Makes handlers of a list of addresses and the seconds it may be kept."""
+"""Creates the handlers of the entry list.
+
+The arguments are a function that lists addresses, and the seconds for which a
+caller may keep the list."""
 
 
 @attrs.frozen
 class FrontAdapter:
-    """What speaks the platform's language for the daemon."""
+    """Implementations of the platform's protocols for a front daemon."""
 
     platform: Platform
-    """The platform's store."""
+    """Client of the platform's store."""
 
     eras: EraTracker
-    """Era of the platform's store."""
+    """Tracks the era of the platform's store."""
 
     wire: Wire
-    """Requests and answers."""
+    """Converts requests and answers from and to the platform's headers."""
 
     orders: BoxOrders
-    """Orders to boxes."""
+    """Sends orders to boxes."""
 
     make_ready: ReadyMaker
-    """Makes the handlers that answer whether the node is ready."""
+    """Creates the handlers that report whether the node is ready."""
 
     make_directory: DirectoryMaker
-    """Makes the handlers that answer which entry boxes there are."""
+    """Creates the handlers that list the entry boxes."""
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -1,8 +1,8 @@
-"""What the front daemon answers operators: metrics, state, and why.
+"""Operators' calls to a front daemon: metrics, state and routing decisions.
 
-The paths are those of the product's administration port, so that the same
-command line asks both.  Nothing is changed here: operators write to the
-platform.  Keys of client accounts are never shown.
+The paths are those of the administration port of an entry daemon, so that the
+same command line works for both.  All calls are read-only, because operators
+write to the platform.  Keys of client accounts are never shown.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
 
 
 MAX_FOREIGN_SHOWN = 20
-"""Names of other writers' objects that a status shows of each part."""
+"""Maximum number of names of other writers' objects in each part of a
+status."""
 
 
 class FrontOperations:
-    """Answers operators' questions about one node.
+    """Answers operators' calls about one node.
 
     Parameters
     ----------
     node
-        The node.
+        Node whose components the calls read.
     """
 
     def __init__(self, node: FrontNode) -> None:
-        """Keep the node; its parts are read at each question."""
+        """Use a node, whose components are read at each call."""
         self._node = node
         self._era_history = EraHistory(
             node.cluster,
@@ -52,28 +53,28 @@
     def list_handlers(self) -> dict[str, DeskHandler]:
         """Return the handlers by path."""
         return {
-            '/metrics': self._answer_metrics,
-            '/dump': self._answer_dump,
-            '/v1/dump': self._answer_dump,
-            '/v1/status': self._answer_status,
-            '/v1/configuration': self._answer_configuration,
-            '/v1/groups': self._answer_groups,
-            '/v1/boxes': self._answer_boxes,
-            '/v1/route': self._answer_route,
+            '/metrics': self._get_metrics,
+            '/dump': self._get_dump,
+            '/v1/dump': self._get_dump,
+            '/v1/status': self._get_status,
+            '/v1/configuration': self._get_configuration,
+            '/v1/groups': self._get_groups,
+            '/v1/boxes': self._get_boxes,
+            '/v1/route': self._get_route,
         }
 
-    def _answer_metrics(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _get_metrics(self, _query: Mapping[str, str]) -> DeskAnswer:
         text = self._node.metrics.render()
         return DeskAnswer(HTTPStatus.OK, text, 'text/plain')
 
-    def _answer_dump(self, _query: Mapping[str, str]) -> DeskAnswer:
-        return _answer(self._node.dump())
+    def _get_dump(self, _query: Mapping[str, str]) -> DeskAnswer:
+        return _make_json_answer(self._node.dump())
 
-    def _answer_status(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _get_status(self, _query: Mapping[str, str]) -> DeskAnswer:
         node = self._node
         cluster = node.cluster
         now = node.clock.read()
-        return _answer(
+        return _make_json_answer(
             {
                 'node': node.settings.node.name,
                 'ready': node.is_ready(),
@@ -97,10 +98,10 @@
             },
         )
 
-    def _answer_configuration(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _get_configuration(self, _query: Mapping[str, str]) -> DeskAnswer:
         table = self._node.cluster.index.table
         accounts = {holder.account for holder in table.holders.values()}
-        return _answer(
+        return _make_json_answer(
             {
                 'version': table.version,
                 'routes': table.routes,
@@ -110,42 +111,43 @@
             },
         )
 
-    def _answer_groups(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _get_groups(self, _query: Mapping[str, str]) -> DeskAnswer:
         fleet = self._node.cluster.fleet
-        shown = [_show_group(group) for group in fleet.groups.values()]
-        return _answer(shown)
+        shown = [_describe_group(group) for group in fleet.groups.values()]
+        return _make_json_answer(shown)
 
-    def _answer_boxes(self, _query: Mapping[str, str]) -> DeskAnswer:
+    def _get_boxes(self, _query: Mapping[str, str]) -> DeskAnswer:
         fleet = self._node.cluster.fleet
         shown = [msgspec.structs.asdict(box) for box in fleet.boxes.values()]
-        return _answer(shown)
+        return _make_json_answer(shown)
 
-    def _answer_route(self, query: Mapping[str, str]) -> DeskAnswer:
-        """Tell where a request by ``host``, ``path`` and ``model`` may go."""
+    def _get_route(self, query: Mapping[str, str]) -> DeskAnswer:
+        """Return the route and replicas by ``host``, ``path`` and ``model``."""
         index = self._node.cluster.index
         host, path = query.get('host', ''), query.get('path', '')
         route = index.find_route(host, path)
         if route is None:
             text = f'version {index.table.version} has no such route'
-            return _answer({'route': None, 'reason': text})
+            return _make_json_answer({'route': None, 'reason': text})
         model = ModelName(query.get('model', ''))
-        return _answer(
+        return _make_json_answer(
             {
                 'route': route,
                 'version': index.table.version,
                 'services': [
-                    self._show_share(share, model) for share in route.shares
+                    self._describe_share(share, model)
+                    for share in route.shares
                 ],
-                'reason': _explain(route),
+                'reason': _explain_route(route),
             },
         )
 
-    def _show_share(
+    def _describe_share(
         self,
         share: ServiceShare,
         model: ModelName,
     ) -> dict[str, Any]:
-        """Return a service with its replicas and what was seen of them."""
+        """Return a service of a route with the state of its replicas."""
         node = self._node
         now = node.clock.read()
         replicas = []
@@ -177,11 +179,11 @@
         }
 
 
-def _answer(shown: Any) -> DeskAnswer:
+def _make_json_answer(shown: Any) -> DeskAnswer:
     return DeskAnswer(HTTPStatus.OK, msgspec.json.encode(shown, enc_hook=str))
 
 
-def _show_group(group: FleetGroup) -> dict[str, Any]:
+def _describe_group(group: FleetGroup) -> dict[str, Any]:
     return {
         'group': group.group,
         'model': parse_group_model(group.group),
@@ -200,9 +202,9 @@
     }
 
 
-def _explain(route: Route) -> str:
-    """Say what decides about a route's requests."""
-    key = 'no key is asked for' if route.public else 'a key is asked for'
+def _explain_route(route: Route) -> str:
+    """Return a sentence about the matching and retries of a route."""
+    key = 'no key is required' if route.public else 'a key is required'
     repeat = (
         'may be sent to another replica'
         if route.may_repeat
--- a/waywell/process/front_ports.py
+++ b/waywell/process/front_ports.py
@@ -1,4 +1,4 @@
-"""The ports of a front daemon."""
+"""Ports of a front daemon."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 
 @attrs.frozen
 class FrontHandlers:
-    """What serves at each port."""
+    """Handlers of the ports of a front daemon."""
 
     backend: FrontBackend
-    """Callers."""
+    """Serves the requests of callers."""
 
     readiness: Mapping[str, DeskHandler]
-    """Whether the node is ready."""
+    """Handlers by path that report whether the node is ready."""
 
     directory: Mapping[str, DeskHandler]
-    """Which entry boxes there are."""
+    """Handlers by path that list the entry boxes."""
 
     metrics: Mapping[str, DeskHandler]
-    """Metrics and the state dump."""
+    """Handlers by path of operators' calls, such as metrics and state dump."""
 
     accept_peer: Acceptor
-    """Other entry boxes."""
+    """Accepts streams of other entry boxes."""
 
 
 class FrontPorts:
-    """Listens for a front daemon.
+    """Opens and closes the ports of a front daemon.
 
     Parameters
     ----------
     settings
-        Addresses.
+        Settings with the addresses to listen on.
     handlers
-        What serves.
+        Handlers of the ports.
     transport
-        Takes streams of other entry boxes.
+        Listens for streams of other entry boxes.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         handlers: FrontHandlers,
         transport: FrameTransport,
     ) -> None:
-        """Keep what serves; nothing listens yet."""
+        """Parse the addresses; nothing listens yet."""
         self.callers = parse_address(settings.callers)
         self.peers = parse_address(settings.peers)
         self.readiness = parse_address(settings.readiness)
@@ -74,7 +74,7 @@
         Raises
         ------
         OSError
-            When a port can't be had.
+            When a port can't be bound.
         """
         handlers = self._handlers
         port = await self._transport.listen(
@@ -91,19 +91,19 @@
         self.metrics = self._listen(self.metrics, DeskSite(handlers.metrics))
 
     def stop_accepting(self) -> None:
-        """Take no new connections of callers."""
+        """Stop accepting connections of callers."""
         self._listening[0].stopListening()
 
     def hang_up(self) -> None:
-        """Close the callers' connections when all is written."""
+        """Close each caller's connection once its answer is written."""
         self._site.hang_up()
 
     def count_callers(self) -> int:
-        """Return the callers' connections that are open."""
+        """Return the number of open connections of callers."""
         return len(self._site.channels)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening on all ports."""
         for port in self._listening:
             port.stopListening()
         self._transport.close()
