--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -69,9 +69,18 @@
 @pytest.mark.parametrize(
     ('change', 'fault'),
     [
-        ('name = "e 1"', 'node.name: 1 to 64 of'),
-        ('name = "e1"\nhost = "box.example"', 'node.host: an IP number'),
-        ('name = "e1"\ncaller_port = 70000', 'node.caller_port: 0 to 65535'),
+        (
+            'name = "e 1"',
+            'node.name: must be 1 to 64 letters, digits or ._-',
+        ),
+        (
+            'name = "e1"\nhost = "box.example"',
+            'node.host: must be an IP address',
+        ),
+        (
+            'name = "e1"\ncaller_port = 70000',
+            'node.caller_port: must be 0 to 65535',
+        ),
     ],
 )
 def test_settings_fault(
--- a/tests/test_front_settings.py
+++ b/tests/test_front_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a front daemon, as the platform's template writes them."""
+"""Settings of a front daemon, in the form of the platform's template."""
 
 from __future__ import annotations
 
@@ -24,12 +24,14 @@
 """
 
 
-def test_an_operator_may_let_stale_keys_serve() -> None:
+def test_serving_with_stale_keys_can_be_allowed() -> None:
     assert check_front_settings(TEXT, 'x').promises.keys_strict
     text = f'{TEXT}\n[promises]\nkeys_strict = false\n'
     assert not check_front_settings(text, 'x').promises.keys_strict
 
 
-def test_a_bound_of_nothing_is_a_fault() -> None:
-    with pytest.raises(InvalidInputError, match=r'resends\.window: above 0'):
+def test_a_bound_of_zero_is_rejected() -> None:
+    with pytest.raises(
+        InvalidInputError, match=r'resends\.window: must be above 0'
+    ):
         check_front_settings(f'{TEXT}\n[resends]\nwindow = 0.0\n', 'x')
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -122,7 +122,7 @@
         return _make_json_answer(shown)
 
     def _get_route(self, query: Mapping[str, str]) -> DeskAnswer:
-        """Return the route and replicas by ``host``, ``path`` and ``model``."""
+        """Return the replicas for a ``host``, ``path`` and ``model``."""
         index = self._node.cluster.index
         host, path = query.get('host', ''), query.get('path', '')
         route = index.find_route(host, path)
--- a/waywell/process/front_settings.py
+++ b/waywell/process/front_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a front daemon, read from TOML and checked whole."""
+"""Settings of a front daemon, read from TOML and validated as a whole."""
 
 from __future__ import annotations
 
@@ -10,122 +10,122 @@
 from waywell.version.toml_text import read_text, read_toml
 
 MS = 0.001
-"""Seconds in a millisecond."""
+"""One millisecond, in seconds."""
 
 
 @attrs.frozen
 class Address:
-    """Where one of the daemon's ports is."""
+    """Address of a TCP port."""
 
     host: str
-    """IP number."""
+    """IP address."""
 
     port: int
-    """Port number."""
+    """TCP port number; 0 listens on a free port."""
 
 
 @attrs.frozen
 class FrontNodeSettings:
-    """Who and where this entry box is."""
+    """Identity and addresses of the entry box."""
 
     name: str
     """Name of the entry box, unique in the system."""
 
     hall: str
-    """Data hall that it stands in."""
+    """Data hall in which the entry box is located."""
 
     region: str = 'default'
     """Region of the data hall."""
 
     host: str = '127.0.0.1'
-    """IP number by which others reach it."""
+    """IP address at which others reach the entry box."""
 
     callers: str = ''
-    """Address for callers, ``IP:PORT``."""
+    """Address to listen on for callers, ``IP:PORT``."""
 
     readiness: str = ''
-    """Address at which it says whether it serves."""
+    """Address to listen on for readiness checks, ``IP:PORT``."""
 
     directory: str = ''
-    """Address of the entry list."""
+    """Address to listen on for calls for the entry list, ``IP:PORT``."""
 
     peers: str = ''
-    """Address for other entry boxes."""
+    """Address to listen on for other entry boxes, ``IP:PORT``."""
 
     metrics_port: int = 0
-    """Port for metrics and the state dump; 0 takes a free one."""
+    """Port for metrics and the state dump; 0 listens on a free port."""
 
     first_start: bool = False
-    """Whether the whole system starts for the first time: callers are seconds
-    away, so this node may wait for others to read for it."""
+    """Whether the whole system starts for the first time: callers come only
+    seconds later, so this node may wait for others to read the platform."""
 
     link_mbps: float = 0.0
-    """Bandwidth of its link, in Mbit/s; 0 where it is not known."""
+    """Bandwidth of the box's network link, in Mbit/s; 0 if unknown."""
 
     processor_share: float = 0.0
-    """Part of a core that it may use; 0 where it is not known."""
+    """Share of a core that the process may use; 0 if unknown."""
 
     processor_speed: float = 1.0
-    """How many times as fast as an ordinary box's core that core is."""
+    """Speed of that core relative to the core of an ordinary box."""
 
     @property
     def cores(self) -> float:
-        """Return the processor that it may use, in ordinary cores."""
+        """Return the available processor capacity, in ordinary cores."""
         return self.processor_share * self.processor_speed
 
 
 @attrs.frozen
 class StoreSettings:
-    """The platform's store."""
+    """Connection to the platform's store."""
 
     address: str
-    """``IP:PORT``."""
+    """Address of the store, ``IP:PORT``."""
 
     timeout: float = 1.0
-    """Seconds until a call counts as unanswered."""
+    """Timeout of a call to the store, in seconds."""
 
 
 @attrs.frozen
 class PromiseSettings:
-    """Bounds that the operators were promised, as far as code reads them."""
+    """Service-level bounds that the node keeps towards operators."""
 
     keys_refused_within_ms: float = 5000.0
-    """From the word that a key is removed until every node refuses it, in the
-    platform's unit."""
+    """Maximum time from the removal of a key until every node refuses it, in
+    milliseconds as in the platform's settings."""
 
     keys_strict: bool = True
-    """Whether requests are refused rather than served by routes that may hold
-    removed keys, when nobody has confirmed them within that bound."""
+    """Whether requests are refused when the routes, which may contain removed
+    keys, were not confirmed within that bound."""
 
     leaving_within_ms: float = 2000.0
-    """From the word that a box leaves until no node sends it anything new, in
-    the platform's unit."""
+    """Maximum time from the announcement that a box leaves until no node sends
+    it new requests, in milliseconds."""
 
     applied_within_ms: float = 2000.0
-    """From the acknowledgement of a configuration until every node serves by
-    it, in the platform's unit."""
+    """Maximum time from the acknowledgement of a configuration until every
+    node serves by it, in milliseconds."""
 
     stalled_within_ms: float = 6000.0
-    """From the loss of a box until the head of its group has given up, in the
-    platform's unit."""
+    """Maximum time from the loss of a box until the head of its group has
+    given up, in milliseconds."""
 
     stop_within: float = 8.0
-    """Seconds from the order to stop until the process is ended by force."""
+    """Time from the signal to stop until the process is killed, in seconds."""
 
     entry_list_kept: float = 2.0
-    """Seconds for which callers may keep the entry list."""
+    """Time for which callers may keep the entry list, in seconds."""
 
     entry_list_most: float = 5.0
-    """Most seconds of which the platform's callers take notice there."""
+    """Maximum of that time that the platform's callers accept, in seconds."""
 
     @property
     def entry_list_term(self) -> float:
-        """Return for how long callers may keep the entry list, in seconds."""
+        """Return how long callers may keep the entry list, in seconds."""
         return min(self.entry_list_kept, self.entry_list_most)
 
     @property
     def group_stall(self) -> float:
-        """Return for how long a group may stand still, in seconds."""
+        """Return how long a group may stall after a loss, in seconds."""
         return self.stalled_within_ms * MS
 
     @property
@@ -135,12 +135,12 @@
 
     @property
     def applied_within(self) -> float:
-        """Return the bound for new routes, in seconds."""
+        """Return the bound for applying new routes, in seconds."""
         return self.applied_within_ms * MS
 
     @property
     def keys_refused_within(self) -> float:
-        """Return the bound for removed keys, in seconds."""
+        """Return the bound for refusing removed keys, in seconds."""
         return self.keys_refused_within_ms * MS
 
 
@@ -149,48 +149,55 @@
     """All settings of a front daemon."""
 
     node: FrontNodeSettings
-    """Who and where."""
+    """Identity and addresses of the entry box."""
 
     store: StoreSettings
-    """The platform's store."""
+    """Connection to the platform's store."""
 
     promises: PromiseSettings = PromiseSettings()
-    """Bounds."""
+    """Service-level bounds towards operators."""
 
     resends: ResendLimits = ResendLimits()
-    """Second sends."""
+    """Limits of sending a request again."""
 
     timing: TimingSettings = TimingSettings()
-    """Periods of membership and leases."""
+    """Periods and terms of membership and leases."""
 
     seeds: list[str] = attrs.Factory(list)
-    """Peer addresses, ``IP:PORT``, to join by."""
+    """Peer addresses, ``IP:PORT``, of entry boxes to join."""
 
     log_level: str = 'INFO'
-    """Least level that is logged."""
+    """Lowest level of events to log."""
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``IP:PORT`` names.
+    """Return the address in a text of the form ``IP:PORT``.
 
     Raises
     ------
     InvalidInputError
-        When it has another form.
+        When the text has another form.
     """
     host, mark, port = text.rpartition(':')
     if not mark or not port.isdecimal():
-        raise InvalidInputError([f'{text!r}: IP:PORT'])
+        raise InvalidInputError([f'{text!r}: must have the form IP:PORT'])
     return Address(host, int(port))
 
 
 def check_front_settings(text: str, place: str) -> FrontSettings:
-    """Turn TOML text into settings.
+    """Parse and validate settings.
+
+    Parameters
+    ----------
+    text
+        Settings in TOML.
+    place
+        Name of the source of the text, for error messages.
 
     Raises
     ------
     InvalidInputError
-        With every fault found.
+        With all faults found.
     """
     settings = structure_input(read_toml(text, place), FrontSettings, place)
     faults = [
@@ -208,7 +215,7 @@
     Raises
     ------
     InvalidInputError
-        With every fault found, or the reason why the file can't be read.
+        With all faults found, or the reason why the file can't be read.
     """
     return check_front_settings(read_text(path), path)
 
@@ -238,7 +245,7 @@
         for name, bound in attrs.asdict(getattr(settings, part)).items()
     }
     return [
-        f'{name}: above 0'
+        f'{name}: must be above 0'
         for name, bound in bounds.items()
         if not isinstance(bound, bool) and bound <= 0
     ]
--- a/waywell/process/joiner.py
+++ b/waywell/process/joiner.py
@@ -1,4 +1,4 @@
-"""How an entry daemon finds the other entry boxes."""
+"""Discovery of the other entry boxes by an entry daemon."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     from waywell.membership.links import PeerLinks
     from waywell.process.clock import Clock
 
-JOIN_SECONDS = 1.0
-"""Seconds between two attempts to find other entry boxes."""
+JOIN_INTERVAL_SECONDS = 1.0
+"""Seconds between attempts to find other entry boxes."""
 
 JOIN_DIALS = 2
-"""Entry boxes that a new one calls at each attempt."""
+"""Number of entry boxes to dial in each attempt."""
 
 
 class Joiner:
-    """Looks for other entry boxes until a stream stands.
+    """Dials other entry boxes while this node has no stream to any of them.
 
     Parameters
     ----------
     platform
-        Where other entry boxes are listed.
+        Client of the platform, which lists the entry boxes.
     gossip
-        Membership.
+        Membership, as exchanged with other entry boxes.
     links
         Streams to other nodes.
     clock
-        Where the time is read.
+        Clock of the node.
     seeds
-        Addresses from the settings.
+        Peer addresses from the settings.
     random
-        Draws those that are called.
+        Source of randomness for choosing the boxes to dial.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         seeds: Sequence[str],
         random: Random,
     ) -> None:
-        """Call nobody yet."""
+        """Create the joiner; ``run`` dials."""
         self._platform = platform
         self._gossip = gossip
         self._links = links
@@ -63,34 +63,37 @@
         self._random = random
 
     async def run(self) -> None:
-        """Call others for as long as no stream stands."""
+        """Dial other entry boxes whenever no stream is open."""
         while True:
             if not self._links.list_peers():
-                found = await self._find_others()
-                count = min(JOIN_DIALS, len(found))
-                for host, port in self._random.sample(found, count):
+                addresses = await self._list_addresses()
+                count = min(JOIN_DIALS, len(addresses))
+                for host, port in self._random.sample(addresses, count):
                     self._links.dial(host, port)
-            await asyncio.sleep(JOIN_SECONDS)
+            await asyncio.sleep(JOIN_INTERVAL_SECONDS)
 
     def has_cluster_contact(self) -> bool:
-        """Answer whether this node has met others, or heard of none."""
+        """Return whether a peer or the platform has been reached.
+
+        A node that has reached the platform only may be the first one.
+        """
         age = self._gossip.get_platform_age(self._clock.read())
         return bool(self._links.list_peers()) or math.isfinite(age)
 
-    async def _find_others(self) -> list[tuple[str, int]]:
-        """Return addresses from the settings and the platform."""
-        found = []
+    async def _list_addresses(self) -> list[tuple[str, int]]:
+        """Return addresses of other nodes from settings and platform."""
+        addresses = []
         for seed in self._seeds:
             host, _, port = seed.rpartition(':')
-            found.append((host, int(port)))
+            addresses.append((host, int(port)))
         answer = await self._platform.fetch_all(Kind.PRESENCE)
         if not isinstance(answer, Failure):
             self._gossip.post(Gossip.Reached())
             own = self._gossip.table.own.node
             for stored in answer.unwrap().objects:
-                found.extend(
+                addresses.extend(
                     (listed['host'], listed['peer_port'])
                     for listed in stored.body
                     if listed['node'] != own
                 )
-        return found
+        return addresses
--- a/waywell/process/loads.py
+++ b/waywell/process/loads.py
@@ -1,4 +1,7 @@
-"""Loads of groups as their probers report them: coarse, and only news."""
+"""Loads of groups, as reported by the entry boxes that probe them.
+
+To keep messages few, a load is reported only when its coarse level changes.
+"""
 
 from __future__ import annotations
 
@@ -10,54 +13,54 @@
 
     from waywell.ids import GroupId
 
-LEVEL_RATIO = 1.5
-"""Two loads are told apart when they differ by this ratio."""
+LOAD_LEVEL_RATIO = 1.5
+"""Ratio between the loads of two adjacent levels."""
 
 Report = tuple['GroupId', int, int]
-"""Group, sequence of the report, requests in flight."""
+"""Group, sequence number of the report, requests in flight."""
 
 
 def get_load_level(load: int) -> int:
     """Return the coarse level of a load."""
-    return round(math.log(load + 1, LEVEL_RATIO))
+    return round(math.log(load + 1, LOAD_LEVEL_RATIO))
 
 
 class LoadTable:
-    """What a node knows of the loads, and what it has to report."""
+    """The reported loads of groups, and the reports still to be sent."""
 
     def __init__(self) -> None:
         """Start without reports."""
         self._known: dict[GroupId, tuple[int, int]] = {}
         self._loads: dict[GroupId, float] = {}
-        self._news: dict[GroupId, Report] = {}
+        self._updates: dict[GroupId, Report] = {}
 
     def record_probe(self, group: GroupId, load: int) -> None:
-        """Take in what a probe of this node saw."""
+        """Record the load that a probe of this node has found."""
         sequence, known = self._known.get(group, (0, 0))
         if get_load_level(load) == get_load_level(known):
             return
         self._known[group] = (sequence + 1, load)
         self._loads[group] = load
-        self._news[group] = (group, sequence + 1, load)
+        self._updates[group] = (group, sequence + 1, load)
 
     def pop_updates(self) -> tuple[Report, ...]:
-        """Return the reports to spread, once.
+        """Return and clear the reports to send to neighbours.
 
-        Those heard from others wait here with the own ones, so that a
-        neighbour gets one message for all that changed since the last.
+        Reports of other nodes are collected together with those of this
+        node, so that a neighbour gets one message for all changes.
         """
-        news = tuple(self._news.values())
-        self._news.clear()
-        return news
+        updates = tuple(self._updates.values())
+        self._updates.clear()
+        return updates
 
     def merge_reports(self, reports: tuple[Report, ...]) -> None:
-        """Take in reports; those that are news are to be passed on."""
+        """Merge reports of a peer and queue those that are new."""
         for group, sequence, load in reports:
             if sequence > self._known.get(group, (0, 0))[0]:
                 self._known[group] = (sequence, load)
                 self._loads[group] = load
-                self._news[group] = (group, sequence, load)
+                self._updates[group] = (group, sequence, load)
 
     def list_loads(self) -> Mapping[GroupId, float]:
-        """Return the loads by group."""
+        """Return the requests in flight by group."""
         return self._loads
--- a/waywell/process/operations.py
+++ b/waywell/process/operations.py
@@ -1,4 +1,4 @@
-"""The calls of the administration port, by method and path."""
+"""Handlers of the calls to the administration port."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class Operations:
-    """Answers the calls of operators for one node.
+    """Answers operators' calls about one node.
 
     Parameters
     ----------
     node
-        The node.
+        Node whose components the calls use.
     """
 
     def __init__(self, node: EntryNode) -> None:
-        """Keep the node; its parts are read at each call."""
+        """Use a node, whose components are read at each call."""
         self._node = node
 
     def find_operator(self, key: str) -> str | None:
-        """Return the operator whom a key belongs to."""
+        """Return the name of the operator that owns a key, if any."""
         return self._node.administration.find_operator(
             key,
             self._node.settings.bootstrap_key_hashes,
@@ -78,7 +78,7 @@
     async def _post_explain(self, call: Call) -> Any:
         return self._node.administration.explain(
             call.body,
-            self._describe_down(),
+            self._list_down_reasons(),
         )
 
     async def _get_status(self, _call: Call) -> Any:
@@ -138,13 +138,13 @@
             'epoch': group.epoch,
             'boxes': [member.box for member in group.members],
             'missing': list(group.missing),
-            'down': self._describe_down().get(group.group, ''),
+            'down': self._list_down_reasons().get(group.group, ''),
         }
 
-    def _describe_down(self) -> dict[str, str]:
+    def _list_down_reasons(self) -> dict[str, str]:
         now = self._node.clock.read()
         down = self._node.health.list_down(now)
         return {
-            group: ': '.join((word.verdict.value, word.detail))
-            for group, word in down.items()
+            group: ': '.join((evidence.verdict.value, evidence.detail))
+            for group, evidence in down.items()
         }
--- a/waywell/process/ports.py
+++ b/waywell/process/ports.py
@@ -1,4 +1,4 @@
-"""The three ports of an entry box: for callers, operators and peers."""
+"""Ports of an entry daemon: for callers, operators and peers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class Ports:
-    """Listens for an entry box.
+    """Opens and closes the ports of an entry daemon.
 
     Parameters
     ----------
     settings
-        Address and port numbers.
+        Settings with the address and the port numbers to listen on.
     caller
-        What serves callers.
+        Backend of the port for callers.
     admin
-        What serves operators.
+        Backend of the port for operators.
     peer
-        What serves other entry boxes.
+        Service of the port for other entry boxes.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         admin: AdminBackend,
         peer: PeerService,
     ) -> None:
-        """Keep what serves; nothing listens yet."""
+        """Create the servers; nothing listens yet."""
         self.caller_port = 0
         self.admin_port = 0
         self.peer_port = 0
@@ -52,7 +52,7 @@
         Raises
         ------
         OSError
-            When a port can't be had.
+            When a port can't be bound.
         """
         settings = self._settings
         self.caller_port = self._listen(
@@ -61,22 +61,22 @@
         )
         self.admin_port = self._listen(settings.admin_port, self._admin_site)
         await self._peer_server.start(settings.host, settings.peer_port)
-        # grpclib does not say which port it took.
+        # grpclib doesn't expose the port that it is bound to.
         server: Any = self._peer_server
         sockets = server._server.sockets
         own_port = sockets[0].getsockname()[1]
         self.peer_port = settings.shown_peer_port or own_port
 
     def hang_up(self) -> None:
-        """Close the callers' connections when all is written."""
+        """Close each caller's connection once its answer is written."""
         self._caller_site.hang_up()
 
     def count_callers(self) -> int:
-        """Return the callers' connections that are open."""
+        """Return the number of open connections of callers."""
         return len(self._caller_site.channels)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening on all ports."""
         for port in self._listening:
             port.stopListening()
         self._peer_server.close()
--- a/waywell/process/settings.py
+++ b/waywell/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry daemon, read from TOML and checked whole."""
+"""Settings of an entry daemon, read from TOML and validated as a whole."""
 
 from __future__ import annotations
 
@@ -14,64 +14,65 @@
 _NAME = re.compile(r'[A-Za-z0-9._-]{1,64}')
 
 PORT_KEYS = ('caller_port', 'peer_port', 'admin_port', 'shown_peer_port')
-"""Settings of a node that are port numbers."""
+"""Names of the fields of ``NodeSettings`` that hold port numbers."""
 
 HIGHEST_PORT = 65_535
-"""Highest port number."""
+"""Highest valid TCP port number."""
 
 
 @attrs.frozen
 class NodeSettings:
-    """Who and where this entry box is."""
+    """Identity and addresses of the entry box."""
 
     name: str
     """Name of the entry box, unique in the system."""
 
     hall: str
-    """Data hall that it stands in."""
+    """Data hall in which the entry box is located."""
 
     region: str = 'default'
     """Region of the data hall."""
 
     host: str = '127.0.0.1'
-    """IP number that it listens on and that others reach it by."""
+    """IP address to listen on, at which others reach the entry box."""
 
     caller_port: int = 0
-    """Port for callers; 0 takes a free one."""
+    """Port for callers; 0 listens on a free port."""
 
     peer_port: int = 0
-    """Port for other entry boxes; 0 takes a free one."""
+    """Port for other entry boxes; 0 listens on a free port."""
 
     admin_port: int = 0
-    """Port for operators; 0 takes a free one."""
+    """Port for operators; 0 listens on a free port."""
 
     shown_peer_port: int = 0
-    """Port at which others reach the peer port, where it is another one."""
+    """Port announced to other entry boxes, if it differs from the peer port;
+    0 announces the peer port."""
 
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform's object API is."""
+    """Connection to the platform's object API."""
 
     url: str
-    """Base address, ``http://IP:PORT``."""
+    """Base URL, ``http://IP:PORT``."""
 
     timeout: float = 3.0
-    """Seconds until a call counts as unanswered."""
+    """Timeout of a call to the platform, in seconds."""
 
 
 @attrs.frozen
 class LimitSettings:
-    """What one entry box carries."""
+    """Limits of one entry box."""
 
     body_bytes: int = 8_000_000
-    """Largest request body."""
+    """Maximum size of a request body, in bytes."""
 
     requests: int = 2000
-    """Requests in flight at once."""
+    """Maximum number of requests in flight."""
 
     connect_seconds: float = 2.0
-    """Seconds to connect to a target."""
+    """Timeout of connecting to a target, in seconds."""
 
 
 @attrs.frozen
@@ -79,43 +80,50 @@
     """All settings of an entry daemon."""
 
     node: NodeSettings
-    """Who and where."""
+    """Identity and addresses of the entry box."""
 
     platform: PlatformSettings
-    """The platform's object API."""
+    """Connection to the platform's object API."""
 
     limits: LimitSettings = LimitSettings()
-    """What it carries."""
+    """Limits of the entry box."""
 
     timing: TimingSettings = TimingSettings()
-    """Periods and bounds."""
+    """Periods, terms and timeouts."""
 
     seeds: list[str] = attrs.Factory(list)
-    """Peer addresses, ``IP:PORT``, to join by while the platform is down."""
+    """Peer addresses, ``IP:PORT``, to join even while the platform is down."""
 
     bootstrap_key_hashes: list[str] = attrs.Factory(list)
-    """Hashes of operators' keys for the time before a configuration."""
+    """Hashes of operators' keys that work without any configuration."""
 
     history: str = ''
-    """File to write the history of requests to; empty writes none."""
+    """Path of the file for the history of requests; empty for no history."""
 
     log_level: str = 'INFO'
-    """Least level that is logged."""
+    """Lowest level of events to log."""
 
 
 def check_settings(text: str, place: str) -> Settings:
-    """Turn TOML text into settings.
+    """Parse and validate settings.
+
+    Parameters
+    ----------
+    text
+        Settings in TOML.
+    place
+        Name of the source of the text, for error messages.
 
     Raises
     ------
     InvalidInputError
-        With every fault found.
+        With all faults found.
     """
     settings = structure_input(read_toml(text, place), Settings, place)
     faults = [
-        *_find_bad_node(settings.node),
-        *_find_bad_timing(settings.timing),
-        *_find_bad_platform(settings.platform),
+        *_find_node_faults(settings.node),
+        *_find_timing_faults(settings.timing),
+        *_find_platform_faults(settings.platform),
     ]
     if faults:
         raise InvalidInputError(f'{place}.{fault}' for fault in faults)
@@ -128,41 +136,41 @@
     Raises
     ------
     InvalidInputError
-        With every fault found, or the reason why the file can't be read.
+        With all faults found, or the reason why the file can't be read.
     """
     return check_settings(read_text(path), path)
 
 
-def _find_bad_node(node: NodeSettings) -> list[str]:
+def _find_node_faults(node: NodeSettings) -> list[str]:
     faults = [
-        f'node.{key}: 1 to 64 of letters, digits and ._-'
+        f'node.{key}: must be 1 to 64 letters, digits or ._-'
         for key in ('name', 'hall', 'region')
         if not _NAME.fullmatch(getattr(node, key))
     ]
     try:
         ipaddress.ip_address(node.host)
     except ValueError:
-        faults.append('node.host: an IP number')
+        faults.append('node.host: must be an IP address')
     faults.extend(
-        f'node.{key}: 0 to {HIGHEST_PORT}'
+        f'node.{key}: must be 0 to {HIGHEST_PORT}'
         for key in PORT_KEYS
         if not 0 <= getattr(node, key) <= HIGHEST_PORT
     )
     return faults
 
 
-def _find_bad_timing(timing: TimingSettings) -> list[str]:
+def _find_timing_faults(timing: TimingSettings) -> list[str]:
     faults = [
-        f'timing.{field.name}: above 0'
+        f'timing.{field.name}: must be above 0'
         for field in attrs.fields(TimingSettings)
         if getattr(timing, field.name) <= 0
     ]
     if timing.silence <= timing.beat:
-        faults.append('timing.silence: above timing.beat')
+        faults.append('timing.silence: must be above timing.beat')
     return faults
 
 
-def _find_bad_platform(platform: PlatformSettings) -> list[str]:
+def _find_platform_faults(platform: PlatformSettings) -> list[str]:
     if platform.url.startswith('http://'):
         return []
-    return ['platform.url: http://IP:PORT']
+    return ['platform.url: must have the form http://IP:PORT']
