--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -296,7 +296,7 @@
         leaving = [
             group for group in roster if group.state is GroupState.LEAVING
         ]
-        self._tracker.forget(leaving)
+        self._tracker.retain(leaving)
         return frozenset(
             group.group
             for group in leaving
--- a/waywell/process/store.py
+++ b/waywell/process/store.py
@@ -1,4 +1,8 @@
-"""Writing documents to the platform so that none is lost or lowered."""
+"""Storage of documents in the platform.
+
+Writes are conditional on the stored version, so that no document is lost or
+replaced by an older one.
+"""
 
 from __future__ import annotations
 
@@ -19,9 +23,9 @@
     from waywell.connection.platform import Platform
 
 OBJECT_NAME = 'current'
-"""Name of the one object of each document kind."""
+"""Name of the single object of each document kind."""
 
-_KINDS = MappingProxyType(
+_OBJECT_KINDS = MappingProxyType(
     {
         DocumentKind.CONFIGURATION: Kind.CONFIGURATION,
         DocumentKind.ROSTER: Kind.ROSTER,
@@ -30,13 +34,13 @@
 
 
 class StoredDocument(msgspec.Struct, frozen=True):
-    """A document as the platform holds it."""
+    """A document as stored in the platform."""
 
     document: Document
-    """The document; number 0 when there is none."""
+    """Content of the object; an empty document with number 0 if missing."""
 
     version: int
-    """The platform's version of the object; 0 when there is none."""
+    """Version of the object in the platform; 0 if the object is missing."""
 
 
 class DocumentStore:
@@ -45,14 +49,14 @@
     Parameters
     ----------
     kind
-        Which document.
+        Kind of the document.
     platform
-        The platform.
+        Client of the platform's object API.
     """
 
     def __init__(self, kind: DocumentKind, platform: Platform) -> None:
-        """Keep where to write."""
-        self._kind = _KINDS[kind]
+        """Select the platform's object kind for the document."""
+        self._kind = _OBJECT_KINDS[kind]
         self._platform = platform
 
     async def read(self) -> Result[StoredDocument, PlatformFault]:
@@ -71,10 +75,18 @@
         document: Document,
         version: int,
     ) -> Result[Document, PlatformFault]:
-        """Write a document over the object's version.
-
-        A write without an answer is looked up by its operation id; it
-        stays ``UNANSWERED`` only when the look-up fails as well.
+        """Write a document if the object still has the given version.
+
+        If a write that was sent fails, the stored document is searched for
+        its operation id; the write stays ``UNANSWERED`` only if that read
+        fails or doesn't find it.
+
+        Parameters
+        ----------
+        document
+            Document to write.
+        version
+            Version of the object that the document replaces.
         """
         if len(document.encode()) > PLATFORM_VALUE_BYTES:
             return Failure(PlatformFault.TOO_LARGE)
@@ -89,9 +101,9 @@
         fault = answer.failure()
         if fault is PlatformFault.NOT_SENT:
             return Failure(fault)
-        return await self._look_up(document, version, fault)
+        return await self._check_outcome(document, version, fault)
 
-    async def _look_up(
+    async def _check_outcome(
         self,
         document: Document,
         version: int,
--- a/waywell/process/watch.py
+++ b/waywell/process/watch.py
@@ -1,8 +1,8 @@
-"""The duty of a data hall: watch the platform for its entry boxes.
+"""The duty of a data hall: watching the platform for its entry boxes.
 
-The holder watches the configuration, so that a few watches wait at the
-platform however many entry boxes there are, and keeps the hall's
-presence object, by which new entry boxes find the others.
+The holder watches the configuration for the whole hall, so that the number of
+watches at the platform doesn't grow with the number of entry boxes.  It also
+maintains the hall's presence object, by which new entry boxes find the others.
 """
 
 from __future__ import annotations
@@ -31,37 +31,43 @@
     from waywell.telemetry.timing import TimingSettings
 
 WATCH_SECONDS = 20.0
-"""Seconds for which one watch waits."""
+"""Seconds that a watch waits for a change."""
 
-FAILED_WAIT = 1.0
-"""Seconds until a failed call is tried again."""
+RETRY_SECONDS = 1.0
+"""Seconds before a failed call is retried."""
 
-MEET_SECONDS = 3.0
-"""Seconds between two looks for entry boxes of another part."""
+DISCOVERY_SECONDS = 3.0
+"""Period of the search for unknown entry boxes, in seconds."""
 
 PRESENCE_SECONDS = 1.0
-"""Seconds between two looks at whether the presence object is old."""
+"""Period of checks whether the presence object is outdated, in seconds."""
 
 
 class HallDuty(Duty):
-    """Watches the configuration and keeps the presence of one hall.
+    """Watches the documents and maintains the presence object of one hall.
 
     Parameters
     ----------
+    platform
+        Client of the platform's object API.
+    gossip
+        Membership, as exchanged with other entry boxes.
+    clock
+        Clock of the node.
     documents
-        Where stored versions are offered.
+        Documents in force, which adopt the stored versions.
     timing
-        Periods and bounds.
+        Terms and periods.
     """
 
     class PresenceTick(Message, frozen=True):
-        """A look at the presence object is due."""
+        """Starts a check of the presence object."""
 
-    class MeetTick(Message, frozen=True):
-        """A look for entry boxes that this one doesn't know is due."""
+    class DiscoveryTick(Message, frozen=True):
+        """Starts a search for entry boxes that this one doesn't know."""
 
     class RecheckTick(Message, frozen=True):
-        """A read that repairs what a watch missed is due."""
+        """Starts a read of whole documents, as a watch may miss a change."""
 
     def __init__(
         self,
@@ -71,7 +77,7 @@
         documents: Documents,
         timing: TimingSettings,
     ) -> None:
-        """Start without the lease."""
+        """Create the duty, which doesn't hold its lease yet."""
         self._recheck = timing.recheck
         self._hall = gossip.table.own.hall
         name = f'hall-{self._hall}'
@@ -81,15 +87,15 @@
         self._stores = {
             kind: DocumentStore(kind, platform) for kind in DocumentKind
         }
-        self._written: list[dict[str, object]] = []
+        self._written_nodes: list[dict[str, object]] = []
 
     def start(self) -> None:
-        """Begin to look at the lease, and to watch when it is held."""
+        """Start to check the lease, and to watch while it is held."""
         super().start()
         self.repeat(PRESENCE_SECONDS, self.PresenceTick())
-        self.repeat(MEET_SECONDS, self.MeetTick())
+        self.repeat(DISCOVERY_SECONDS, self.DiscoveryTick())
         self.repeat(self._recheck, self.RecheckTick())
-        self.spawn(self._watch_on())
+        self.spawn(self._watch_documents())
 
     def list_eligible(self) -> list[NodeRecord]:
         """Return the live nodes of this hall."""
@@ -103,42 +109,42 @@
         """Write the presence object when the hall's nodes changed."""
         if not self.is_held():
             return
-        present = self._list_present()
-        if present == self._written:
+        nodes = self._list_present_nodes()
+        if nodes == self._written_nodes:
             return
         answer = await self.platform.write(
             Kind.PRESENCE,
             self._hall,
-            present,
+            nodes,
             ANY_VERSION,
         )
         if not isinstance(answer, Failure):
-            self._written = present
+            self._written_nodes = nodes
 
-    async def on_meet_tick(self, _tick: MeetTick) -> None:
-        """Call a listed entry box that this one doesn't know.
+    async def on_discovery_tick(self, _tick: DiscoveryTick) -> None:
+        """Dial a listed entry box that this one doesn't know.
 
-        Entry boxes that started apart know only those of their part, and
-        have no reason of their own to look for more.
+        Entry boxes that started in separate partitions know only their own
+        partition, and nothing else makes them search for other nodes.
         """
         if not self.is_held():
             return
         answer = await self.platform.fetch_all(Kind.PRESENCE)
         if isinstance(answer, Failure):
             return
-        strangers = [
+        unknown_nodes = [
             listed
             for stored in answer.unwrap().objects
             for listed in stored.body
-            if self._is_strange(NodeId(listed['node']))
+            if self._is_unknown(NodeId(listed['node']))
         ]
-        if strangers:
-            # Each call makes two parts one, so one at a time is enough.
-            listed = self._random.choice(strangers)
+        if unknown_nodes:
+            # One stream joins two partitions, so one call at a time is enough.
+            listed = self._random.choice(unknown_nodes)
             self.gossip.call(listed['host'], listed['peer_port'])
 
     async def on_recheck_tick(self, _tick: RecheckTick) -> None:
-        """Read both documents: a watch may have missed a change."""
+        """Read both documents, as a watch may have missed a change."""
         if not self.is_held():
             return
         for kind, store in self._stores.items():
@@ -151,11 +157,11 @@
             await self._restore(kind, stored.document, stored.version)
 
     async def take_up(self) -> None:
-        """Read what is stored as soon as the lease is held."""
-        self._written = []
+        """Read the stored documents when the lease has been acquired."""
+        self._written_nodes = []
         await self.on_recheck_tick(self.RecheckTick())
 
-    def _is_strange(self, node: NodeId) -> bool:
+    def _is_unknown(self, node: NodeId) -> bool:
         record = self.gossip.table.find(node)
         return record is None or record.state is NodeState.LOST
 
@@ -165,16 +171,16 @@
         stored: Document,
         version: int,
     ) -> None:
-        """Write back what is in force over an older stored version."""
+        """Write the version in force back if the stored one is older."""
         current = self._documents.get_current(kind)
         if current.number > stored.number:
             await self._stores[kind].write(current, version)
 
-    async def _watch_on(self) -> None:
+    async def _watch_documents(self) -> None:
         revision = 0
         while True:
             if not self.is_held():
-                await asyncio.sleep(FAILED_WAIT)
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
             answer = await self.platform.watch(
                 (Kind.CONFIGURATION, Kind.ROSTER),
@@ -182,7 +188,7 @@
                 WATCH_SECONDS,
             )
             if isinstance(answer, Failure):
-                await asyncio.sleep(FAILED_WAIT)
+                await asyncio.sleep(RETRY_SECONDS)
                 continue
             self.gossip.post(Gossip.Reached())
             changes = answer.unwrap()
@@ -197,8 +203,11 @@
                 msgspec.convert(stored.body, Document),
             )
 
-    def _list_present(self) -> list[dict[str, object]]:
-        """Return where the hall's nodes are, without what changes often."""
+    def _list_present_nodes(self) -> list[dict[str, object]]:
+        """Return the peer addresses of the hall's present nodes.
+
+        Fields of the membership records that change often are omitted.
+        """
         return [
             {
                 'node': record.node,
