--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from waywell.telemetry.events import LineBudget, PipeSink, quote_text
+from waywell.telemetry.events import LineBudget, NonBlockingSink, quote_text
 
 LINE = 'event=x text=' + 'a' * 900 + '\n'
 
@@ -36,25 +36,25 @@
     ends: tuple[int, int],
 ) -> None:
     reader, writer = ends
-    sink = PipeSink(writer)
-    while not sink.lost:
+    sink = NonBlockingSink(writer)
+    while not sink.lost_lines:
         sink(LINE)
     sink(LINE)
-    assert sink.lost == 2
+    assert sink.lost_lines == 2
     read = _read_all(reader)
     sink('event=next\n')
     lines = (read + _read_all(reader)).splitlines()
     assert lines[-2:] == ['event=lines_lost lines=2', 'event=next']
     # The line that the pipe had room for in part only is whole as well.
     assert set(lines[:-2]) == {LINE.rstrip()}
-    assert sink.lost == 0
+    assert sink.lost_lines == 0
 
 
 def test_nothing_is_written_between_the_parts_of_a_line(
     ends: tuple[int, int],
 ) -> None:
     reader, writer = ends
-    sink = PipeSink(writer)
+    sink = NonBlockingSink(writer)
     long_line = 'event=y text=' + 'b' * 200_000 + '\n'
     sink(long_line)
     read = _read_all(reader)
--- a/waywell/cli.py
+++ b/waywell/cli.py
@@ -24,55 +24,55 @@
     from waywell.experiment.commands import ExperimentCommands
 
 EXIT_REFUSED = 1
-"""The order was refused."""
+"""Exit code if the daemon refused the call or could not start."""
 
 EXIT_FAULTS = 2
-"""Input has faults."""
+"""Exit code if the arguments or input files are invalid."""
 
 EXIT_UNKNOWN = 3
-"""Whether the order took effect is not known."""
+"""Exit code if it is unknown whether a change took effect."""
 
 EXIT_UNREACHABLE = 4
-"""The entry box was not reached."""
+"""Exit code if the entry box could not be reached."""
 
 KEY_VARIABLE = 'WAYWELL_KEY'
-"""Environment variable with the operator's key."""
+"""Environment variable that holds the operator's key."""
 
 ADMIN_VARIABLE = 'WAYWELL_ADMIN'
-"""Environment variable with the address of an administration port."""
+"""Environment variable that holds the URL of an administration port."""
 
 STANDARD_INPUT = '-'
-"""File name of the standard input."""
+"""File name that stands for standard input."""
 
 
 class CommandError(Exception):
-    """A command ends with an exit code.
+    """Failure of a command with a message and an exit code.
 
     Parameters
     ----------
     status
-        Exit code.
+        Exit code of the process.
     text
-        What to say.
+        Message for standard error.
     """
 
     def __init__(self, status: int, text: str) -> None:
-        """Keep the code."""
+        """Store the message and the exit code."""
         super().__init__(text)
         self.status = status
 
 
 class Commands:
-    """Starts entry daemons and talks to them.
+    """Start and administer entry daemons.
 
-    The administration port is given by ``--admin`` or WAYWELL_ADMIN, the
-    operator's key by WAYWELL_KEY.
+    Set the URL of the administration port with ``--admin`` or WAYWELL_ADMIN,
+    and the operator's key with WAYWELL_KEY.
     """
 
     @property
     def experiment(self) -> ExperimentCommands:
-        """Judge policies on a model of the fleet."""
-        # Nothing else needs the model.
+        """Evaluate policies in a simulation of the fleet."""
+        # Imported here because no other command needs the simulation.
         from waywell.experiment.commands import (  # noqa: PLC0415
             ExperimentCommands,
         )
@@ -80,8 +80,8 @@
         return ExperimentCommands()
 
     def start(self, settings: str) -> None:
-        """Run an entry daemon with the settings of a TOML file."""
-        # Tools that only talk to a daemon need none of this.
+        """Run an entry daemon with settings from a TOML file."""
+        # Imported here because commands that only call a daemon don't need it.
         from waywell.daemon import run_entry  # noqa: PLC0415
         from waywell.process.settings import load_settings  # noqa: PLC0415
 
@@ -90,7 +90,7 @@
             raise CommandError(EXIT_REFUSED, f'cannot start: {fault}')
 
     def check(self, settings: str = '', configuration: str = '') -> str:
-        """Check a settings file, a configuration file, or both."""
+        """Validate a settings file, a configuration file, or both."""
         from waywell.process.settings import load_settings  # noqa: PLC0415
 
         if settings:
@@ -106,14 +106,14 @@
         operation: str = '',
         admin: str = '',
     ) -> str:
-        """Replace the configuration by a TOML file or standard input.
+        """Replace the configuration with a TOML file or standard input.
 
-        With ``--expected`` only that version is replaced.  Repeat with
-        the same ``--operation`` when the outcome was unknown.
+        With ``--expected``, only that version is replaced.  If the outcome
+        is unknown, retry with the same ``--operation``.
         """
         raw = _load_configuration(file)
         path = f'/v1/configuration?expected={expected}&operation={operation}'
-        return _show(_call(admin, 'PUT', path, raw))
+        return _format_answer(_call_admin(admin, 'PUT', path, raw))
 
     def get(
         self,
@@ -121,12 +121,14 @@
         label: str = '',
         admin: str = '',
     ) -> str:
-        """Show ``configuration``, ``groups`` or ``boxes``.
+        """Show the ``configuration``, ``groups`` or ``boxes``.
 
-        ``--label=key:value,key:value`` filters.
+        ``--label=key:value,key:value`` selects objects by their labels.
         """
         labels = '&'.join(f'label={pair}' for pair in label.split(',') if pair)
-        return _show(_call(admin, 'GET', f'/v1/{what}?{labels}'))
+        return _format_answer(
+            _call_admin(admin, 'GET', f'/v1/{what}?{labels}')
+        )
 
     def explain(
         self,
@@ -136,28 +138,32 @@
         admin: str = '',
         **session_labels: str,
     ) -> str:
-        """Show why a request goes to which group, or to none."""
+        """Show to which groups a request would be routed, and why."""
         question = {
             'service': service,
             'account': account,
             'kind': kind,
             'session_labels': session_labels,
         }
-        return _show(_call(admin, 'POST', '/v1/explain', question))
+        return _format_answer(
+            _call_admin(admin, 'POST', '/v1/explain', question)
+        )
 
     def relabel(self, select: str, labels: str, admin: str = '') -> str:
         """Set labels on boxes: ``--select=key:value --labels=key:value``.
 
-        An empty value removes a label.
+        A label with an empty value is removed.
         """
         match: dict[str, list[str]] = {}
-        for key, wanted in _split_pairs(select):
-            match.setdefault(key, []).append(wanted)
+        for key, label in _split_pairs(select):
+            match.setdefault(key, []).append(label)
         order = {
             'boxes': {'match': match},
             'labels': dict(_split_pairs(labels)),
         }
-        return _show(_call(admin, 'POST', '/v1/boxes/labels', order))
+        return _format_answer(
+            _call_admin(admin, 'POST', '/v1/boxes/labels', order)
+        )
 
     def route(
         self,
@@ -166,46 +172,46 @@
         model: str = '',
         admin: str = '',
     ) -> str:
-        """Show where a front daemon may send a request, and why.
+        """Show to which replicas a front daemon may send a request, and why.
 
-        For a front daemon, ``--admin`` names its metrics port.
+        Set ``--admin`` to the URL of the front daemon's metrics port.
         """
         query = urlencode({'host': host, 'path': path, 'model': model})
-        return _show(_call(admin, 'GET', f'/v1/route?{query}'))
+        return _format_answer(_call_admin(admin, 'GET', f'/v1/route?{query}'))
 
     def status(self, admin: str = '') -> str:
-        """Show groups, downtime, stranded accelerators and versions."""
-        return _show(_call(admin, 'GET', '/v1/status'))
+        """Show groups, downtime, stranded accelerators and node versions."""
+        return _format_answer(_call_admin(admin, 'GET', '/v1/status'))
 
     def report(
         self, journal: str = 'journal', out: str = 'report.html'
     ) -> str:
-        """Draw a page of charts from a journal of played days.
+        """Write a page of charts from a journal of experiment runs.
 
-        Needs the optional extra ``waywell[report]``.
+        Requires the optional extra ``waywell[report]``.
         """
-        # Only this command needs the plotting library.
+        # Imported here because only this command needs the plotting library.
         from waywell.report.entries import read_journal  # noqa: PLC0415
         from waywell.report.page import make_page  # noqa: PLC0415
 
         entries = read_journal(Path(journal))
         if not entries:
-            raise CommandError(EXIT_FAULTS, f'{journal}: no entries there')
+            raise CommandError(EXIT_FAULTS, f'{journal}: contains no entries')
         Path(out).write_text(make_page(entries), encoding='utf-8')
         return f'{out}: {len(entries)} runs'
 
     def dump(self, admin: str = '') -> str:
-        """Show the state of an entry daemon."""
-        return _show(_call(admin, 'GET', '/v1/dump'))
+        """Show the internal state of an entry daemon."""
+        return _format_answer(_call_admin(admin, 'GET', '/v1/dump'))
 
 
 def _split_pairs(text: str) -> list[tuple[str, str]]:
     pairs = []
-    for word in str(text).split(','):
-        key, mark, wanted = word.partition(':')
-        if not mark:
-            raise CommandError(EXIT_FAULTS, f'{word!r}: use key:value')
-        pairs.append((key, wanted))
+    for pair in str(text).split(','):
+        key, separator, label = pair.partition(':')
+        if not separator:
+            raise CommandError(EXIT_FAULTS, f'{pair!r}: must be key:value')
+        pairs.append((key, label))
     return pairs
 
 
@@ -219,18 +225,21 @@
     return raw
 
 
-def _call(admin: str, method: str, path: str, body: Any = None) -> Answer:
+def _call_admin(
+    admin: str, method: str, path: str, body: Any = None
+) -> Answer:
     url = admin or os.environ.get(ADMIN_VARIABLE, '')
     if not url:
-        text = f'name an administration port: --admin or {ADMIN_VARIABLE}'
+        text = f'no administration port: set --admin or {ADMIN_VARIABLE}'
         raise CommandError(EXIT_FAULTS, text)
     client = AdminClient(url, os.environ.get(KEY_VARIABLE, ''))
     answer = client.call(method, path, body)
     if answer.status == HTTPStatus.OK:
         return answer
     if not answer.body:
-        # A front daemon takes no orders: operators write to the platform.
-        text = f'{method} {path}: {answer.status}, no such call there'
+        # A front daemon has no calls for changes: operators write to the
+        # platform.
+        text = f'{method} {path}: {answer.status}, not supported by the daemon'
         raise CommandError(EXIT_REFUSED, text)
     refusal = answer.read_json()
     unknown = refusal['code'] == Code.OUTCOME_UNKNOWN
@@ -241,30 +250,30 @@
     )
 
 
-def _show(answer: Answer) -> str:
+def _format_answer(answer: Answer) -> str:
     return json.dumps(answer.read_json(), indent=2, sort_keys=True)
 
 
-def run_command(words: list[str]) -> int:
-    """Run a command; return its exit code."""
+def run_command(arguments: list[str]) -> int:
+    """Run a command and return its exit code."""
     try:
-        fire.Fire(Commands(), command=words, name='waywell')
+        fire.Fire(Commands(), command=arguments, name='waywell')
     except CommandError as error:
-        return _complain(str(error), error.status)
+        return _report_error(str(error), error.status)
     except InvalidInputError as error:
-        return _complain(str(error), EXIT_FAULTS)
+        return _report_error(str(error), EXIT_FAULTS)
     except UnreachableError as error:
-        return _complain(str(error), EXIT_UNREACHABLE)
+        return _report_error(str(error), EXIT_UNREACHABLE)
     return 0
 
 
-def _complain(text: str, status: int) -> int:
+def _report_error(text: str, status: int) -> int:
     sys.stderr.write(f'waywell: {text}\n')
     return status
 
 
 def main() -> None:
-    """Run the command line and exit."""
+    """Run the command in the process's arguments and exit."""
     sys.exit(run_command(sys.argv[1:]))
 
 
--- a/waywell/client.py
+++ b/waywell/client.py
@@ -1,4 +1,7 @@
-"""Blocking clients of the two HTTP ports, for tools and tests."""
+"""Blocking clients of the caller and administration ports.
+
+They are meant for tools and tests.
+"""
 
 from __future__ import annotations
 
@@ -11,28 +14,28 @@
 import attrs
 
 DEFAULT_TIMEOUT = 30.0
-"""Seconds for one exchange."""
+"""Timeout of a call, in seconds."""
 
 
 class UnreachableError(Exception):
-    """The other side can't be reached, or broke off."""
+    """The server can't be reached, or the connection broke."""
 
 
 @attrs.frozen
 class Answer:
-    """An answer that came whole."""
+    """A complete HTTP answer."""
 
     status: int
-    """HTTP status."""
+    """HTTP status code."""
 
     headers: Mapping[str, str]
-    """Headers with names in lower case."""
+    """Headers by name in lower case."""
 
     body: bytes
-    """Body."""
+    """Content of the answer, decoded from its transfer encoding only."""
 
     def read_json(self) -> Any:
-        """Return the body as plain values."""
+        """Return the values in a JSON body."""
         return json.loads(self.body)
 
 
@@ -43,12 +46,12 @@
     headers: Mapping[str, str] | None = None,
     timeout: float = DEFAULT_TIMEOUT,
 ) -> Answer:
-    """Make one exchange on a connection of its own.
+    """Send a request on a new connection and return the answer.
 
     Raises
     ------
     UnreachableError
-        When there is no answer, or it was cut short.
+        When there is no answer, or it is incomplete.
     """
     parts = urlsplit(url)
     query = f'?{parts.query}' if parts.query else ''
@@ -73,28 +76,28 @@
 
 
 class AdminClient:
-    """Calls the administration port of one entry box.
+    """Client of the administration port of one entry box.
 
     Parameters
     ----------
     url
-        Address of the port, ``http://IP:PORT``.
+        URL of the port, ``http://IP:PORT``.
     key
-        An operator's key.
+        Key of an operator.
     """
 
     def __init__(self, url: str, key: str) -> None:
-        """Keep the address."""
+        """Create a client, which connects at each call."""
         self._url = url.rstrip('/')
         self._key = key
 
     def call(self, method: str, path: str, body: Any = None) -> Answer:
-        """Make a call.
+        """Make a call with a JSON body, if any.
 
         Raises
         ------
         UnreachableError
-            When there is no answer.
+            When there is no answer, or it is incomplete.
         """
         raw = None if body is None else json.dumps(body).encode()
         return call_http(
@@ -106,32 +109,32 @@
 
 
 class CallerClient:
-    """Calls services through the entry boxes, as a caller would.
+    """Client of services, which sends its requests through the entry boxes.
 
     Parameters
     ----------
     url
-        Caller port of any entry box.
+        URL of the caller port of any entry box.
     key
         Key of the client account.
     """
 
     def __init__(self, url: str, key: str) -> None:
-        """Keep where to begin."""
-        self._first = url.rstrip('/')
+        """Create a client without an entry list; ``refresh`` fetches it."""
+        self._initial_url = url.rstrip('/')
         self._key = key
         self.entries: list[str] = []
         self.prefix = ''
 
     def refresh(self) -> None:
-        """Ask for the entry list.
+        """Fetch the entry list from the first known entry box that answers.
 
         Raises
         ------
         UnreachableError
             When no known entry box answers.
         """
-        for url in (self._first, *self.entries):
+        for url in (self._initial_url, *self.entries):
             try:
                 listed = call_http(f'{url}/entries', timeout=5).read_json()
             except UnreachableError:
@@ -142,7 +145,7 @@
             ]
             self.prefix = listed['request_id_prefix']
             return
-        raise UnreachableError('no entry box answers')
+        raise UnreachableError('no known entry box answers')
 
     def call(
         self,
@@ -152,12 +155,12 @@
         headers: Mapping[str, str] | None = None,
         entry: int = 0,
     ) -> Answer:
-        """Make a request through one of the listed entry boxes.
+        """Send a request through a listed entry box, chosen by its index.
 
         Raises
         ------
         UnreachableError
-            When there is no answer, or it was cut short.
+            When there is no answer, or it is incomplete.
         """
         url = self.entries[entry % len(self.entries)]
         return call_http(
--- a/waywell/daemon.py
+++ b/waywell/daemon.py
@@ -1,4 +1,4 @@
-"""The thin daemon around an entry node."""
+"""Process of an entry box: event loop, signals, start and stop of its node."""
 
 from __future__ import annotations
 
@@ -19,29 +19,30 @@
 
 
 class Node(Protocol):
-    """What a daemon starts and stops."""
+    """Interface of a node that a daemon starts and stops."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
 
     async def stop(self) -> None:
-        """End in good order."""
+        """Finish the work in flight and stop."""
 
 
 class Daemon:
     """Starts a node and stops it on a signal.
 
-    SIGTERM and SIGINT begin a graceful stop; a second one ends at once.
-    SIGHUP says that the settings file may have changed.
+    SIGTERM and SIGINT begin a graceful stop; a second signal ends the process
+    at once.  SIGHUP, which announces that the settings file may have changed,
+    is only logged.
 
     Parameters
     ----------
     node
-        The node.
+        Node to start and stop.
     reactor
-        The reactor, which runs on the event loop.
+        Twisted's reactor, which runs on the event loop.
     loop
-        The event loop.
+        Event loop on which the node runs.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         reactor: Any,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Keep the node."""
+        """Create the daemon; ``begin`` starts the node."""
         self._node = node
         self._loop = loop
         self._reactor = reactor
@@ -58,21 +59,21 @@
         self._stopping: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
-        """Begin to start the node."""
+        """Create the task that starts the node."""
         self._starting = self._loop.create_task(self._start())
 
     async def _start(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._begin_stop)
-        self._loop.add_signal_handler(signal.SIGHUP, self._note_hang_up)
+        self._loop.add_signal_handler(signal.SIGHUP, self._log_hangup)
         try:
             await self._node.start()
         except Exception as error:
             self.fault = repr(error)
             self._reactor.stop()
 
-    def _note_hang_up(self) -> None:
-        """Log it: settings are read at the start of a process only."""
+    def _log_hangup(self) -> None:
+        """Log the signal; settings are read only when a process starts."""
         log_event('reloaded')
 
     def _begin_stop(self) -> None:
@@ -86,46 +87,46 @@
         self._reactor.stop()
 
 
-class _BootLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers count the time while suspended.
+class _BootTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop whose timers include the time while suspended.
 
-    What fell due meanwhile runs when the wait for input ends, which is no
-    longer than until the next timer.
+    Timers that expired during the suspension run when the wait for input
+    ends, which is no later than the next timer.
     """
 
     def time(self) -> float:
-        """Return the seconds since the machine's start."""
+        """Return the seconds since the machine started."""
         return read_boot_clock()
 
 
 def make_loop() -> asyncio.AbstractEventLoop:
     """Return the event loop of a daemon."""
-    return _BootLoop()
+    return _BootTimeLoop()
 
 
 def run_node(
     make_node: Callable[[], Node],
     open_events: Callable[[], object],
 ) -> str:
-    """Run a node until it is told to stop.
+    """Run a node until a signal stops it.
 
     Parameters
     ----------
     make_node
-        Makes the node; called when the reactor is installed.
+        Creates the node; called after the reactor has been installed.
     open_events
-        Opens the log.
+        Opens the log of events.
 
     Returns
     -------
     str
-        Why it could not start, or an empty text.
+        Reason why the node could not start; empty if it did.
     """
     loop = make_loop()
     asyncio.set_event_loop(loop)
     asyncioreactor.install(loop)
     open_events()
-    # The reactor must be installed before anything imports it.
+    # The reactor has to be installed before any module imports it.
     from twisted.internet import reactor  # noqa: PLC0415
 
     daemon = Daemon(make_node(), reactor, loop)
@@ -135,12 +136,12 @@
 
 
 def run_entry(settings: Settings) -> str:
-    """Run an entry node until it is told to stop.
+    """Run an entry node until a signal stops it.
 
     Returns
     -------
     str
-        Why it could not start, or an empty text.
+        Reason why the node could not start; empty if it did.
     """
     return run_node(
         partial(_make_entry, settings),
--- a/waywell/telemetry/__init__.py
+++ b/waywell/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What a process tells of itself: log lines, metrics, gauges."""
+"""Log events, metrics and request histories of a process."""
--- a/waywell/telemetry/events.py
+++ b/waywell/telemetry/events.py
@@ -1,4 +1,4 @@
-"""Log lines: one event a line, as key=value pairs."""
+"""Log events, written one to a line as ``key=value`` pairs."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-_PLAIN = frozenset(
+_UNQUOTED_CHARACTERS = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:/@+-',
 )
 
 MAX_LINES_PER_SECOND = 200
-"""Lines of one event that a process writes in a second; some 20 requests a
-second are usual, so only a flood is cut."""
+"""Maximum lines of one event that a process writes in a second.  Some 20
+requests a second are usual, so only a flood of events is truncated."""
 
 
 def quote_text(raw: object) -> str:
-    """Return a value as one word, quoted where it needs to be."""
+    """Return a value as text, quoted and escaped if it has special characters.
+
+    A quoted value can't be mistaken for other pairs or other lines.
+    """
     text = str(raw)
-    if text and not set(text) - _PLAIN:
+    if text and not set(text) - _UNQUOTED_CHARACTERS:
         return text
     escaped = text.replace('\\', r'\\').replace('"', r'\"')
     escaped = escaped.replace('\n', r'\n').replace('\r', r'\r')
@@ -33,7 +36,7 @@
 
 
 def format_pairs(pairs: dict[str, object]) -> str:
-    """Return pairs as ``key=value`` words."""
+    """Return pairs as ``key=value`` texts separated by spaces."""
     return ' '.join(f'{key}={quote_text(raw)}' for key, raw in pairs.items())
 
 
@@ -46,79 +49,79 @@
 
 
 class LineBudget:
-    """Bounds the lines of each event in a second.
+    """Limits the lines of each event in a second.
 
     Parameters
     ----------
     lines
-        Lines that an event may have in a second.
+        Maximum lines of one event in a second.
     """
 
     def __init__(self, lines: int) -> None:
-        """Start without lines."""
+        """Start with no lines counted."""
         self._lines = lines
         self._second = 0
-        self._written: Counter[str] = Counter()
+        self._line_counts: Counter[str] = Counter()
 
     def allow(self, event: str, now: float) -> bool:
-        """Count a line; answer whether it may be written."""
+        """Count a line and return whether it may be written."""
         if int(now) != self._second:
             self._second = int(now)
-            self._written.clear()
-        self._written[event] += 1
-        return self._written[event] <= self._lines
+            self._line_counts.clear()
+        self._line_counts[event] += 1
+        return self._line_counts[event] <= self._lines
 
     def pop_dropped_counts(self, now: float) -> dict[str, int]:
-        """Return the lines left out in a second that is over, by event."""
+        """Return and clear the dropped lines of a past second, by event."""
         if int(now) == self._second:
             return {}
-        left_out = {
+        dropped = {
             event: count - self._lines
-            for event, count in self._written.items()
+            for event, count in self._line_counts.items()
             if count > self._lines
         }
-        self._written.clear()
-        return left_out
+        self._line_counts.clear()
+        return dropped
 
 
-class PipeSink:
-    """Writes lines to a file descriptor and never waits for its reader.
+class NonBlockingSink:
+    """Writes lines to a file descriptor without blocking on its reader.
 
     Parameters
     ----------
     descriptor
-        File descriptor.
+        File descriptor, which is set to non-blocking mode.
     """
 
     def __init__(self, descriptor: int) -> None:
-        """Make the descriptor non-blocking."""
-        self.lost = 0
+        """Set the descriptor to non-blocking mode."""
+        self.lost_lines = 0
         self._descriptor = descriptor
-        self._rest = b''
+        self._unwritten = b''
         os.set_blocking(descriptor, False)
 
     def __call__(self, line: str) -> None:
-        """Write a line whole, or count it as lost.
+        """Write a complete line, or count it as lost.
 
-        How many were lost is told before the next line that is written.
+        The number of lost lines is written before the next line.
         """
-        self._rest = self._rest[self._write(self._rest) :]
-        if self._rest:
-            self.lost += 1
+        self._unwritten = self._unwritten[self._write(self._unwritten) :]
+        if self._unwritten:
+            self.lost_lines += 1
             return
         raw = line.encode()
-        if self.lost:
-            pairs = {'event': 'lines_lost', 'lines': self.lost}
+        if self.lost_lines:
+            pairs = {'event': 'lines_lost', 'lines': self.lost_lines}
             raw = f'{format_pairs(pairs)}\n'.encode() + raw
         written = self._write(raw)
         if written:
-            self.lost = 0
-            self._rest = raw[written:]
+            self.lost_lines = 0
+            self._unwritten = raw[written:]
         else:
-            self.lost += 1
+            self.lost_lines += 1
 
     def _write(self, raw: bytes) -> int:
-        """Write as much as the reader takes now; return how much."""
+        """Write as much as possible and return the number of bytes."""
         if not raw:
             return 0
         try:
@@ -131,38 +134,38 @@
 
 
 def open_log(level: str) -> None:
-    """Send events of a level and above to the standard error."""
+    """Write events of a level and above to standard error."""
     logger.remove()
     logger.add(sys.stderr, level=level, format=_format_record)
 
 
-def open_output_log(level: str) -> PipeSink:
-    """Send events to the standard output, without ever waiting for it."""
-    sink = PipeSink(sys.stdout.fileno())
+def open_output_log(level: str) -> NonBlockingSink:
+    """Write events of a level and above to standard output, non-blocking."""
+    sink = NonBlockingSink(sys.stdout.fileno())
     logger.remove()
     logger.add(sink, level=level, format=_format_record)
     return sink
 
 
 def log_event(event: str, /, **pairs: object) -> None:
-    """Log an event of normal work."""
+    """Log an event of normal operation, at level INFO."""
     _log('INFO', event, pairs)
 
 
 def log_warning(event: str, /, **pairs: object) -> None:
-    """Log an event that an operator may have to look at."""
+    """Log an event that an operator may have to examine, at level WARNING."""
     _log('WARNING', event, pairs)
 
 
 def log_detail(event: str, /, **pairs: object) -> None:
-    """Log an event that matters when something is looked into."""
+    """Log an event that matters only for diagnosis, at level DEBUG."""
     _log('DEBUG', event, pairs)
 
 
 def _log(level: str, event: str, pairs: dict[str, object]) -> None:
     now = time.monotonic()
-    for left_event, count in _budget.pop_dropped_counts(now).items():
-        left_out = {'event': 'left_out', 'of': left_event, 'lines': count}
-        logger.log('WARNING', format_pairs(left_out))
+    for dropped_event, count in _budget.pop_dropped_counts(now).items():
+        dropped = {'event': 'left_out', 'of': dropped_event, 'lines': count}
+        logger.log('WARNING', format_pairs(dropped))
     if _budget.allow(event, now):
         logger.log(level, format_pairs({'event': event, **pairs}))
--- a/waywell/telemetry/front_gauges.py
+++ b/waywell/telemetry/front_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a front daemon, read at each scrape."""
+"""Gauges of a front daemon, evaluated at each scrape."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class FrontGauges:
-    """Shows what a node knows and does.
+    """Registers gauges of the state of a node.
 
     Parameters
     ----------
     node
-        The node.
+        Node whose state the gauges show.
     """
 
     def __init__(self, node: FrontNode) -> None:
-        """Keep the node; its parts are read at each scrape."""
+        """Use a node, whose components are read at each scrape."""
         self._node = node
 
     def register(self) -> None:
@@ -36,7 +36,7 @@
             'waywell_knowledge_age_seconds',
             'For how long what is known was not confirmed.',
             'part',
-            self._read_ages,
+            self._get_knowledge_ages,
         )
         add_gauge(
             'waywell_nodes',
@@ -48,7 +48,7 @@
             'waywell_duties',
             'Whether this node holds a duty now: 1 or 0.',
             'duty',
-            self._read_duties,
+            self._get_duties,
         )
         add_gauge(
             'waywell_requests_in_flight',
@@ -72,13 +72,13 @@
             'waywell_backpressure',
             'Replicas that have asked this node for no more requests.',
             'part',
-            self._count_wishes,
+            self._count_backpressure,
         )
         add_gauge(
             'waywell_limits',
             'Replicas that have a limit, and what this node dealt of it.',
             'part',
-            self._count_turns,
+            self._count_limits,
         )
         add_gauge(
             'waywell_unreachable_boxes',
@@ -90,7 +90,7 @@
             'waywell_store_era',
             'Era of the store, and the changes of it that this node saw.',
             'part',
-            self._read_era,
+            self._get_store_era,
         )
 
         add_gauge(
@@ -108,14 +108,14 @@
         node = self._node
         return node.paths.watch.table.count_unreachable(node.clock.read())
 
-    def _read_era(self) -> Mapping[str, float]:
+    def _get_store_era(self) -> Mapping[str, float]:
         eras = self._node.cluster.eras
         return {'era': eras.current, 'changes': eras.changes}
 
-    def _count_turns(self) -> Mapping[str, float]:
+    def _count_limits(self) -> Mapping[str, float]:
         return self._node.turns.count()
 
-    def _count_wishes(self) -> Mapping[str, float]:
+    def _count_backpressure(self) -> Mapping[str, float]:
         node = self._node
         return node.backpressure.count(node.clock.read())
 
@@ -132,7 +132,7 @@
     def _count_serving(self) -> Mapping[str, float]:
         return self._node.cluster.count_serving()
 
-    def _read_ages(self) -> Mapping[str, float]:
+    def _get_knowledge_ages(self) -> Mapping[str, float]:
         cluster = self._node.cluster
         now = self._node.clock.read()
         return {
@@ -143,7 +143,7 @@
     def _count_nodes(self) -> Mapping[str, float]:
         return self._node.members.count_states()
 
-    def _read_duties(self) -> Mapping[str, float]:
+    def _get_duties(self) -> Mapping[str, float]:
         return {
             'forming': float(self._node.forming.is_held()),
             'reader': float(self._node.feed.is_reader()),
--- a/waywell/telemetry/history.py
+++ b/waywell/telemetry/history.py
@@ -1,4 +1,4 @@
-"""The history of requests, written as it happens, for checkers."""
+"""History of requests, written for checkers of a whole test run."""
 
 from __future__ import annotations
 
@@ -13,50 +13,51 @@
 
 
 class History(abc.ABC):
-    """Takes in what happens to requests."""
+    """Records the events of requests."""
 
     @abc.abstractmethod
     def record(self, event: str, /, **pairs: object) -> None:
-        """Note an event."""
+        """Record an event with its details."""
 
 
 class NoHistory(History):
-    """Keeps nothing."""
+    """Discards all events."""
 
     def record(self, event: str, /, **pairs: object) -> None:
         """Do nothing."""
 
 
 class FileHistory(History):
-    """Appends one JSON line an event to a file.
+    """Appends each event to a file as a line of JSON.
 
     Parameters
     ----------
     history
-        File, opened unbuffered, so that a killed process loses nothing.
+        File opened without buffering, so that a killed process loses no
+        event.
     node
         Name of the entry box.
     clock
-        Where the time is read.
+        Clock of the node.
     """
 
     def __init__(self, history: BinaryIO, node: str, clock: Clock) -> None:
-        """Keep the file."""
+        """Append to an open file."""
         self._history = history
         self._node = node
         self._clock = clock
 
     def record(self, event: str, /, **pairs: object) -> None:
-        """Write an event."""
+        """Append an event to the file."""
         at = self._clock.read_wall()
         line = {'event': event, 'at': at, 'node': self._node, **pairs}
         raw = msgspec.json.encode(line)
-        # One write a line, so that a line is whole or absent.
+        # A single write for each line, so that a line is complete or absent.
         self._history.write(b'%s\n' % raw)
 
 
 def open_history(path: str, node: str, clock: Clock) -> History:
-    """Return a history in a file, or none where the path is empty."""
+    """Return a history that appends to a file, or discards if no path."""
     if not path:
         return NoHistory()
     history = Path(path).open('ab', buffering=0)  # noqa: SIM115
--- a/waywell/telemetry/measures.py
+++ b/waywell/telemetry/measures.py
@@ -1,4 +1,4 @@
-"""The two measures: group downtime and stranded accelerators."""
+"""The two operational measures: group downtime and stranded accelerators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     roster: Roster,
     is_usable: Callable[[Group], bool],
 ) -> dict[str, int]:
-    """Return how many groups of each set serve now."""
+    """Return the number of groups that serve now, by group set."""
     counts: dict[str, int] = {}
     for group in roster:
         serves = group.state is GroupState.SERVING and is_usable(group)
@@ -26,7 +26,10 @@
 
 
 def count_stranded(boxes: Iterable[Box], roster: Roster) -> int:
-    """Return the accelerators of live boxes outside serving groups."""
+    """Return the number of accelerators in boxes outside serving groups.
+
+    Lost boxes are not counted.
+    """
     stranded = 0
     for box in boxes:
         holder = roster.find_holder(box.box)
@@ -38,12 +41,12 @@
 
 
 class DowntimeMeter:
-    """Adds up the time in which wanted groups could not serve."""
+    """Accumulates the time for which configured groups did not serve."""
 
     def __init__(self) -> None:
-        """Start at zero; the first look only sets the time."""
+        """Start at zero; the first update only sets the time."""
         self._seconds: dict[str, float] = {}
-        self._looked_at: float | None = None
+        self._updated_at: float | None = None
 
     def update(
         self,
@@ -51,25 +54,28 @@
         serving: Mapping[str, int],
         now: float,
     ) -> None:
-        """Add the time since the last look.
+        """Add the downtime since the last update.
 
         Parameters
         ----------
         configuration
             Configuration in force.
         serving
-            Groups of each set that serve now.
+            Number of groups that serve now, by group set.
         now
-            Present time, in seconds.
+            Current time, in seconds.
         """
-        since = now if self._looked_at is None else self._looked_at
-        self._looked_at = now
+        since = now if self._updated_at is None else self._updated_at
+        self._updated_at = now
         for group_set in configuration.group_set:
             name = group_set.name
-            lacking = max(0, group_set.groups - serving.get(name, 0))
-            lost = lacking * (now - since)
-            self._seconds[name] = self._seconds.get(name, 0.0) + lost
+            missing_groups = max(0, group_set.groups - serving.get(name, 0))
+            downtime = missing_groups * (now - since)
+            self._seconds[name] = self._seconds.get(name, 0.0) + downtime
 
     def list_seconds(self) -> dict[str, float]:
         """Return group-seconds of downtime by group set."""
-        return {name: round(lost, 3) for name, lost in self._seconds.items()}
+        return {
+            name: round(downtime, 3)
+            for name, downtime in self._seconds.items()
+        }
--- a/waywell/telemetry/metrics.py
+++ b/waywell/telemetry/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics by OpenTelemetry, in the text form that scrapers read.
+"""OpenTelemetry metrics in the Prometheus text format.
 
-OpenTelemetry with its exporter is some 90 modules, a tenth of the processor
-time of a start, and callers may be waiting for the node.  So it is loaded at
-the first scrape; what was counted before waits, and is loaded for as well when
-there is much of it.
+OpenTelemetry and its exporter consist of some 90 modules and take a tenth of
+the processor time of a start, while callers may be waiting for the node.  They
+are therefore imported at the first scrape, or earlier if many measurements
+have been buffered until then.
 """
 
 from __future__ import annotations
@@ -23,40 +23,47 @@
     from waywell.codes import Code, Ran
 
 MetricAttributes = Mapping[str, Any]
-"""What a number is counted by."""
+"""Attributes of a measurement, by name."""
 
 MAX_PENDING_RECORDINGS = 4000
-"""Words that wait for the first scrape: some minutes of a node's requests, in
-less memory than OpenTelemetry itself takes."""
+"""Measurements of an instrument that are buffered before OpenTelemetry is
+imported: some minutes of a node's requests, in less memory than OpenTelemetry
+itself takes."""
 
 
 class InstrumentKind(enum.Enum):
-    """What an instrument does with a number."""
+    """Kind of an OpenTelemetry instrument."""
 
     COUNTER = 'counter'
-    """Adds it up."""
+    """Adds up the measurements."""
 
     HISTOGRAM = 'histogram'
-    """Counts it among the numbers of its size."""
+    """Counts the measurements in buckets by their value."""
 
 
 class InstrumentSpec(msgspec.Struct, frozen=True):
-    """An instrument, before it is made."""
+    """Definition of an instrument."""
 
     kind: InstrumentKind
-    """What it does with a number."""
+    """Kind of the instrument."""
 
     name: str
-    """Name that scrapers see."""
+    """Name of the metric for scrapers."""
 
     description: str
-    """What it shows, with its unit."""
+    """Description of the metric for scrapers."""
 
     bounds: tuple[float, ...] = ()
-    """Upper bounds of a histogram's buckets."""
+    """Upper bounds of a histogram's buckets; unused for a counter."""
 
     def make(self, meter: Meter) -> Callable[[float, Any], None]:
-        """Make the instrument; return what takes a number in."""
+        """Create the instrument.
+
+        Returns
+        -------
+        Callable
+            Function that records a number with its attributes.
+        """
         if self.kind is InstrumentKind.COUNTER:
             return meter.create_counter(
                 self.name, description=self.description
@@ -76,29 +83,29 @@
 
 
 class Instrument:
-    """Takes numbers in, also before OpenTelemetry is loaded.
+    """Records measurements, buffering them until OpenTelemetry is imported.
 
     Parameters
     ----------
     metrics
-        The process's metrics.
+        Metrics of the process.
     spec
-        What it is.
+        Definition of the instrument.
     """
 
     def __init__(self, metrics: Metrics, spec: InstrumentSpec) -> None:
-        """Start without a number."""
+        """Create an instrument that buffers its measurements."""
         self._metrics = metrics
         self._spec = spec
         self._record: Callable[[float, Any], None] = self._buffer
         self._pending: list[tuple[float, MetricAttributes]] = []
 
     def record(self, number: float, attributes: MetricAttributes) -> None:
-        """Take a number in."""
+        """Record a measurement."""
         self._record(number, attributes)
 
     def open(self, meter: Meter) -> None:
-        """Make the instrument, and give it what was kept."""
+        """Create the OpenTelemetry instrument and flush the buffer to it."""
         self._record = self._spec.make(meter)
         for number, attributes in self._pending:
             self._record(number, attributes)
@@ -111,10 +118,10 @@
 
 
 class Metrics:
-    """Counts requests and shows gauges."""
+    """Metrics of a process: instruments and gauges."""
 
     def __init__(self) -> None:
-        """Load nothing yet."""
+        """Add the counter of requests; OpenTelemetry isn't imported yet."""
         self._meter: Meter | None = None
         self._instruments: list[Instrument] = []
         self._gauges: list[_Gauge] = []
@@ -127,7 +134,7 @@
         )
 
     def add_instrument(self, spec: InstrumentSpec) -> Instrument:
-        """Return an instrument of this process."""
+        """Add an instrument and return it."""
         instrument = Instrument(self, spec)
         self._instruments.append(instrument)
         if self._meter is not None:
@@ -135,7 +142,7 @@
         return instrument
 
     def count_request(self, code: Code, ran: Ran) -> None:
-        """Count an ended request."""
+        """Count a finished request by its result."""
         self._requests.record(1, {'code': int(code), 'ran': ran.value})
 
     def add_gauge(
@@ -145,18 +152,18 @@
         attribute: str,
         read: Callable[[], Mapping[str, float]],
     ) -> None:
-        """Show values that are read at each scrape.
+        """Add a gauge whose values are read at each scrape.
 
         Parameters
         ----------
         name
-            Name of the gauge.
+            Name of the gauge for scrapers.
         description
-            What it shows, with its unit.
+            Description of the gauge for scrapers.
         attribute
-            Name of its one attribute.
+            Name of the gauge's only attribute.
         read
-            Returns the values by the attribute's text.
+            Function that returns the current values by attribute value.
         """
         gauge = _Gauge(name, description, attribute, read)
         self._gauges.append(gauge)
@@ -164,7 +171,7 @@
             _register_gauge(self._meter, gauge)
 
     def load(self) -> None:
-        """Load OpenTelemetry; give it what was kept."""
+        """Import OpenTelemetry unless that is done, and flush the buffers."""
         if self._meter is not None:
             return
         self._meter = _open_meter()
@@ -174,7 +181,7 @@
             _register_gauge(self._meter, gauge)
 
     def render(self) -> bytes:
-        """Return all metrics in text form."""
+        """Return all metrics in the Prometheus text format."""
         self.load()
         from prometheus_client import (  # noqa: PLC0415
             REGISTRY,
@@ -185,7 +192,7 @@
 
 
 def _open_meter() -> Meter:
-    # Loaded late, as the module says.
+    # Imported late to shorten the start; see the module's docstring.
     from opentelemetry.exporter.prometheus import (  # noqa: PLC0415
         PrometheusMetricReader,
     )
--- a/waywell/telemetry/request_metrics.py
+++ b/waywell/telemetry/request_metrics.py
@@ -1,4 +1,4 @@
-"""What is counted and timed of requests, by OpenTelemetry."""
+"""Counters and latency histograms of requests."""
 
 from __future__ import annotations
 
@@ -26,21 +26,22 @@
     5.0,
     8.0,
 )
-"""Upper bounds of the latency histograms, in seconds: closer around the
-routes' goals of 0.15 s to 0.5 s, up to their time limits."""
+"""Upper bounds of the buckets of latency histograms, in seconds.  The buckets
+are narrower around the routes' goals of 0.15 s to 0.5 s and extend to their
+timeouts."""
 
 
 class RequestMetrics:
-    """Counts attempts, and times answers.
+    """Records attempts at replicas and the latencies of answers.
 
     Parameters
     ----------
     metrics
-        Metrics of this process.
+        Metrics of the process.
     """
 
     def __init__(self, metrics: Metrics) -> None:
-        """Make the instruments."""
+        """Add the instruments to the metrics of the process."""
         self._attempts = metrics.add_instrument(
             InstrumentSpec(
                 InstrumentKind.COUNTER,
@@ -48,7 +49,7 @@
                 'What became of attempts at replicas, by log event.',
             ),
         )
-        self._firsts = metrics.add_instrument(
+        self._first_piece_times = metrics.add_instrument(
             InstrumentSpec(
                 InstrumentKind.HISTOGRAM,
                 'waywell_first_piece_seconds',
@@ -56,7 +57,7 @@
                 LATENCY_BOUNDS,
             ),
         )
-        self._answers = metrics.add_instrument(
+        self._answer_times = metrics.add_instrument(
             InstrumentSpec(
                 InstrumentKind.HISTOGRAM,
                 'waywell_answer_seconds',
@@ -66,21 +67,21 @@
         )
 
     def count_attempt(self, event: str, service: str) -> None:
-        """Count what became of an attempt.
+        """Count an attempt by its outcome.
 
         Parameters
         ----------
         event
-            Event of the log line that tells it.
+            Name of the log event of the outcome.
         service
             Service of the request.
         """
         self._attempts.record(1, {'event': event, 'service': service})
 
     def record_first_piece(self, service: str, seconds: float) -> None:
-        """Take in when the first piece of an answer was passed on."""
-        self._firsts.record(seconds, {'service': service})
+        """Record the seconds until the first piece of an answer was sent."""
+        self._first_piece_times.record(seconds, {'service': service})
 
     def record_answer(self, service: str, seconds: float) -> None:
-        """Take in when an answer was whole."""
-        self._answers.record(seconds, {'service': service})
+        """Record the seconds until an answer was complete."""
+        self._answer_times.record(seconds, {'service': service})
--- a/waywell/telemetry/timing.py
+++ b/waywell/telemetry/timing.py
@@ -1,4 +1,4 @@
-"""Periods of membership, leases and health."""
+"""Settings of the periods and terms of membership, leases and health."""
 
 from __future__ import annotations
 
@@ -7,37 +7,38 @@
 
 @attrs.frozen
 class TimingSettings:
-    """Periods and bounds, in seconds."""
+    """Periods, terms and timeouts, all in seconds."""
 
     beat: float = 1.0
-    """Between two messages of liveness to a neighbour."""
+    """Period of liveness messages to a neighbour."""
 
     silence: float = 3.0
-    """Without a message until a neighbour is suspected."""
+    """Time without a message after which a neighbour is suspected."""
 
     suspicion: float = 2.0
-    """From a suspicion until a node counts as lost, unless it answers."""
+    """Time after which a suspected node counts as lost unless it answers."""
 
     lease: float = 6.0
     """Term of a lease in the platform."""
 
     recheck: float = 60.0
-    """Between two reads of whole documents, to repair a missed watch."""
+    """Period of reads of whole documents, in case a watch missed a change."""
 
     probe: float = 1.0
-    """Between two health checks of a box."""
+    """Period of health checks of a box."""
 
     evidence: float = 6.0
-    """Until the word that a group is down lapses."""
+    """Time after which evidence that a group is down expires."""
 
     entry_list: float = 5.0
-    """For which callers may keep the entry list."""
+    """Time for which callers may keep the entry list."""
 
     drain: float = 60.0
-    """For which a stopping node waits for work in flight."""
+    """Maximum wait of a stopping node for its work in flight."""
 
     group_drain: float = 60.0
-    """For which a leaving group waits for work in flight."""
+    """Maximum wait of a leaving group for its work in flight."""
 
     route_term: float = 900.0
-    """After which a silent node has lost its right to an old roster."""
+    """Time after which a silent node has lost the right to route by an old
+    roster."""
