--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,7 +24,7 @@
 )
 settings.load_profile('fixed')
 
-QUICK = {
+SHORT_TIMING = {
     'beat': 0.2,
     'silence': 1.0,
     'suspicion': 0.6,
@@ -106,7 +106,7 @@
     Other periods than the usual ones are taken where they are given.
     """
     for number in (1, 2):
-        bench.start_entry(f'entry-{number}', timing={**QUICK, **timing})
+        bench.start_entry(f'entry-{number}', timing={**SHORT_TIMING, **timing})
     bench.start_boxes(
         [
             BoxSpec('box-1', labels={'pool': 'llm'}),
@@ -120,12 +120,12 @@
         bench.wait_serving(f'entry-{number}', 'app-main', 1)
 
 
-def start_plain(
+def start_plain_targets(
     bench: Bench, entries: Sequence[str], targets: Sequence[str]
 ) -> None:
     """Start entry boxes before plain targets; wait until all serve."""
     for name in entries:
-        bench.start_entry(name, timing=QUICK)
+        bench.start_entry(name, timing=SHORT_TIMING)
     bench.start_boxes(
         [
             BoxSpec(name, fenced=False, labels={'pool': 'app'})
--- a/tests/front_harness.py
+++ b/tests/front_harness.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-WHOLE = b''.join(
+WHOLE_STREAM = b''.join(
     b'id: %d\ndata: t%d\n\n' % (number, number)
     for number in range(1, EVENTS + 1)
 )
@@ -36,7 +36,7 @@
         self.folder = folder
         self.store = Store()
         self.servers: dict[str, Server] = {}
-        self.gone: list[Server] = []
+        self.removed_servers: list[Server] = []
         self.processes: list[Process] = []
         self._attempts = 0
 
@@ -92,11 +92,11 @@
         """Wait until a node is ready and sees so many groups serve."""
         wait_until(lambda: self.is_ready(process), 'readiness')
         wait_until(
-            lambda: self.read_serving(process) == groups,
+            lambda: self.count_serving_groups(process) == groups,
             f'{groups} groups that the node sees serve',
         )
 
-    def read_serving(self, process: Process) -> int:
+    def count_serving_groups(self, process: Process) -> int:
         """Return the groups that serve, as a node sees them."""
         _status, raw = self.get(process, 'metrics_port', '/dump')
         found = json.loads(raw)['serving'].get('llm/small', 0)
@@ -112,7 +112,7 @@
         body, answer = self._call(process, port, 'GET', path)
         return answer.status, body
 
-    def ask(
+    def send_request(
         self,
         process: Process,
         path: str,
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,7 +21,7 @@
 import fire
 
 from tests.broken_bodies import BodyScript, Ending, Framing
-from tests.front_harness import WHOLE, FrontHarness
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from tests.house import KEY, Server, StoreCopy, make_manifest
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 from tests.relay import Relay, Way
@@ -126,7 +126,7 @@
 """HTTP statuses with which the store turns a call away."""
 
 KINDS = {
-    '/notes/1': ('small', WHOLE),
+    '/notes/1': ('small', WHOLE_STREAM),
     '/match/1': ('', b'the whole answer'),
     '/stock/1': ('', b'the whole answer'),
 }
@@ -329,7 +329,7 @@
         server = self.front.servers[draw.choice(sorted(self.front.servers))]
         framing, ending = draw.choice(ENDS)
         is_stream = server.entry['service'] == 'llm'
-        whole = WHOLE if is_stream else KINDS['/stock/1'][1]
+        whole = WHOLE_STREAM if is_stream else KINDS['/stock/1'][1]
         part = whole[: draw.randrange(len(whole))]
         kind = 'text/event-stream' if is_stream else ''
         server.script.append(BodyScript(framing, ending, part, kind))
@@ -522,7 +522,7 @@
     def _replace(self, name: str) -> None:
         old = self.front.servers.pop(name)
         service = old.entry['service']
-        self.front.gone.append(old)
+        self.front.removed_servers.append(old)
         old.crash()
         self._servers += 1
         new = f'{name[:2]}-{self._servers}'
@@ -574,14 +574,14 @@
 
     def _serves(self, process: Process) -> bool:
         with contextlib.suppress(OSError, http.client.HTTPException):
-            status, body, _answer = self.front.ask(
+            status, body, _answer = self.front.send_request(
                 process,
                 '/notes/1',
                 'small',
                 key='another',
                 X_Prompt_Prefix='f0:40,c1:40,e0:1',
             )
-            return status == 200 and body == WHOLE
+            return status == 200 and body == WHOLE_STREAM
         return False
 
     def _call_on(self) -> None:
@@ -608,7 +608,7 @@
         key: str,
     ) -> None:
         model, whole = KINDS[path]
-        status, body, answer = self.front.ask(
+        status, body, answer = self.front.send_request(
             process,
             path,
             model,
@@ -644,7 +644,7 @@
 
         The parts of sound requests must be served at the end.
         """
-        servers = (*self.front.servers.values(), *self.front.gone)
+        servers = (*self.front.servers.values(), *self.front.removed_servers)
         crashes = sorted(one for server in servers for one in server.crashes)
         self.ends['crash'] = len(crashes)
         if len(crashes) <= CRASHES_BOUND:
@@ -679,7 +679,10 @@
     def _check(self) -> None:
         """Hold what servers ran against what callers were told."""
         runs: Counter[str] = Counter()
-        for server in (*self.front.servers.values(), *self.front.gone):
+        for server in (
+            *self.front.servers.values(),
+            *self.front.removed_servers,
+        ):
             for run in list(server.runs):
                 attempt = run.get('X-Request-Attempt-Id', '')
                 if not attempt:
@@ -696,7 +699,10 @@
                 self.broken.append(f'{attempt}: ran with a removed key')
 
         self._check_crashes()
-        for server in (*self.front.servers.values(), *self.front.gone):
+        for server in (
+            *self.front.servers.values(),
+            *self.front.removed_servers,
+        ):
             self._check_leaving(server)
             if server.get_port() not in self._spoiled:
                 self._check_rests(server)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.conftest import QUICK, start_pair
+from tests.conftest import SHORT_TIMING, start_pair
 from waywell.client import UnreachableError
 from waywell.standins.harness import BoxSpec, make_configuration
 
@@ -106,7 +106,7 @@
     bench.list_scripted(
         BoxSpec('s', fenced=False, labels={'pool': 'llm'}), scripted.port
     )
-    timing = {**QUICK, 'probe': PROBE_SECONDS}
+    timing = {**SHORT_TIMING, 'probe': PROBE_SECONDS}
     bench.start_entry('entry-1', timing=timing, switch=switch)
     service = [
         {'name': 'llm', 'type': 'model', 'fenced': False},
--- a/tests/test_crashing_prompt_parts.py
+++ b/tests/test_crashing_prompt_parts.py
@@ -75,7 +75,7 @@
 ) -> tuple[int, str | None]:
     """Send a distinct request; return its status and code."""
     entries = [*(f'{part}:40' for part in parts), f'{number + 4096:x}:9']
-    status, _body, answer = front.ask(
+    status, _body, answer = front.send_request(
         node,
         f'/{path}/{number}',
         body=b'{"number": %d}' % number,
@@ -167,7 +167,7 @@
         assert send_request(front, nodes[0], number, SYSTEM, BAD)[0] == 502
         wait_crashes_known(front, nodes)
         malformed = f'/match/malformed/{number}'
-        status, *_rest = front.ask(
+        status, *_rest = front.send_request(
             nodes[0], malformed, X_Prompt_Prefix=f'{BAD}:1,e4:1'
         )
         # The third crash holds the malformed requests back as well.
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -74,7 +74,7 @@
 def crash_three(front: FrontHarness, node: Process) -> None:
     """Crash three replicas by requests at one node."""
     for _repeat in range(3):
-        assert front.ask(node, '/match/1', body=DEADLY)[0] == 502
+        assert front.send_request(node, '/match/1', body=DEADLY)[0] == 502
 
 
 def read_quarantine(front: FrontHarness, node: Process) -> dict[str, Any]:
@@ -106,12 +106,14 @@
     nodes = start(front)
     for _repeat in range(REPEATS):
         for node in nodes:
-            status, _body, _answer = front.ask(node, path, body=DEADLY)
+            status, _body, _answer = front.send_request(
+                node, path, body=DEADLY
+            )
             assert status >= 500
     assert count_crashed(front) <= MAX_CRASHED
     # Other requests are served all the time.
     for node in nodes:
-        assert front.ask(node, path)[0] == 200
+        assert front.send_request(node, path)[0] == 200
 
 
 def test_no_node_sends_the_request_after_the_third_crash(
@@ -120,7 +122,9 @@
     nodes = start(front)
     for _repeat in range(REPEATS):
         for node in nodes:
-            status, _body, answer = front.ask(node, '/match/1', body=DEADLY)
+            status, _body, answer = front.send_request(
+                node, '/match/1', body=DEADLY
+            )
             wait_crashes_known(front, nodes)
     assert count_crashed(front) == 3
     assert status == 503
@@ -148,7 +152,7 @@
     later = front.start('front-3')
     wait_serving(front, later)
     wait_crashes_known(front, [later])
-    assert front.ask(later, '/match/1', body=DEADLY)[0] == 503
+    assert front.send_request(later, '/match/1', body=DEADLY)[0] == 503
     assert count_crashed(front) == 3
 
 
@@ -167,8 +171,8 @@
             lambda node=node: read_quarantine(front, node)['held'],
             'the hold on the request',
         )
-        assert front.ask(node, '/match/1', body=DEADLY)[0] == 503
-        assert front.ask(node, '/match/1')[0] == 200
+        assert front.send_request(node, '/match/1', body=DEADLY)[0] == 503
+        assert front.send_request(node, '/match/1')[0] == 200
     assert count_crashed(front) == 3
 
 
@@ -184,5 +188,5 @@
         'the hold on the request',
     )
     assert read_quarantine(front, other)['ends'] == 0
-    assert front.ask(other, '/match/1', body=DEADLY)[0] == 503
+    assert front.send_request(other, '/match/1', body=DEADLY)[0] == 503
     assert count_crashed(front) == 3
--- a/tests/test_crashing_targets.py
+++ b/tests/test_crashing_targets.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from tests.conftest import start_plain
+from tests.conftest import start_plain_targets
 from waywell.standins.harness import wait_until
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 def start(bench: Bench, **faults: str) -> None:
     """Start two entry boxes and plain targets that the request crashes."""
     names = [f'app-{number}' for number in range(TARGETS)]
-    start_plain(bench, ('entry-1', 'entry-2'), names)
+    start_plain_targets(bench, ('entry-1', 'entry-2'), names)
     for name in names:
         bench.set_target_faults(
             name, **(faults or {'ends_under': DEADLY.decode()})
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,7 +11,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from tests.front_harness import WHOLE, FrontHarness
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from tests.house import HOST, KEY, make_manifest
 from waywell.cli import EXIT_REFUSED, run_command
 from waywell.codes import Code
@@ -44,7 +44,7 @@
 ) -> None:
     process = front.start()
     assert not front.is_ready(process)
-    status, _body, answer = front.ask(process, '/stock/1')
+    status, _body, answer = front.send_request(process, '/stock/1')
     assert status == 503
     assert answer.getheader('waywell-ran') == 'not_run'
     assert float(answer.getheader('retry-after')) > 0
@@ -54,10 +54,12 @@
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
-    status, body, answer = front.ask(process, '/notes/1', model='small')
-    assert (status, body) == (200, WHOLE)
+    status, body, answer = front.send_request(
+        process, '/notes/1', model='small'
+    )
+    assert (status, body) == (200, WHOLE_STREAM)
     assert answer.getheader('X-Replica-Stamp').startswith('stamp-of-m')
-    status, body, answer = front.ask(process, '/stock/1?x=2')
+    status, body, answer = front.send_request(process, '/stock/1?x=2')
     assert (status, body) == (200, b'the whole answer')
     (run,) = front.list_runs('a1', 'a2')
     assert run['X-Tenant'] == 'shop'
@@ -76,8 +78,8 @@
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
-    assert front.ask(process, '/stock/1', key='wrong')[0] == 401
-    assert front.ask(process, '/nowhere/1')[0] == 404
+    assert front.send_request(process, '/stock/1', key='wrong')[0] == 401
+    assert front.send_request(process, '/nowhere/1')[0] == 404
     assert not front.list_runs('a1', 'a2')
 
 
@@ -87,7 +89,7 @@
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.extend(['reset'])
-    status, _body, answer = front.ask(process, '/match/1')
+    status, _body, answer = front.send_request(process, '/match/1')
     assert status == 502
     assert answer.getheader('waywell-ran') == 'may_have_run'
     assert len(front.list_runs('a1', 'a2')) == 1
@@ -96,7 +98,9 @@
         front.servers[name].runs.clear()
     front.servers['a1'].script.append('reject')
     front.servers['a2'].script.append('reject')
-    statuses = [front.ask(process, '/match/2')[0] for _time in range(2)]
+    statuses = [
+        front.send_request(process, '/match/2')[0] for _time in range(2)
+    ]
     assert 200 in statuses
     assert len(front.list_runs('a1', 'a2')) == statuses.count(200)
 
@@ -109,7 +113,7 @@
     shared = deque(['reset', 'reject'])
     for name in ('a1', 'a2'):
         front.servers[name].script = shared
-    status, _body, answer = front.ask(process, '/stock/1')
+    status, _body, answer = front.send_request(process, '/stock/1')
     assert not shared
     assert answer.getheader('waywell-ran') == 'may_have_run'
     # 503 promises that it has not run.
@@ -122,7 +126,7 @@
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.extend(['reject'] * 2)
-    status, _body, answer = front.ask(process, '/match/1')
+    status, _body, answer = front.send_request(process, '/match/1')
     assert status == 503
     assert answer.getheader('waywell-ran') == 'not_run'
     assert answer.getheader('X-Replica-Stamp') is None
@@ -135,7 +139,7 @@
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.append('foreign')
-    assert front.ask(process, '/match/1')[0] == 502
+    assert front.send_request(process, '/match/1')[0] == 502
 
 
 def test_a_safe_request_goes_on_elsewhere(
@@ -148,7 +152,7 @@
         front.servers['a1'].script.append(act)
         front.servers['a2'].script.append('')
         for _request in range(2):
-            assert front.ask(process, '/stock/1')[0] == 200
+            assert front.send_request(process, '/stock/1')[0] == 200
 
 
 @pytest.mark.parametrize('act', ['cut-3', 'wait-3', 'cut-1'])
@@ -164,8 +168,10 @@
         server.goes_on.clear()
         server.script = shared
         server.runs.clear()
-    status, body, _answer = front.ask(process, '/notes/1', model='small')
-    assert (status, body) == (200, WHOLE)
+    status, body, _answer = front.send_request(
+        process, '/notes/1', model='small'
+    )
+    assert (status, body) == (200, WHOLE_STREAM)
     assert sorted(len(server.runs) for server in heads) == [1, 1]
 
 
@@ -178,14 +184,14 @@
     front.store.is_down = True
 
     def is_refused() -> bool:
-        status, _body, answer = front.ask(process, '/stock/1')
+        status, _body, answer = front.send_request(process, '/stock/1')
         return status == 503 and answer.getheader('waywell-code') == '2008'
 
     wait_until(is_refused, 'refusals')
     assert not front.is_ready(process)
     front.store.is_down = False
     wait_until(lambda: front.is_ready(process), 'readiness')
-    assert front.ask(process, '/stock/1')[0] == 200
+    assert front.send_request(process, '/stock/1')[0] == 200
 
 
 def test_a_new_version_is_in_force_and_a_removed_key_is_refused(
@@ -195,10 +201,12 @@
     tenants = [{'name': 'shop', 'api_keys': ['another']}]
     front.store.put('config', 'main', make_manifest(2, tenants=tenants))
     wait_until(
-        lambda: front.ask(process, '/stock/1', key='another')[0] == 200,
+        lambda: (
+            front.send_request(process, '/stock/1', key='another')[0] == 200
+        ),
         'the new key',
     )
-    assert front.ask(process, '/stock/1')[0] == 401
+    assert front.send_request(process, '/stock/1')[0] == 401
 
 
 def test_a_version_that_is_not_understood_leaves_the_last_one_in_force(
@@ -208,7 +216,7 @@
     front.store.put('config', 'main', {'version': 'x', 'routes': 3})
     log = front.folder / 'front-1.log'
     wait_until(lambda: 'object_unreadable' in log.read_text(), 'a log line')
-    assert front.ask(process, '/stock/1')[0] in {200, 503}
+    assert front.send_request(process, '/stock/1')[0] in {200, 503}
 
 
 def test_a_planned_stop_finishes_what_was_read(
@@ -220,7 +228,7 @@
     answers: list[tuple[int, str | None]] = []
 
     def ask() -> None:
-        status, _body, answer = front.ask(process, '/match/1')
+        status, _body, answer = front.send_request(process, '/match/1')
         answers.append((status, answer.getheader('connection')))
 
     thread = threading.Thread(target=ask)
@@ -250,7 +258,9 @@
         server.goes_on.clear()
     process.send_signal(signal.SIGTERM)
     wait_until(lambda: not front.is_ready(process), 'the node to leave')
-    status, _body, answer = front.ask(process, '/notes/1', model='small')
+    status, _body, answer = front.send_request(
+        process, '/notes/1', model='small'
+    )
     assert status == 503
     assert answer.getheader('waywell-code') == str(int(Code.NODE_LEAVING))
     assert answer.getheader('waywell-ran') == 'not_run'
@@ -266,7 +276,7 @@
     process.send_signal(signal.SIGHUP)
     log = front.folder / 'front-1.log'
     wait_until(lambda: 'event=reloaded' in log.read_text(), 'a log line')
-    assert front.ask(process, '/stock/1')[0] == 200
+    assert front.send_request(process, '/stock/1')[0] == 200
 
 
 def test_a_lost_box_is_seen_by_its_silence_and_its_group_is_patched(
@@ -287,10 +297,14 @@
     member.close()
     # Its entry stays; only streams that stand still show the loss.
     threading.Thread(
-        target=front.ask, args=(process, '/notes/1', 'small'), daemon=True
+        target=front.send_request,
+        args=(process, '/notes/1', 'small'),
+        daemon=True,
     ).start()
     threading.Thread(
-        target=front.ask, args=(process, '/notes/2', 'small'), daemon=True
+        target=front.send_request,
+        args=(process, '/notes/2', 'small'),
+        daemon=True,
     ).start()
     wait_until(
         lambda: any(one['operation'] == 'leave' for one in head.orders),
@@ -323,7 +337,7 @@
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.append('reset')
-    front.ask(process, '/match/1', X_Request_Attempt_Id='look-for-me')
+    front.send_request(process, '/match/1', X_Request_Attempt_Id='look-for-me')
     log = (front.folder / 'front-1.log').read_text()
     lines = [line for line in log.splitlines() if 'look-for-me' in line]
     events = [line.partition('event=')[2].split()[0] for line in lines]
@@ -377,7 +391,7 @@
 ) -> None:
     front, process = served
     for path, model in (('/notes/1', 'small'), ('/stock/1', '')):
-        assert front.ask(process, path, model=model)[0] == 200
+        assert front.send_request(process, path, model=model)[0] == 200
     expected = {
         ('waywell_first_piece_seconds_count', 'service=llm'): 1,
         ('waywell_answer_seconds_count', 'service=app'): 1,
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from tests.checker import find_shared_boxes, list_runs
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from waywell.client import Answer
 from waywell.standins.harness import (
     BoxSpec,
@@ -59,7 +59,7 @@
     bench: Bench,
     entries: int,
     boxes: int,
-    timing: Mapping[str, float] = QUICK,
+    timing: Mapping[str, float] = SHORT_TIMING,
     **changes: Any,
 ) -> None:
     """Start entry boxes and boxes of one domain, and a configuration."""
@@ -91,7 +91,7 @@
     """The proof above can fail: the head answers while a member is dead."""
     for number in (1, 2):
         bench.start_box(BoxSpec(f'box-{number}', labels={'pool': 'llm'}))
-    bench.start_entry('entry-1', timing=QUICK, switch='ignore_probes')
+    bench.start_entry('entry-1', timing=SHORT_TIMING, switch='ignore_probes')
     bench.apply('entry-1', make_configuration())
     bench.wait_serving('entry-1', 'llm-main', 1)
     bench.targets['box-2'].kill()
@@ -168,7 +168,7 @@
 def test_roster_write_whose_answer_is_lost(bench: Bench) -> None:
     for number in range(2):
         bench.start_box(BoxSpec(f'box-{number}', labels={'pool': 'llm'}))
-    bench.start_entry('entry-0', timing=QUICK)
+    bench.start_entry('entry-0', timing=SHORT_TIMING)
     bench.set_platform_faults(lose_answers=6)
     # The operator's own write is among them, and is found to be accepted.
     assert bench.apply('entry-0', make_configuration()).status == 200
@@ -204,7 +204,7 @@
         bench,
         entries=2,
         boxes=4,
-        timing={**QUICK, 'probe': 3.0, 'evidence': 12.0},
+        timing={**SHORT_TIMING, 'probe': 3.0, 'evidence': 12.0},
         groups=2,
     )
     for entry in ('entry-0', 'entry-1'):
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.conftest import QUICK, start_pair
+from tests.conftest import SHORT_TIMING, start_pair
 from waywell.standins.harness import Bench
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
         start_pair(bench, probe=PROBE_SECONDS)
         bench.start_entry(
             'small',
-            timing={**QUICK, 'probe': PROBE_SECONDS},
+            timing={**SHORT_TIMING, 'probe': PROBE_SECONDS},
             limits={'body_bytes': 1000},
         )
         bench.wait_serving('small', 'app-main', 1)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.checker import list_runs
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from waywell.client import Answer, UnreachableError
 from waywell.standins.harness import (
     BoxSpec,
@@ -85,7 +85,7 @@
         got = caller.recv(1000)
         process = pair.entries['entry-1']
         process.send_signal(signal.SIGTERM)
-        time.sleep(QUICK['entry_list'] * 3)
+        time.sleep(SHORT_TIMING['entry_list'] * 3)
         while piece := caller.recv(65536):
             got += piece
     head, _, body = got.partition(b'\r\n\r\n')
@@ -101,8 +101,8 @@
 def test_leaving_box_gets_no_new_work_and_loses_none(bench: Bench) -> None:
     for number in range(4):
         bench.start_box(BoxSpec(f'box-{number}', labels={'pool': 'llm'}))
-    bench.start_entry('entry-1', timing=QUICK)
-    bench.start_entry('entry-2', timing=QUICK)
+    bench.start_entry('entry-1', timing=SHORT_TIMING)
+    bench.start_entry('entry-2', timing=SHORT_TIMING)
     bench.apply('entry-1', make_configuration(groups=2))
     for entry in ('entry-1', 'entry-2'):
         bench.wait_serving(entry, 'llm-main', 2)
@@ -156,7 +156,7 @@
     status: int,
 ) -> None:
     """While it drains; the second case shows that the first can fail."""
-    bench.start_entry('entry-1', timing=QUICK, switch=switch)
+    bench.start_entry('entry-1', timing=SHORT_TIMING, switch=switch)
     bench.start_box(BoxSpec('box-1', labels={'pool': 'llm'}))
     bench.apply('entry-1', make_configuration(boxes_per_group=1))
     bench.wait_serving('entry-1', 'llm-main', 1)
@@ -183,7 +183,7 @@
 def test_stream_past_the_drain_bound_is_cut_visibly(bench: Bench) -> None:
     """What outlasts the bound is cut so that the caller sees the cut."""
     bench.start_box(BoxSpec('box-1', labels={'pool': 'llm'}))
-    bench.start_entry('entry-1', timing={**QUICK, 'drain': 0.5})
+    bench.start_entry('entry-1', timing={**SHORT_TIMING, 'drain': 0.5})
     bench.apply('entry-1', make_configuration(boxes_per_group=1))
     bench.wait_serving('entry-1', 'llm-main', 1)
     outcomes: list[str] = []
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -10,7 +10,7 @@
 import asyncio
 
 from tests.forwarder_harness import ForwarderHarness
-from tests.front_harness import WHOLE, FrontHarness
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import wait_until
 
@@ -27,12 +27,12 @@
     leaving.is_leaving = True
 
     def ask() -> bool:
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
         return bool(leaving.arrivals)
 
     wait_until(ask, 'its word')
     for _request in range(REQUESTS):
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
     # The list shows it as before.
     assert leaving.entry['state'] == 'ready'
     assert leaving.arrivals == 1
@@ -47,12 +47,18 @@
     leaving.is_leaving = True
 
     def ask() -> bool:
-        assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
+        assert front.send_request(node, '/notes/1', 'small')[:2] == (
+            200,
+            WHOLE_STREAM,
+        )
         return bool(leaving.arrivals)
 
     wait_until(ask, 'its word')
     for _request in range(REQUESTS):
-        assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
+        assert front.send_request(node, '/notes/1', 'small')[:2] == (
+            200,
+            WHOLE_STREAM,
+        )
     assert leaving.arrivals == 1
 
 
@@ -66,12 +72,12 @@
         server.is_leaving = True
 
     def ask() -> bool:
-        front.ask(node, '/stock/1')
+        front.send_request(node, '/stock/1')
         return all(server.arrivals for server in servers)
 
     wait_until(ask, 'the word of both')
     before = sum(server.arrivals for server in servers)
-    status, _body, answer = front.ask(node, '/match/1')
+    status, _body, answer = front.send_request(node, '/match/1')
     assert status == 503
     assert float(answer.headers['Retry-After']) > 0
     assert sum(server.arrivals for server in servers) == before
--- a/tests/test_limited_replicas.py
+++ b/tests/test_limited_replicas.py
@@ -45,7 +45,7 @@
     reported_at = time.monotonic()
     for node in nodes:
         for _request in range(6):
-            front.ask(node, '/stock/1')
+            front.send_request(node, '/stock/1')
     time.sleep(max(0.0, reported_at + KNOWN_SECONDS - time.monotonic()))
     return time.monotonic()
 
@@ -57,7 +57,7 @@
     answers = []
     cycle = itertools.cycle(nodes)
     for _request, node in zip(range(REQUESTS), cycle, strict=False):
-        status, _body, answer = front.ask(node, '/stock/1')
+        status, _body, answer = front.send_request(node, '/stock/1')
         answers.append((status, answer.headers.get('Retry-After', '')))
     return answers
 
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -11,7 +11,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from tests.conftest import start_plain
+from tests.conftest import start_plain_targets
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
 def test_all_entry_boxes_together_keep_the_limit_of_a_target(
     bench: Bench,
 ) -> None:
-    start_plain(bench, ENTRIES, TARGETS)
+    start_plain_targets(bench, ENTRIES, TARGETS)
     effective_at = report_limit(bench, ('app-1',))
     assert set(send_round_robin(bench)) == {200}
     assert count_after(bench, 'app-1', effective_at) <= count_allowed(LIMIT)
@@ -67,7 +67,7 @@
 def test_requests_above_the_limits_of_all_targets_are_refused(
     bench: Bench,
 ) -> None:
-    start_plain(bench, ENTRIES, TARGETS)
+    start_plain_targets(bench, ENTRIES, TARGETS)
     effective_at = report_limit(bench, TARGETS)
     statuses = send_round_robin(bench)
     for name in TARGETS:
--- a/tests/test_lost_hedges.py
+++ b/tests/test_lost_hedges.py
@@ -39,7 +39,7 @@
     server.script.append('late-rest')
 
     def has_sent_rest() -> bool:
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
         return not server.script
 
     wait_until(has_sent_rest, f'a request to {server.name}')
@@ -62,5 +62,5 @@
     )
     before = server.arrivals
     for _request in range(REQUESTS):
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
     assert server.arrivals == before
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.checker import count_runs, find_false_refusals, find_repeated
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from waywell.client import Answer, UnreachableError
 from waywell.standins.harness import (
     CALLER_KEY,
@@ -125,7 +125,7 @@
 
 def test_without_claims_a_repeat_runs_twice(bench: Bench) -> None:
     """Check that the tests of this module detect repeated runs."""
-    bench.start_entry('entry-1', timing=QUICK, switch='claim_nothing')
+    bench.start_entry('entry-1', timing=SHORT_TIMING, switch='claim_nothing')
     bench.start_box(BoxSpec('app-1', fenced=False, labels={'pool': 'app'}))
     bench.apply('entry-1', make_configuration())
     bench.wait_serving('entry-1', 'app-main', 1)
@@ -144,7 +144,7 @@
             submitter not in pair.entries
             or not pair.entries[submitter].is_running()
         ):
-            pair.start_entry(submitter, timing=QUICK)
+            pair.start_entry(submitter, timing=SHORT_TIMING)
             pair.wait_serving(submitter, 'app-main', 1)
         name = get_prefix(pair, home) + 'k'
         thread, answers = start_submitting(pair, submitter, name)
@@ -177,7 +177,7 @@
     name = get_prefix(pair, 'entry-1') + 'x'
     submit(pair, 'entry-1', name)
     pair.entries['entry-1'].kill()
-    pair.start_entry('entry-1', timing=QUICK)
+    pair.start_entry('entry-1', timing=SHORT_TIMING)
     pair.wait_serving('entry-1', 'app-main', 1)
     repeat = submit(pair, 'entry-1', name)
     assert get_code(repeat)[1] == 'may_have_run'
@@ -269,7 +269,7 @@
 
 def test_equal_ids_of_two_accounts_are_separate(bench: Bench) -> None:
     bench.start_box(BoxSpec('app-1', fenced=False, labels={'pool': 'app'}))
-    bench.start_entry('entry-1', timing=QUICK)
+    bench.start_entry('entry-1', timing=SHORT_TIMING)
     accounts = [
         {'name': 'desk', 'key_hashes': [hash_text(CALLER_KEY)]},
         {'name': 'other', 'key_hashes': [hash_text('other-key')]},
@@ -301,7 +301,7 @@
 def run_frozen(bench: Bench, switch: str) -> tuple[str, str, int]:
     """Freeze an entry box right before its write until the deadline passed."""
     bench.start_box(BoxSpec('app-1', fenced=False, labels={'pool': 'app'}))
-    bench.start_entry('entry-1', timing=QUICK, switch=switch)
+    bench.start_entry('entry-1', timing=SHORT_TIMING, switch=switch)
     bench.apply('entry-1', make_configuration())
     bench.wait_serving('entry-1', 'app-main', 1)
     name = get_prefix(bench, 'entry-1') + 'f'
--- a/tests/test_parted.py
+++ b/tests/test_parted.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.checker import find_rollbacks
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from tests.relay import Relay, reserve_port
 from waywell.standins.harness import (
     BoxSpec,
@@ -36,7 +36,7 @@
     """Start entry boxes that reach each other through relays."""
     for name, relay in zip(NAMES, relays, strict=True):
         ports = {'peer_port': relay.target, 'shown_peer_port': relay.port}
-        bench.start_entry(name, timing=QUICK, node=ports, switch=switch)
+        bench.start_entry(name, timing=SHORT_TIMING, node=ports, switch=switch)
     bench.start_boxes(
         [
             BoxSpec('box-1', labels={'pool': 'llm'}),
@@ -129,7 +129,7 @@
     wait_until(
         lambda: (
             dump.call('GET', '/v1/dump').read_json()['platform_age']
-            > QUICK['route_term'] * 1.5
+            > SHORT_TIMING['route_term'] * 1.5
         ),
         'the term to pass',
     )
@@ -146,7 +146,7 @@
         bench.start_entry(
             name,
             hall=f'hall-{name[0]}',
-            timing=QUICK,
+            timing=SHORT_TIMING,
             node={'peer_port': port},
             top={'seeds': [f'127.0.0.1:{ports[mate]}']},
         )
--- a/tests/test_partitioned_entries.py
+++ b/tests/test_partitioned_entries.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from tests.replica_paths import Cut, ReplicaRelays
 from tests.rerouted import write_ports
 from waywell.client import call_http
@@ -67,10 +67,10 @@
         ports = bench.folder / 'ports.json'
         write_ports(ports, self.relays.ports)
         for name in CONNECTED_NODES:
-            bench.start_entry(name, timing=QUICK)
+            bench.start_entry(name, timing=SHORT_TIMING)
         bench.start_entry(
             CUT_NODE,
-            timing=QUICK,
+            timing=SHORT_TIMING,
             module=['tests.rerouted', str(ports), 'waywell'],
         )
         configuration = make_configuration(GROUPS, boxes_per_group=1)
--- a/tests/test_partitioned_nodes.py
+++ b/tests/test_partitioned_nodes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.front_harness import WHOLE, FrontHarness
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from tests.house import HOST, make_manifest
 from tests.replica_paths import Cut, ReplicaPaths
 from waywell.standins.harness import Process, wait_until
@@ -95,12 +95,12 @@
     for number in range(REQUESTS):
         before = fleet.count_runs()
         for path, model in (('match', ''), ('stock', ''), ('notes', 'small')):
-            status, body, answer = front.ask(
+            status, body, answer = front.send_request(
                 fleet.cut, f'/{path}/{number}', model
             )
             assert (status, path) == (200, path)
             assert answer.getheader('X-Replica-Stamp')
-            assert body == (WHOLE if model else b'the whole answer')
+            assert body == (WHOLE_STREAM if model else b'the whole answer')
         assert fleet.count_runs() == before + 3
     run = front.list_runs('a1', 'a2')[-1]
     assert run['X-Tenant'] == 'shop'
@@ -116,7 +116,7 @@
 ) -> None:
     port = fleet.cut.ports['caller_port']
     fleet.paths.cut(how)
-    fleet.front.ask(fleet.cut, '/stock/1')
+    fleet.front.send_request(fleet.cut, '/stock/1')
     fleet.wait_listed(2)
     assert f'127.0.0.1:{port}' not in fleet.list_addresses(fleet.connected[0])
     assert fleet.front.is_ready(fleet.cut)
@@ -128,13 +128,13 @@
     fleet: Fleet,
 ) -> None:
     fleet.paths.cut(Cut.RESET)
-    fleet.front.ask(fleet.cut, '/stock/1')
+    fleet.front.send_request(fleet.cut, '/stock/1')
     fleet.wait_listed(2)
     fleet.paths.mend()
     fleet.wait_listed(3)
     for process in fleet.connected:
         process.kill()
-    assert fleet.front.ask(fleet.cut, '/stock/2')[0] == 200
+    assert fleet.front.send_request(fleet.cut, '/stock/2')[0] == 200
 
 
 @pytest.mark.parametrize('how', Cut)
@@ -143,7 +143,7 @@
 ) -> None:
     assert fleet.read_lease() == 'front-3'
     fleet.paths.cut(how)
-    fleet.front.ask(fleet.cut, '/notes/1', 'small')
+    fleet.front.send_request(fleet.cut, '/notes/1', 'small')
     wait_until(
         lambda: fleet.read_lease() in {'front-1', 'front-2'},
         'another holder of the duty',
@@ -163,7 +163,7 @@
     answers: list[tuple[int, bytes]] = []
 
     def ask(number: int) -> None:
-        status, body, _answer = front.ask(
+        status, body, _answer = front.send_request(
             fleet.cut, f'/notes/{number}', 'small'
         )
         answers.append((status, body))
@@ -191,7 +191,7 @@
 def test_streams_that_run_when_links_are_lost_go_on_elsewhere(
     fleet: Fleet, how: Cut
 ) -> None:
-    assert cut_streams(fleet, how) == [(200, WHOLE)] * 2
+    assert cut_streams(fleet, how) == [(200, WHOLE_STREAM)] * 2
 
 
 @pytest.mark.parametrize('how', [Cut.RESET, Cut.HANG])
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.front_harness import WHOLE, FrontHarness
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from waywell.standins.harness import wait_until
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
     front, process = served
     crowd = crowd_in(process)
     assert front.is_ready(process)
-    assert front.ask(process, '/stock/1')[0] == 200
+    assert front.send_request(process, '/stock/1')[0] == 200
     for one in crowd:
         one.close()
 
@@ -58,7 +58,7 @@
     waiting = [socket.create_connection(address) for _ in range(20)]
     process.send_signal(signal.SIGCONT)
     wait_until(lambda: front.is_ready(process), 'readiness')
-    assert front.ask(process, '/stock/1')[0] == 200
+    assert front.send_request(process, '/stock/1')[0] == 200
     for one in waiting:
         one.close()
 
@@ -80,7 +80,10 @@
         'a later group of the box',
     )
     front.wait_serving(process)
-    assert front.ask(process, '/notes/1', model='small')[:2] == (200, WHOLE)
+    assert front.send_request(process, '/notes/1', model='small')[:2] == (
+        200,
+        WHOLE_STREAM,
+    )
     assert not front.store.broken
 
 
@@ -96,5 +99,8 @@
         return b'"odd"' in raw and b'"odder"' in raw
 
     wait_until(knows_foreign, 'the foreign entries in the status')
-    assert front.read_serving(process) == 2
-    assert front.ask(process, '/notes/1', model='small')[:2] == (200, WHOLE)
+    assert front.count_serving_groups(process) == 2
+    assert front.send_request(process, '/notes/1', model='small')[:2] == (
+        200,
+        WHOLE_STREAM,
+    )
--- a/tests/test_resting_replicas.py
+++ b/tests/test_resting_replicas.py
@@ -47,7 +47,7 @@
     server.script.append('rest')
 
     def ask() -> bool:
-        front.ask(node, '/stock/1')
+        front.send_request(node, '/stock/1')
         return not server.script
 
     wait_until(ask, f'the wish of {server.name}')
@@ -55,7 +55,7 @@
 
 def ask_all(front: FrontHarness, node: Process) -> None:
     for _request in range(REQUESTS):
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
 
 
 def test_the_rest_lasts_for_as_long_as_the_replica_asks(
@@ -106,14 +106,14 @@
     for server in servers:
         server.rest_text = LONG_REST
         server.script.append('rest')
-    front.ask(node, '/stock/1')
+    front.send_request(node, '/stock/1')
     wait_until(
         lambda: not any(server.script for server in servers),
         'the wish of both',
     )
     before = sum(server.arrivals for server in servers)
     for path in ('/stock/1', '/match/1'):
-        status, _body, answer = front.ask(node, path)
+        status, _body, answer = front.send_request(node, path)
         assert status == 503
         assert float(answer.headers['Retry-After']) > 0
     assert sum(server.arrivals for server in servers) == before
@@ -127,8 +127,8 @@
     for server in servers:
         server.rest_text = '0.5'
         server.script.append('rest')
-    front.ask(node, '/stock/1')
+    front.send_request(node, '/stock/1')
     wait_until(
-        lambda: front.ask(node, '/stock/1')[0] == 200,
+        lambda: front.send_request(node, '/stock/1')[0] == 200,
         'an answer after the rest',
     )
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from tests.conftest import start_plain
+from tests.conftest import start_plain_targets
 from waywell.codes import Code
 from waywell.standins.harness import wait_until
 
@@ -38,7 +38,7 @@
 
 
 def test_a_target_that_asked_for_rest_gets_nothing_more(bench: Bench) -> None:
-    start_plain(bench, ('entry-1',), ('app-1', 'app-2'))
+    start_plain_targets(bench, ('entry-1',), ('app-1', 'app-2'))
     let_rest(bench, 'app-1')
     caller = bench.get_caller('entry-1')
     for _request in range(REQUESTS):
@@ -49,7 +49,7 @@
 def test_where_all_ask_for_rest_callers_are_refused_at_once(
     bench: Bench,
 ) -> None:
-    start_plain(bench, ('entry-1',), ('app-1', 'app-2'))
+    start_plain_targets(bench, ('entry-1',), ('app-1', 'app-2'))
     for name in ('app-1', 'app-2'):
         let_rest(bench, name)
     refused = bench.get_caller('entry-1').call(PATH)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -7,7 +7,7 @@
 import attrs
 
 from tests.checker import list_runs
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from waywell.ids import Fingerprint, SessionId
 from waywell.request.facts import RequestFacts
 from waywell.request.routing import hash_session
@@ -44,7 +44,7 @@
 
 def test_sessions_move_only_when_their_group_is_out(bench: Bench) -> None:
     for number in (1, 2):
-        bench.start_entry(f'entry-{number}', timing=QUICK)
+        bench.start_entry(f'entry-{number}', timing=SHORT_TIMING)
     specs = [BoxSpec(f'box-{n}', labels={'pool': 'llm'}) for n in range(3)]
     bench.start_boxes(specs)
     configuration = make_configuration(groups=3, boxes_per_group=1)
@@ -88,7 +88,7 @@
     for number in (1, 2):
         bench.start_entry(
             f'entry-{number}',
-            timing=QUICK,
+            timing=SHORT_TIMING,
             switch='forget_sessions',
         )
     specs = [BoxSpec(f'box-{n}', labels={'pool': 'llm'}) for n in range(3)]
--- a/tests/test_started_after_return.py
+++ b/tests/test_started_after_return.py
@@ -33,4 +33,4 @@
     front.store.go_back(snapshot)
     second = front.start('front-2')
     wait_until(lambda: front.is_ready(second), 'the second node')
-    assert front.ask(second, '/stock/1', key=KEY)[0] != 200
+    assert front.send_request(second, '/stock/1', key=KEY)[0] != 200
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -136,7 +136,7 @@
     server.goes_on.clear()
     answers = []
     caller = threading.Thread(
-        target=lambda: answers.append(front.ask(node, '/match/1')[0])
+        target=lambda: answers.append(front.send_request(node, '/match/1')[0])
     )
     caller.start()
     wait_until(lambda: bool(server.runs), 'the request')
@@ -160,7 +160,7 @@
     )
     go_back_and_wait(front, node, copy)
     for _request in range(REQUESTS):
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
     assert not leaving.arrivals
 
 
@@ -175,7 +175,7 @@
         manifest = ('config', 'main', make_manifest())
         go_back_and_wait(front, node, copy, manifest)
         for _request in range(REQUESTS):
-            assert front.ask(node, '/stock/1')[0] == 200
+            assert front.send_request(node, '/stock/1')[0] == 200
     finally:
         front.close()
 
--- a/tests/test_truncated_answers.py
+++ b/tests/test_truncated_answers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.broken_bodies import BodyScript, Ending, Framing
-from tests.front_harness import CALL_SECONDS, WHOLE, FrontHarness
+from tests.front_harness import CALL_SECONDS, WHOLE_STREAM, FrontHarness
 from tests.house import EVENTS, HOST, KEY, make_manifest
 from tests.replica_paths import Cut, ReplicaPaths
 from waywell.standins.harness import Process, wait_until
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-EVENT = len(WHOLE) // EVENTS
+EVENT = len(WHOLE_STREAM) // EVENTS
 """Size of each event, in bytes."""
 
 PLAIN = b'the whole answer'
@@ -42,7 +42,7 @@
     'in_a_value': 3 * EVENT - 3,
     'after_a_line': 2 * EVENT + len(b'id: 3\n'),
     'in_the_end_of_an_event': 3 * EVENT - 1,
-    'in_the_last_line_end': len(WHOLE) - 1,
+    'in_the_last_line_end': len(WHOLE_STREAM) - 1,
 }
 """Numbers of bytes after which a stream ends within an event."""
 
@@ -120,7 +120,7 @@
     """Return the body of a stream; ``None`` if the caller sees it fail."""
     path = f'/{route}/{next(_numbers)}'
     try:
-        status, body, answer = front.ask(process, path, model='small')
+        status, body, answer = front.send_request(process, path, model='small')
     except http.client.HTTPException:
         return None
     if status != 200:
@@ -135,8 +135,11 @@
 ) -> None:
     front, process = served
     for position, sent in WITHIN_EVENT.items():
-        script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
-        assert (position, ask_stream(front, process)) == (position, WHOLE)
+        script_next(front, BodyScript(framing, ending, WHOLE_STREAM[:sent]))
+        assert (position, ask_stream(front, process)) == (
+            position,
+            WHOLE_STREAM,
+        )
         assert len(front.list_runs(*front.servers)) == 2
         for server in front.servers.values():
             server.runs.clear()
@@ -148,8 +151,11 @@
 ) -> None:
     front, process = served
     for position, sent in BETWEEN_EVENTS.items():
-        script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
-        assert (position, ask_stream(front, process)) == (position, WHOLE)
+        script_next(front, BodyScript(framing, ending, WHOLE_STREAM[:sent]))
+        assert (position, ask_stream(front, process)) == (
+            position,
+            WHOLE_STREAM,
+        )
 
 
 def test_a_closed_stream_without_an_event_is_retried_elsewhere(
@@ -157,7 +163,7 @@
 ) -> None:
     front, process = served
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, b''))
-    assert ask_stream(front, process) == WHOLE
+    assert ask_stream(front, process) == WHOLE_STREAM
 
 
 @pytest.mark.parametrize(('framing', 'ending'), ALL_ENDS)
@@ -167,7 +173,7 @@
     """No other replica may continue the stream, so the caller must see it."""
     front, process = served
     for position, sent in WITHIN_EVENT.items():
-        script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
+        script_next(front, BodyScript(framing, ending, WHOLE_STREAM[:sent]))
         assert (position, ask_stream(front, process, 'once')) == (
             position,
             None,
@@ -182,10 +188,10 @@
     served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
-    script_next(front, BodyScript(framing, ending, WHOLE))
-    assert ask_stream(front, process) == WHOLE
+    script_next(front, BodyScript(framing, ending, WHOLE_STREAM))
+    assert ask_stream(front, process) == WHOLE_STREAM
     script_next(front, BodyScript(framing, ending, PLAIN, 'text/plain'))
-    assert front.ask(process, '/match/1')[:2] == (200, PLAIN)
+    assert front.send_request(process, '/match/1')[:2] == (200, PLAIN)
     # Each ran once, so none was taken for truncated.
     assert len(front.list_runs(*front.servers)) == 2
 
@@ -196,7 +202,7 @@
 ) -> None:
     front, process = served
     script_next(front, BodyScript(framing, ending, PLAIN[:7], 'text/plain'))
-    assert front.ask(process, '/stock/1')[:2] == (200, PLAIN)
+    assert front.send_request(process, '/stock/1')[:2] == (200, PLAIN)
 
 
 def test_a_stream_that_is_truncated_by_each_replica_fails_at_its_caller(
@@ -204,7 +210,7 @@
 ) -> None:
     front, process = served
     parts = [
-        WHOLE[done * EVENT : (done + 1) * EVENT + 5]
+        WHOLE_STREAM[done * EVENT : (done + 1) * EVENT + 5]
         for done in range(REPLICAS)
     ]
     script_next(
@@ -221,7 +227,9 @@
     front, process = served
     for server in front.servers.values():
         server.goes_on.clear()
-    broken = BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE[: 2 * EVENT + 3])
+    broken = BodyScript(
+        Framing.CLOSE, Ending.CLOSE, WHOLE_STREAM[: 2 * EVENT + 3]
+    )
     script_next(front, 'wait-1', broken)
     assert ask_stream(front, process, 'hedged') is None
     assert len(front.list_runs(*front.servers)) == 2
@@ -232,7 +240,7 @@
     served: tuple[FrontHarness, Process], line_end: bytes
 ) -> None:
     front, process = served
-    complete = WHOLE.replace(b'\n', line_end)
+    complete = WHOLE_STREAM.replace(b'\n', line_end)
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, complete))
     assert ask_stream(front, process) == complete
     sent = 2 * len(complete) // EVENTS + 5
@@ -241,7 +249,7 @@
     )
     resumed = ask_stream(front, process)
     assert resumed is not None
-    assert resumed.replace(line_end, b'\n') == WHOLE
+    assert resumed.replace(line_end, b'\n') == WHOLE_STREAM
 
 
 def open_stream(
@@ -275,7 +283,7 @@
     connection: http.client.HTTPConnection,
 ) -> None:
     front, process = served
-    complete = WHOLE.replace(b'\n', b'\r\n')
+    complete = WHOLE_STREAM.replace(b'\n', b'\r\n')
     first = len(complete) // EVENTS
     script = BodyScript(
         Framing.CHUNKED, Ending.ANNOUNCED, complete, pause_after=first
@@ -293,18 +301,18 @@
     broken = BodyScript(
         Framing.CLOSE,
         Ending.CLOSE,
-        WHOLE[: 2 * EVENT + 3],
+        WHOLE_STREAM[: 2 * EVENT + 3],
         'Text/Event-Stream; charset=utf-8',
     )
     script_next(front, broken)
-    assert ask_stream(front, process) == WHOLE
+    assert ask_stream(front, process) == WHOLE_STREAM
 
 
 def test_comments_do_not_count_as_an_unfinished_event(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
-    commented = b': ping\n\n' + WHOLE + b': bye\n'
+    commented = b': ping\n\n' + WHOLE_STREAM + b': bye\n'
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, commented))
     assert ask_stream(front, process) == commented
 
@@ -335,14 +343,15 @@
 ) -> None:
     front, process = served
     answer = open_stream('kept-1', connection)
-    assert answer.read() == WHOLE
+    assert answer.read() == WHOLE_STREAM
     assert not answer.will_close
     script_next(
-        front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE[: EVENT + 3])
+        front,
+        BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE_STREAM[: EVENT + 3]),
     )
     with pytest.raises(http.client.IncompleteRead) as broken:
         open_stream('kept-2', connection).read()
-    assert broken.value.partial == WHOLE[:EVENT]
+    assert broken.value.partial == WHOLE_STREAM[:EVENT]
 
 
 def test_a_slow_caller_sees_the_truncation(
@@ -372,8 +381,10 @@
     log = front.folder / 'front-1.log'
     before = len(log.read_bytes())
     for _request in range(4):
-        script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE))
-        assert ask_stream(front, process) == WHOLE
+        script_next(
+            front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE_STREAM)
+        )
+        assert ask_stream(front, process) == WHOLE_STREAM
     logged = log.read_bytes()[before:]
     assert logged.count(b'event=answered') == 4
     assert b'event=replica_ended' not in logged
@@ -391,14 +402,14 @@
     front.wait_serving(partitioned)
     front.wait_serving(front.start('front-1'))
     wait_until(
-        lambda: front.ask(partitioned, '/stock/1')[0] == 200,
+        lambda: front.send_request(partitioned, '/stock/1')[0] == 200,
         'a link to replicas',
     )
     paths.cut(Cut.RESET)
     log = front.folder / 'front-3.log'
 
     def is_forwarded() -> bool:
-        front.ask(partitioned, '/notes/1', model='small')
+        front.send_request(partitioned, '/notes/1', model='small')
         return 'event=partition_detected' in log.read_text()
 
     wait_until(is_forwarded, 'requests that are forwarded through the peer')
@@ -411,8 +422,8 @@
     through_peer: tuple[FrontHarness, Process], framing: Framing
 ) -> None:
     front, partitioned = through_peer
-    script = BodyScript(framing, Ending.CLOSE, WHOLE[: 2 * EVENT + 3])
+    script = BodyScript(framing, Ending.CLOSE, WHOLE_STREAM[: 2 * EVENT + 3])
     script_next(front, *(script for _send in range(9)))
     assert ask_stream(front, partitioned) is None
     script_next(front)
-    assert ask_stream(front, partitioned) == WHOLE
+    assert ask_stream(front, partitioned) == WHOLE_STREAM
--- a/tests/test_truncated_targets.py
+++ b/tests/test_truncated_targets.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tests.broken_bodies import BodyScript, Ending, Framing, reset_connection
-from tests.conftest import QUICK
-from tests.front_harness import WHOLE
+from tests.conftest import SHORT_TIMING
+from tests.front_harness import WHOLE_STREAM
 from waywell.client import UnreachableError
 from waywell.standins.harness import Bench, BoxSpec, make_configuration
 
@@ -105,7 +105,7 @@
         bench.list_scripted(
             BoxSpec(name, fenced=False, labels={'pool': name}), box.port
         )
-    bench.start_entry('entry-1', timing=QUICK)
+    bench.start_entry('entry-1', timing=SHORT_TIMING)
     configuration = make_configuration(boxes_per_group=1, service=service)
     assert bench.apply('entry-1', configuration).status == 200
     for name in ('llm', 'app'):
@@ -136,8 +136,8 @@
     for framing, ending in WHOLE_ENDS:
         box.script = BodyScript(framing, ending, PLAIN, 'text/plain')
         assert (framing, ask(served, box, 'app')) == (framing, PLAIN)
-        box.script = BodyScript(framing, ending, WHOLE)
-        assert (framing, ask(served, box, 'app')) == (framing, WHOLE)
+        box.script = BodyScript(framing, ending, WHOLE_STREAM)
+        assert (framing, ask(served, box, 'app')) == (framing, WHOLE_STREAM)
         box.script = BodyScript(framing, ending, CHAT)
         assert (framing, ask(served, box, 'llm')) == (framing, CHAT)
 
@@ -149,7 +149,7 @@
         box.script = BodyScript(framing, ending, PLAIN[:7], 'text/plain')
         assert (framing, ask(served, box, 'app')) == (framing, None)
         for sent in (EVENT, *WITHIN_EVENT):
-            box.script = BodyScript(framing, ending, WHOLE[:sent])
+            box.script = BodyScript(framing, ending, WHOLE_STREAM[:sent])
             assert (framing, ask(served, box, 'app')) == (framing, None)
 
 
@@ -160,7 +160,7 @@
         for (framing, ending), sent in itertools.product(
             WHOLE_ENDS, WITHIN_EVENT
         ):
-            part = WHOLE[:sent].replace(b'\n', line_end)
+            part = WHOLE_STREAM[:sent].replace(b'\n', line_end)
             box.script = BodyScript(framing, ending, part)
             assert (framing, sent, ask(served, box, 'app')) == (
                 framing,
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from tests.checker import find_rollbacks
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from waywell.standins.harness import (
     make_configuration,
     wait_until,
@@ -85,7 +85,7 @@
     assert refused.status in {503, 504}
     # A node that starts now gets the configuration from the others.
     seed = f'127.0.0.1:{pair.entries["entry-1"].ports["peer_port"]}'
-    pair.start_entry('entry-3', timing=QUICK, top={'seeds': [seed]})
+    pair.start_entry('entry-3', timing=SHORT_TIMING, top={'seeds': [seed]})
     wait_number(pair, 'entry-3', number)
     for entry in ('entry-1', 'entry-2', 'entry-3'):
         wait_until(
@@ -100,7 +100,7 @@
             pair.get_admin(entry)
             .call('GET', '/v1/dump')
             .read_json()['platform_age']
-            > QUICK['route_term'] * 1.2
+            > SHORT_TIMING['route_term'] * 1.2
             for entry in ('entry-1', 'entry-2', 'entry-3')
         ),
         'a long outage',
@@ -179,7 +179,7 @@
 
 def test_without_the_number_check_a_rollback_is_found(bench: Bench) -> None:
     """The rollback check fails on a node that adopts any version."""
-    bench.start_entry('entry-1', timing=QUICK, switch='adopt_anything')
+    bench.start_entry('entry-1', timing=SHORT_TIMING, switch='adopt_anything')
     bench.apply('entry-1', make_configuration())
     assert find_rollbacks(run_with_rollback(bench)) != []
 
