--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a small system of processes, ended with its test."""
+"""Fixtures of small systems of processes, which end with their tests."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
     'group_drain': 5.0,
     'route_term': 3.0,
 }
-"""Periods that make the process tests short."""
+"""Timing settings that shorten tests of processes, in seconds."""
 
 
 KNOWN_RED = Path(__file__).parent.parent / 'KNOWN-RED.txt'
-"""Failures that land: a line each, ``test | cause | issue``."""
+"""File of tests that are known to fail, one ``test | cause | issue`` a line."""
 
 
 def read_known_red() -> dict[str, str]:
-    """Return the tests that are known to fail, with why."""
+    """Return the reason for each test that is known to fail."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text(encoding='utf-8').splitlines()
@@ -54,7 +54,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the tests that are known to fail not fail the run."""
+    """Mark the tests that are known to fail as expected failures."""
     reasons = read_known_red()
     for item in items:
         if item.nodeid in reasons:
@@ -64,31 +64,31 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Print the failures that are passed over."""
+    """Print the tests that are known to fail."""
     for test, reason in read_known_red().items():
         terminalreporter.write_line(f'KNOWN RED {test}: {reason}')
 
 
 @pytest.fixture
 def harness(monkeypatch: pytest.MonkeyPatch) -> ForwarderHarness:
-    """Return a forwarder whose attempts are driven by hand."""
-    made = ForwarderHarness()
-    intercept_attempts(made, monkeypatch)
-    return made
+    """Return a forwarder whose attempts are driven by the test."""
+    forwarder = ForwarderHarness()
+    intercept_attempts(forwarder, monkeypatch)
+    return forwarder
 
 
 @pytest.fixture
 def front(tmp_path: Path) -> Iterator[FrontHarness]:
-    """Return front daemons to be, with a store, engines and plain servers."""
-    made = FrontHarness(tmp_path)
-    made.add_servers()
-    yield made
-    made.close()
+    """Return a harness with servers, in which no front daemon runs yet."""
+    front_harness = FrontHarness(tmp_path)
+    front_harness.add_servers()
+    yield front_harness
+    front_harness.close()
 
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """Return a platform stand-in and nothing else yet."""
+    """Return a stand-in of the platform without entry boxes or targets."""
     with Bench() as started:
         yield started
 
@@ -101,9 +101,9 @@
 
 
 def start_pair(bench: Bench, **timing: float) -> None:
-    """Start two entry boxes and a group of two boxes; wait for it.
+    """Start two entry boxes and three boxes, and wait until all groups serve.
 
-    Other periods than the usual ones are taken where they are given.
+    Keyword arguments override single values of ``SHORT_TIMING``.
     """
     for number in (1, 2):
         bench.start_entry(f'entry-{number}', timing={**SHORT_TIMING, **timing})
@@ -123,7 +123,7 @@
 def start_plain_targets(
     bench: Bench, entries: Sequence[str], targets: Sequence[str]
 ) -> None:
-    """Start entry boxes before plain targets; wait until all serve."""
+    """Start entry boxes and plain targets, and wait until all serve."""
     for name in entries:
         bench.start_entry(name, timing=SHORT_TIMING)
     bench.start_boxes(
@@ -134,7 +134,9 @@
     )
     configuration = make_configuration()
     (apps,) = (
-        one for one in configuration['group_set'] if one['name'] == 'app-main'
+        group_set
+        for group_set in configuration['group_set']
+        if group_set['name'] == 'app-main'
     )
     apps['groups'] = len(targets)
     assert bench.apply(entries[0], configuration).status == 200
--- a/tests/entry_settings.py
+++ b/tests/entry_settings.py
@@ -1,4 +1,4 @@
-"""The least settings that an entry node starts with, for tests."""
+"""Minimal settings with which an entry node starts."""
 
 SETTINGS = """
 [node]
--- a/tests/front_harness.py
+++ b/tests/front_harness.py
@@ -1,4 +1,4 @@
-"""Front daemons with a store and servers, for tests of processes."""
+"""Harness of front daemons with a store and servers, for process tests."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
     b'id: %d\ndata: t%d\n\n' % (number, number)
     for number in range(1, EVENTS + 1)
 )
-"""A whole stream."""
+"""Body of a complete answer stream."""
 
 CALL_SECONDS = 20
-"""For a call to be answered, in seconds; only a hang takes so long."""
+"""Timeout of a call, in seconds; only a hang takes that long."""
 
 
 class FrontHarness:
-    """Front daemons with a store and servers.
+    """Starts and calls front daemons with a store and servers.
 
     Parameters
     ----------
     folder
-        Folder for settings and logs.
+        Folder for the settings and logs of the daemons.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Start the store."""
+        """Start the store; there are no servers and daemons yet."""
         self.folder = folder
         self.store = Store()
         self.servers: dict[str, Server] = {}
@@ -41,7 +41,7 @@
         self._attempts = 0
 
     def add_servers(self) -> None:
-        """Start four engines and two plain servers, and write the routes."""
+        """Start four engines and two plain servers, and store the routes."""
         for name in ('m1', 'm2', 'm3', 'm4'):
             self.servers[name] = Server(self.store, name, 'llm')
         for name in ('a1', 'a2'):
@@ -56,10 +56,21 @@
         module: list[str] | None = None,
         **promises: float,
     ) -> Process:
-        """Start a front daemon, with other promises where they are given.
-
-        It calls the store at another address where one is given, and is run
-        by another module where one is given.
+        """Start a front daemon.
+
+        Parameters
+        ----------
+        name
+            Name of the entry box.
+        store
+            Address of the store, if not the harness's own.
+        hall
+            Data hall of the entry box.
+        module
+            Module that runs the daemon and its first arguments, if not
+            ``waywell.platform``.
+        promises
+            Settings of the ``promises`` table.
         """
         lines = [
             '[node]',
@@ -75,7 +86,7 @@
             'entry_list_kept = 0.2',
             *(f'{key} = {text}' for key, text in promises.items()),
             '[resends]',
-            # So that a test's few requests may each be sent again.
+            # Each of a test's few requests may be sent again.
             'ratio = 2.0',
             '[timing]',
             'lease = 2.0',
@@ -89,26 +100,26 @@
         return process
 
     def wait_serving(self, process: Process, groups: int = 2) -> None:
-        """Wait until a node is ready and sees so many groups serve."""
+        """Wait until a node is ready and sees a number of groups serve."""
         wait_until(lambda: self.is_ready(process), 'readiness')
         wait_until(
             lambda: self.count_serving_groups(process) == groups,
-            f'{groups} groups that the node sees serve',
+            f'{groups} serving groups at the node',
         )
 
     def count_serving_groups(self, process: Process) -> int:
-        """Return the groups that serve, as a node sees them."""
+        """Return the number of groups that a node sees serve."""
         _status, raw = self.get(process, 'metrics_port', '/dump')
         found = json.loads(raw)['serving'].get('llm/small', 0)
         return int(found)
 
     def is_ready(self, process: Process) -> bool:
-        """Answer whether a node says that it is ready."""
+        """Return whether a node reports that it is ready."""
         status, _body = self.get(process, 'ready_port', '/api/ready')
         return status == 200
 
     def get(self, process: Process, port: str, path: str) -> tuple[int, bytes]:
-        """Return status and body of a call at one of the ports."""
+        """Return status and body of a GET call to one of a node's ports."""
         body, answer = self._call(process, port, 'GET', path)
         return answer.status, body
 
@@ -121,7 +132,7 @@
         body: bytes = b'{"a": 1}',
         **headers: str,
     ) -> tuple[int, bytes, http.client.HTTPResponse]:
-        """Send a request as a caller; return status, body and head."""
+        """Send a request as a caller and return status, body and answer."""
         self._attempts += 1
         sent = {
             'Host': HOST,
@@ -139,11 +150,11 @@
         return answer.status, raw, answer
 
     def list_runs(self, *names: str) -> list[dict[str, str]]:
-        """Return the headers of the requests that some servers ran."""
+        """Return the headers of the requests that the servers ran."""
         return [run for name in names for run in self.servers[name].runs]
 
     def list_heads(self) -> list[Server]:
-        """Return the heads of the groups that are open."""
+        """Return the heads of groups in the state ``open``."""
         return [
             server
             for server in self.servers.values()
@@ -151,7 +162,7 @@
         ]
 
     def close(self) -> None:
-        """End the daemons, the servers and the store."""
+        """Stop the daemons, the servers and the store."""
         for process in self.processes:
             if process.is_running():
                 process.kill()
@@ -169,11 +180,11 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[bytes, http.client.HTTPResponse]:
-        line = http.client.HTTPConnection(
+        connection = http.client.HTTPConnection(
             '127.0.0.1', process.ports[port], CALL_SECONDS
         )
-        line.request(method, path, body, headers or {})
-        answer = line.getresponse()
+        connection.request(method, path, body, headers or {})
+        answer = connection.getresponse()
         raw = answer.read()
-        line.close()
+        connection.close()
         return raw, answer
--- a/tests/manual_clock.py
+++ b/tests/manual_clock.py
@@ -1,4 +1,4 @@
-"""A clock for tests that stands until it is moved."""
+"""A clock that tests set by hand."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ManualClock(Clock):
-    """Tells the moment that a test has set."""
+    """Clock that returns the time set in ``now``, in seconds."""
 
     now = 100.0
 
--- a/tests/switched.py
+++ b/tests/switched.py
@@ -1,7 +1,8 @@
-"""An entry daemon with a mechanism changed by name, for proofs.
+"""An entry daemon with one mechanism changed, to validate the tests.
 
-``python -m tests.switched SWITCH start --settings=FILE`` changes what the
-switch names and goes on as the product does.  The product has no switch.
+``python -m tests.switched SWITCH start --settings=FILE`` replaces the mechanism
+that the switch names and then runs the normal command line.  The product itself
+has no such switches.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 
 def pause_before_write() -> None:
-    """Freeze once, when the connection to a target for a request stands."""
+    """Freeze the process once, after connecting to a target for a request."""
     _pause(checked=True)
 
 
 def pause_before_write_unchecked() -> None:
-    """Freeze there, and leave the last check out."""
+    """Freeze at the same point, and skip the check before the request."""
     _pause(checked=False)
 
 
@@ -53,7 +54,7 @@
 
 
 def adopt_anything() -> None:
-    """Put every offered document in force, also a lower one."""
+    """Put every offered document in force, including an older one."""
     from waywell.process import documents
 
     adopt = documents.InForce.adopt
@@ -66,21 +67,21 @@
 
 
 def ignore_probes() -> None:
-    """Hear nothing that speaks against a group."""
+    """Ignore all evidence that a group is down."""
     from waywell.health import health
 
     health.HealthTable.is_usable = lambda *_rest: True
 
 
 def route_for_ever() -> None:
-    """Keep the right to route to targets without fences."""
+    """Never lose the right to route to targets without fencing."""
     from waywell.process import release
 
     release.may_route_unfenced = lambda *_rest: True
 
 
 def serve_leaving() -> None:
-    """Send requests to groups in every state."""
+    """Send requests to groups in any state."""
     from twisted.internet import asyncioreactor
 
     _install_early(asyncioreactor)
@@ -92,7 +93,7 @@
 
 
 def forget_sessions() -> None:
-    """Choose a group for each request of a session anew."""
+    """Choose a new group for each request of a session."""
     from random import Random
 
     from waywell.request import routing
@@ -104,7 +105,7 @@
 
 
 def accept_cut_answers() -> None:
-    """Take every end of a target's connection for the answer's end."""
+    """Treat any end of a target's connection as the end of the answer."""
     from twisted.internet import asyncioreactor
 
     _install_early(asyncioreactor)
@@ -116,7 +117,7 @@
 
 
 def _install_early(asyncioreactor: Any) -> None:
-    """Install the reactor before an import draws another one in."""
+    """Install the asyncio reactor before an import installs another one."""
     import asyncio
 
     from waywell import daemon
@@ -129,7 +130,7 @@
 
 
 def main() -> int:
-    """Change what the first word names, then run the command."""
+    """Apply the switch in the first argument, then run the command."""
     globals()[sys.argv[1]]()
     return run_command(sys.argv[2:])
 
