--- a/tests/test_actor.py
+++ b/tests/test_actor.py
@@ -1,4 +1,4 @@
-"""Actors: messages in order, failures survived, no heap of ticks."""
+"""Actors: dispatch of messages, failing handlers and periodic messages."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Counter(Actor):
-    """Counts what it gets."""
+    """Counts its ticks, and blocks in each until the gate is open."""
 
     class Tick(Message, frozen=True):
-        """Time to count."""
+        """Increments the counter."""
 
     class BadNews(Message, frozen=True):
-        """Makes the handler fail."""
+        """Makes its handler fail."""
 
     def __init__(self) -> None:
         super().__init__('counter')
@@ -29,7 +29,7 @@
         raise ValueError('bad')
 
 
-def test_handler_names() -> None:
+def test_handler_names_follow_the_message_classes() -> None:
     assert get_handler_name(Counter.Tick()) == 'on_tick'
     assert get_handler_name(Counter.BadNews()) == 'on_bad_news'
 
@@ -49,7 +49,7 @@
     assert asyncio.run(work()) == 1
 
 
-def test_slow_handler_finds_one_tick_waiting() -> None:
+def test_ticks_do_not_pile_up_behind_a_slow_handler() -> None:
     async def work() -> tuple[int, object]:
         counter = Counter()
         counter.start()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,10 +1,9 @@
-"""Time goes on while a machine is suspended.
+"""Clocks and timers include the time while the machine is suspended.
 
-A machine may stand still for seconds; its monotonic clock then stands as well,
-while the clock since boot and the time of day go on.  Read by the first, a
-node that wakes takes a lease for held that another node took meanwhile, and
-keys for confirmed that were removed seconds ago: with the bound of 5 s, and 4 s
-asleep, a removed key would be served for 9 s.
+The monotonic clock stops while a machine is suspended; the boot-time and wall
+clocks don't.  With the monotonic clock, a resumed node would rely on a lease
+that another node has acquired, and on keys that were removed meanwhile: with
+the bound of 5 s and a suspension of 4 s, a removed key would be served for 9 s.
 """
 
 from __future__ import annotations
@@ -28,43 +27,46 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-ASLEEP = 30.0
-"""Seconds for which the machine of these tests is suspended: beyond every
-bound and term."""
+SUSPENDED_SECONDS = 30.0
+"""Seconds for which the machine is suspended: longer than every bound and
+term."""
 
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
-    """Return what suspends the machine: one clock stands, the others go."""
-    slept = 0.0
+    """Return a function that simulates a suspension of the machine.
+
+    All clocks except the monotonic one advance.
+    """
+    suspended = 0.0
     read_clock = time.clock_gettime
 
     def read(clock: int) -> float:
-        is_standing = clock == time.CLOCK_MONOTONIC
-        return read_clock(clock) + (0.0 if is_standing else slept)
+        excludes_suspension = clock == time.CLOCK_MONOTONIC
+        return read_clock(clock) + (0.0 if excludes_suspension else suspended)
 
-    def sleep() -> None:
-        nonlocal slept
-        slept += ASLEEP
+    def suspend_machine() -> None:
+        nonlocal suspended
+        suspended += SUSPENDED_SECONDS
 
     monkeypatch.setattr(time, 'clock_gettime', read)
-    return sleep
+    return suspend_machine
 
 
-def test_the_clock_goes_on_while_the_machine_is_suspended(
+def test_the_clock_includes_suspended_time(
     suspend: Callable[[], None],
 ) -> None:
     clock = SystemClock()
     before = clock.read()
     suspend()
-    assert clock.read() - before >= ASLEEP
+    assert clock.read() - before >= SUSPENDED_SECONDS
 
 
-def test_a_lease_has_lapsed_when_its_holder_wakes(
+def test_a_lease_expires_while_its_holder_is_suspended(
     suspend: Callable[[], None],
 ) -> None:
     clock = SystemClock()
-    lease = LeaseState(NodeId('n1'), Incarnation(1), ASLEEP / 2)
+    lease = LeaseState(NodeId('n1'), Incarnation(1), SUSPENDED_SECONDS / 2)
     record = LeaseRecord(NodeId('n1'), Incarnation(1), 1)
     lease.confirm(record, clock.read(), clock.read())
     assert lease.is_held(clock.read())
@@ -73,7 +75,7 @@
     assert not lease.is_held(clock.read())
 
 
-def test_keys_are_not_relied_on_when_a_node_wakes(
+def test_keys_are_outdated_after_a_suspension(
     suspend: Callable[[], None],
 ) -> None:
     clock = SystemClock()
@@ -87,23 +89,23 @@
         cluster.check_keys(clock.read())
 
 
-def test_timers_that_fell_due_while_asleep_run_at_once(
+def test_timers_that_expire_during_a_suspension_run_on_resume(
     suspend: Callable[[], None],
 ) -> None:
-    """What a caller waits for is given up by the time that it gave."""
+    """Deadlines of callers are kept even if the machine was suspended."""
     loop = make_loop()
 
-    async def wake() -> bool:
-        long = asyncio.create_task(asyncio.sleep(ASLEEP - 1.0))
+    async def resume() -> bool:
+        long = asyncio.create_task(asyncio.sleep(SUSPENDED_SECONDS - 1.0))
         await asyncio.sleep(0)
         suspend()
-        # A short timer, as each node has, ends the wait for input.
+        # A short timer ends the wait for input, as in every node.
         await asyncio.sleep(0.01)
         await asyncio.sleep(0)
         is_due = long.done()
         long.cancel()
         return is_due
 
-    is_due = loop.run_until_complete(wake())
+    is_due = loop.run_until_complete(resume())
     loop.close()
     assert is_due
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry node before it has started."""
+"""Entry nodes that have not started yet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from waywell.process.settings import check_settings
 
 
-def test_callers_that_come_early_are_told_so() -> None:
+def test_callers_are_refused_before_the_node_has_started() -> None:
     async def ask() -> None:
         EntryNode(check_settings(SETTINGS, 'test')).list_entries()
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Log lines are whole, bounded, and never waited for."""
+"""Log lines: complete lines, limited rate, no blocking on a slow reader."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @pytest.fixture
 def ends() -> Iterator[tuple[int, int]]:
-    """Give both ends of a pipe."""
-    made = os.pipe()
-    yield made
-    for end in made:
+    """Return the reading and the writing end of a pipe."""
+    pipe_ends = os.pipe()
+    yield pipe_ends
+    for end in pipe_ends:
         os.close(end)
 
 
@@ -32,7 +32,7 @@
     return read.decode()
 
 
-def test_a_reader_that_is_slow_is_told_how_much_it_missed(
+def test_a_slow_reader_gets_the_number_of_lost_lines(
     ends: tuple[int, int],
 ) -> None:
     reader, writer = ends
@@ -45,12 +45,12 @@
     sink('event=next\n')
     lines = (read + _read_all(reader)).splitlines()
     assert lines[-2:] == ['event=lines_lost lines=2', 'event=next']
-    # The line that the pipe had room for in part only is whole as well.
+    # The line that fitted into the pipe only partially is complete, too.
     assert set(lines[:-2]) == {LINE.rstrip()}
     assert sink.lost_lines == 0
 
 
-def test_nothing_is_written_between_the_parts_of_a_line(
+def test_a_partially_written_line_is_completed_before_the_next(
     ends: tuple[int, int],
 ) -> None:
     reader, writer = ends
@@ -70,7 +70,7 @@
     )
 
 
-def test_an_event_has_so_many_lines_in_a_second() -> None:
+def test_lines_of_an_event_are_limited_in_each_second() -> None:
     budget = LineBudget(2)
     assert [budget.allow('a', 1.1) for _ in range(4)] == [
         True,
@@ -83,6 +83,6 @@
     assert budget.allow('a', 2.0)
 
 
-def test_a_value_can_not_look_like_another_pair() -> None:
+def test_a_value_can_not_be_mistaken_for_another_pair() -> None:
     assert quote_text('a b="c"\nd') == r'"a b=\"c\"\nd"'
     assert quote_text('plain/word') == 'plain/word'
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: nothing is lost before OpenTelemetry is loaded, and it comes late."""
+"""Metrics: OpenTelemetry is imported late, and no measurement is lost."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from waywell.codes import Code, Ran
 from waywell.telemetry.metrics import InstrumentKind, InstrumentSpec, Metrics
 
-LOADING = """
+IMPORT_SCRIPT = """
 import asyncio, sys
 from twisted.internet import asyncioreactor
 asyncioreactor.install(asyncio.new_event_loop())
@@ -25,11 +25,12 @@
 
 
 def read(metrics: Metrics, name: str, *labels: str) -> set[str]:
-    """Return the values of the lines of a name that have some labels."""
+    """Return the exported values of a metric that have the given labels."""
     return {
         line.rpartition(' ')[2]
         for line in metrics.render().decode().splitlines()
-        if line.startswith(f'{name}{{') and all(lab in line for lab in labels)
+        if line.startswith(f'{name}{{')
+        and all(label in line for label in labels)
     }
 
 
@@ -39,17 +40,17 @@
     )
 
 
-def test_front_starts_without_what_only_scrapes_or_others_need() -> None:
-    done = subprocess.run(
-        [sys.executable, '-c', LOADING],
+def test_the_front_daemon_starts_without_unneeded_imports() -> None:
+    completed = subprocess.run(
+        [sys.executable, '-c', IMPORT_SCRIPT],
         check=True,
         capture_output=True,
         text=True,
     )
-    assert done.stdout.splitlines() == ['[]', '[]']
+    assert completed.stdout.splitlines() == ['[]', '[]']
 
 
-def test_what_was_counted_before_the_first_scrape_is_shown() -> None:
+def test_measurements_before_the_first_scrape_are_exported() -> None:
     metrics = Metrics()
     early = metrics.add_instrument(make_spec('waywell_test_early_seconds'))
     early.record(0.05, {'service': 'notes'})
@@ -63,7 +64,7 @@
     assert read(metrics, 'waywell_test_level', 'part="a"') == {'2.5'}
 
 
-def test_what_comes_after_the_first_scrape_is_shown() -> None:
+def test_measurements_after_the_first_scrape_are_exported() -> None:
     metrics = Metrics()
     metrics.load()
     late = metrics.add_instrument(make_spec('waywell_test_late_seconds'))
@@ -76,7 +77,7 @@
     assert read(metrics, 'waywell_test_late', 'part="b"') == {'1.5'}
 
 
-def test_no_heap_of_words_waits_for_a_scrape(
+def test_the_buffer_before_the_first_scrape_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr('waywell.telemetry.metrics.MAX_PENDING_RECORDINGS', 3)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through processes of their own."""
+"""Requests from callers through entry boxes to targets, as real processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 CHAT = '/services/llm/v1/chat/completions'
 
 
-def test_streamed_answer_comes_whole_through_each_entry(pair: Bench) -> None:
+def test_a_streamed_answer_is_complete_through_each_entry_box(
+    pair: Bench,
+) -> None:
     caller = pair.get_caller('entry-1')
     caller.refresh()
     assert len(caller.entries) == 2
@@ -28,16 +30,16 @@
         assert answer.body.endswith(b'data: [DONE]\n\n')
 
 
-def test_body_and_query_pass_untouched(pair: Bench) -> None:
+def test_body_and_query_are_forwarded_unchanged(pair: Bench) -> None:
     body = bytes(range(256)) * 300
     caller = pair.get_caller('entry-2')
     answer = caller.call('/services/app/stock/a%2Fb?x=1&x=2', 'POST', body)
-    told = answer.read_json()
-    assert told['sha256'] == hashlib.sha256(body).hexdigest()
-    assert told['path'] == '/stock/a%2Fb?x=1&x=2'
+    received = answer.read_json()
+    assert received['sha256'] == hashlib.sha256(body).hexdigest()
+    assert received['path'] == '/stock/a%2Fb?x=1&x=2'
 
 
-def test_callers_key_stays_at_the_entry_box(pair: Bench) -> None:
+def test_keys_of_callers_are_not_logged_or_dumped(pair: Bench) -> None:
     caller = pair.get_caller('entry-1', key='wrong')
     answer = caller.call('/services/app/price')
     assert answer.status == 401
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""The page of proofs names tests that are there."""
+"""The tests and modules that the page of proofs names exist."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     return names
 
 
-def test_named_tests_are_there() -> None:
+def test_tests_named_in_the_proofs_exist() -> None:
     named = re.findall(r'`(test_\w+\.py)::(\w+)`', PAGE)
     assert len(named) > 30
     for file, name in named:
         assert name in list_names(ROOT / 'tests' / file), name
 
 
-def test_named_modules_are_there() -> None:
+def test_modules_named_in_the_proofs_exist() -> None:
     named = set(re.findall(r'`((?:\w+/)+\w+\.py)`', PAGE))
     assert len(named) > 10
     for path in named:
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -1,4 +1,4 @@
-"""A front daemon goes on: callers crowd in, it stands still, boxes return."""
+"""A front daemon recovers from crowds of callers, freezes and restarts."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
     from waywell.standins.harness import Process
 
-CROWD = 200
-"""Callers that connect at one moment and send nothing."""
+IDLE_CONNECTIONS = 200
+"""Number of callers that connect at the same moment and send nothing."""
 
 
 @pytest.fixture
@@ -31,27 +31,27 @@
     front.close()
 
 
-def crowd_in(process: Process) -> list[socket.socket]:
-    """Open connections that are kept and send nothing."""
+def open_idle_connections(process: Process) -> list[socket.socket]:
+    """Open connections to a node that stay open and send nothing."""
     address = ('127.0.0.1', process.ports['caller_port'])
-    return [socket.create_connection(address) for _ in range(CROWD)]
+    return [socket.create_connection(address) for _ in range(IDLE_CONNECTIONS)]
 
 
-def test_a_ready_node_takes_a_new_connection_beside_a_crowd(
+def test_a_request_is_served_beside_many_idle_connections(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
-    crowd = crowd_in(process)
+    idle_connections = open_idle_connections(process)
     assert front.is_ready(process)
     assert front.send_request(process, '/stock/1')[0] == 200
-    for one in crowd:
-        one.close()
+    for connection in idle_connections:
+        connection.close()
 
 
-def test_a_node_that_stood_still_takes_those_who_came_meanwhile(
+def test_a_frozen_node_recovers_with_connections_in_its_queue(
     served: tuple[FrontHarness, Process],
 ) -> None:
-    """Their connections wait in the machine's queue until it goes on."""
+    """Connections to a frozen process wait in the kernel's queue."""
     front, process = served
     process.send_signal(signal.SIGSTOP)
     address = ('127.0.0.1', process.ports['caller_port'])
@@ -59,11 +59,11 @@
     process.send_signal(signal.SIGCONT)
     wait_until(lambda: front.is_ready(process), 'readiness')
     assert front.send_request(process, '/stock/1')[0] == 200
-    for one in waiting:
-        one.close()
+    for connection in waiting:
+        connection.close()
 
 
-def test_a_member_that_starts_again_under_its_id_serves_again(
+def test_a_group_member_restarted_under_its_id_serves_again(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -87,18 +87,18 @@
     assert not front.store.broken
 
 
-def test_a_foreign_entry_beside_them_disturbs_no_box(
+def test_foreign_entries_in_the_store_do_not_affect_boxes(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     front.store.put('servers', 'odd', {'service': 7, 'address': ':99999'})
     front.store.put('servers', 'odder', None)
 
-    def knows_foreign() -> bool:
+    def shows_foreign_entries() -> bool:
         _status, raw = front.get(process, 'metrics_port', '/v1/status')
         return b'"odd"' in raw and b'"odder"' in raw
 
-    wait_until(knows_foreign, 'the foreign entries in the status')
+    wait_until(shows_foreign_entries, 'the foreign entries in the status')
     assert front.count_serving_groups(process) == 2
     assert front.send_request(process, '/notes/1', model='small')[:2] == (
         200,
