--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes that mean something, faults that help."""
+"""Exit codes and messages of the command line."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 
 @pytest.fixture(scope='module')
-def alone() -> Iterator[Bench]:
+def single_entry() -> Iterator[Bench]:
     with Bench() as bench:
         bench.start_entry('e1')
         yield bench
 
 
 @pytest.fixture
-def admin(alone: Bench, monkeypatch: pytest.MonkeyPatch) -> Bench:
-    port = alone.entries['e1'].ports['admin_port']
+def admin(single_entry: Bench, monkeypatch: pytest.MonkeyPatch) -> Bench:
+    port = single_entry.entries['e1'].ports['admin_port']
     monkeypatch.setenv('WAYWELL_ADMIN', f'http://127.0.0.1:{port}')
     monkeypatch.setenv('WAYWELL_KEY', OPERATOR_KEY)
-    return alone
+    return single_entry
 
 
 def write(folder: Path, text: str) -> str:
@@ -47,7 +47,7 @@
     return str(file)
 
 
-def test_check_says_that_there_are_no_faults(
+def test_check_reports_that_there_are_no_faults(
     tmp_path: Path,
     capsys: Output,
 ) -> None:
@@ -60,10 +60,10 @@
     text = SETTINGS.replace('hall', 'hal') + '[timing]\nbeat = 0\ndran = 1\n'
     file = write(tmp_path, text)
     assert run_command(['check', f'--settings={file}']) == 2
-    told = capsys.readouterr().err
-    assert 'node.hal: unknown key; nearest known key: hall' in told
-    assert 'timing.dran: unknown key; nearest known key: drain' in told
-    assert 'file.toml' in told
+    output = capsys.readouterr().err
+    assert 'node.hal: unknown key; nearest known key: hall' in output
+    assert 'timing.dran: unknown key; nearest known key: drain' in output
+    assert 'file.toml' in output
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
         ),
     ],
 )
-def test_settings_fault(
+def test_invalid_settings_are_reported(
     change: str,
     fault: str,
     tmp_path: Path,
@@ -113,8 +113,8 @@
     shown = json.loads(capsys.readouterr().out)
     assert shown['number'] == number
     assert set(shown['entries']) == {'service/llm'}
-    words = ['explain', '--service=llm', '--account=nobody']
-    assert run_command(words) == 0
+    arguments = ['explain', '--service=llm', '--account=nobody']
+    assert run_command(arguments) == 0
     assert json.loads(capsys.readouterr().out)['groups'] == []
     for command in ('status', 'dump'):
         assert run_command([command]) == 0
@@ -126,14 +126,14 @@
 
     admin.start_box(BoxSpec('b1', labels={'rack': 'r1'}))
     admin.start_box(BoxSpec('b2', labels={'rack': 'r2'}))
-    words = ['relabel', '--select=rack:r1', '--labels=pool:llm,rack:']
-    assert run_command(words) == 0
+    arguments = ['relabel', '--select=rack:r1', '--labels=pool:llm,rack:']
+    assert run_command(arguments) == 0
     assert json.loads(capsys.readouterr().out) == {'changed': ['b1']}
     assert run_command(['get', 'boxes', '--label=pool:llm']) == 0
     assert json.loads(capsys.readouterr().out)[0]['labels'] == {'pool': 'llm'}
 
 
-def test_wrong_key_and_no_daemon(
+def test_wrong_key_and_unreachable_daemon_have_exit_codes(
     admin: Bench,
     capsys: Output,
     monkeypatch: pytest.MonkeyPatch,
@@ -144,18 +144,18 @@
     assert run_command(['status', '--admin=http://127.0.0.1:1']) == 4
 
 
-def test_port_in_use_ends_with_a_reason(admin: Bench, tmp_path: Path) -> None:
+def test_start_reports_a_port_in_use(admin: Bench, tmp_path: Path) -> None:
     import subprocess
     import sys
 
     port = admin.entries['e1'].ports['caller_port']
     text = SETTINGS.replace('hall =', f'caller_port = {port}\nhall =')
     file = write(tmp_path, text)
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-m', 'waywell', 'start', f'--settings={file}'],
         capture_output=True,
         timeout=60,
         check=False,
     )
-    assert ended.returncode != 0
-    assert b'cannot start' in ended.stderr
+    assert completed.returncode != 0
+    assert b'cannot start' in completed.stderr
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""A front daemon as a process of its own, before small stand-ins."""
+"""A front daemon as a separate process, with stand-ins for store and servers."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @pytest.fixture
 def front(tmp_path: Path) -> Iterator[FrontHarness]:
-    made = FrontHarness(tmp_path)
-    yield made
-    made.close()
+    front_harness = FrontHarness(tmp_path)
+    yield front_harness
+    front_harness.close()
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
     return front, process
 
 
-def test_a_node_without_routes_is_not_ready_and_promises_not_run(
+def test_a_node_without_routes_is_not_ready_and_refuses_as_not_run(
     front: FrontHarness,
 ) -> None:
     process = front.start()
@@ -83,7 +83,7 @@
     assert not front.list_runs('a1', 'a2')
 
 
-def test_a_request_that_may_not_repeat_is_sent_again_only_when_rejected(
+def test_a_non_repeatable_request_is_resent_only_after_a_rejection(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -105,10 +105,10 @@
     assert len(front.list_runs('a1', 'a2')) == statuses.count(200)
 
 
-def test_not_run_is_not_said_of_a_request_that_may_have_run(
+def test_a_request_that_may_have_run_is_not_reported_as_not_run(
     served: tuple[FrontHarness, Process],
 ) -> None:
-    """One replica broke off under it; the other was only full."""
+    """One replica resets the connection, and the other rejects the resend."""
     front, process = served
     shared = deque(['reset', 'reject'])
     for name in ('a1', 'a2'):
@@ -116,11 +116,11 @@
     status, _body, answer = front.send_request(process, '/stock/1')
     assert not shared
     assert answer.getheader('waywell-ran') == 'may_have_run'
-    # 503 promises that it has not run.
+    # Status 503 would state that the request has not run.
     assert status == 502
 
 
-def test_a_request_that_all_rejected_has_not_run(
+def test_a_request_rejected_by_all_replicas_is_reported_as_not_run(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -133,7 +133,7 @@
     assert not front.list_runs('a1', 'a2')
 
 
-def test_an_answer_to_another_request_is_not_passed_on(
+def test_an_answer_to_another_request_is_not_forwarded(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -142,7 +142,7 @@
     assert front.send_request(process, '/match/1')[0] == 502
 
 
-def test_a_safe_request_goes_on_elsewhere(
+def test_a_repeatable_request_is_resent_to_another_replica(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -156,12 +156,12 @@
 
 
 @pytest.mark.parametrize('act', ['cut-3', 'wait-3', 'cut-1'])
-def test_a_stream_that_breaks_or_stalls_goes_on_at_another_group(
+def test_a_broken_or_stalled_stream_continues_at_another_group(
     served: tuple[FrontHarness, Process],
     act: str,
 ) -> None:
     front, process = served
-    # Whichever head takes the first attempt breaks; the other is sound.
+    # The head that gets the first attempt fails; the other one doesn't.
     shared = deque([act])
     heads = front.list_heads()
     for server in heads:
@@ -175,7 +175,7 @@
     assert sorted(len(server.runs) for server in heads) == [1, 1]
 
 
-def test_keys_are_refused_when_the_store_is_silent_for_too_long(
+def test_keys_are_refused_when_the_store_is_unreachable_for_too_long(
     front: FrontHarness,
 ) -> None:
     front.add_servers()
@@ -194,7 +194,7 @@
     assert front.send_request(process, '/stock/1')[0] == 200
 
 
-def test_a_new_version_is_in_force_and_a_removed_key_is_refused(
+def test_a_new_version_takes_effect_and_a_removed_key_is_refused(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -209,7 +209,7 @@
     assert front.send_request(process, '/stock/1')[0] == 401
 
 
-def test_a_version_that_is_not_understood_leaves_the_last_one_in_force(
+def test_an_unreadable_version_leaves_the_former_one_in_force(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -219,7 +219,7 @@
     assert front.send_request(process, '/stock/1')[0] in {200, 503}
 
 
-def test_a_planned_stop_finishes_what_was_read(
+def test_a_graceful_stop_finishes_requests_in_flight(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -243,14 +243,14 @@
     assert process.wait() == 0
 
 
-def test_a_node_that_leaves_takes_nothing_that_it_can_not_finish(
+def test_a_stopping_node_refuses_requests_that_it_can_not_finish(
     served: tuple[FrontHarness, Process],
 ) -> None:
-    """What would be cut by the node's end is refused as not run.
+    """A stopping node refuses requests that its end would cut as not run.
 
-    Symptom: streams that came 5.2 s after the order to stop were cut 2.2 s
-    later, as the process ended.  Cause: a node that leaves took all that came
-    as long as callers might keep the entry list, however long it would run.
+    If a stopping node accepted every request for as long as callers may use
+    an earlier entry list, long streams would be cut when the process ends:
+    streams accepted 5.2 s after the signal to stop were cut 2.2 s later.
     """
     front, process = served
     for server in front.servers.values():
@@ -269,7 +269,7 @@
     assert not front.list_runs('m1', 'm2', 'm3', 'm4')
 
 
-def test_a_hang_up_signal_ends_nothing(
+def test_a_sighup_does_not_interrupt_service(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -279,7 +279,7 @@
     assert front.send_request(process, '/stock/1')[0] == 200
 
 
-def test_a_lost_box_is_seen_by_its_silence_and_its_group_is_patched(
+def test_a_box_lost_without_notice_is_detected_and_its_group_left(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -295,7 +295,7 @@
         server.goes_on.clear()
         server.script.append('wait-2')
     member.close()
-    # Its entry stays; only streams that stand still show the loss.
+    # Its entry stays in the store; only stalled streams show the loss.
     threading.Thread(
         target=front.send_request,
         args=(process, '/notes/1', 'small'),
@@ -307,12 +307,12 @@
         daemon=True,
     ).start()
     wait_until(
-        lambda: any(one['operation'] == 'leave' for one in head.orders),
-        'the head to be told to leave',
+        lambda: any(order['operation'] == 'leave' for order in head.orders),
+        'the order to the head to leave',
     )
 
 
-def test_a_holder_whose_orders_are_outdated_begins_a_later_term(
+def test_a_duty_holder_with_outdated_orders_starts_a_later_term(
     front: FrontHarness,
 ) -> None:
     front.add_servers()
@@ -324,14 +324,14 @@
         [order['fence_token'] for order in front.servers[name].orders]
         for name in ('m1', 'm2', 'm3', 'm4')
     ]
-    # One refusal ends the term, so not each box gets an order of it.
+    # One refusal ends the term, so some boxes get no order of that term.
     assert min(tokens[0] for tokens in given) == 1
     assert all(tokens[-1] == 2 for tokens in given)
     assert all(tokens == sorted(tokens) for tokens in given)
     assert not front.store.broken
 
 
-def test_an_id_is_followed_through_the_log(
+def test_an_attempt_id_appears_in_all_its_log_lines(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -348,7 +348,7 @@
     assert b'waywell_requests' in raw
 
 
-def test_operators_see_what_a_node_knows_and_no_key(
+def test_operators_see_the_state_of_a_node_but_no_keys(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -362,11 +362,11 @@
     assert shown['status']['boxes'] == len(shown['boxes']) == 6
     assert shown['configuration']['accounts'] == ['shop']
     assert len(shown['groups']) == 2
-    members = [one['members'] for one in shown['groups']]
-    assert {len(one) for one in members} == {2}
+    members = [group['members'] for group in shown['groups']]
+    assert {len(boxes) for boxes in members} == {2}
 
 
-def test_the_command_line_asks_a_front_daemon_where_requests_go(
+def test_the_command_line_explains_routes_of_a_front_daemon(
     served: tuple[FrontHarness, Process],
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -386,7 +386,7 @@
     assert run_command(order) == EXIT_REFUSED
 
 
-def test_latencies_and_what_a_node_knows_are_shown_as_metrics(
+def test_latencies_and_node_state_are_exported_as_metrics(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
@@ -410,7 +410,7 @@
         }
         return {name: shown.get(name) for name in expected}
 
-    # A process that stands still under load loses its duty for a moment.
+    # A process that stalls under load loses its duty for a moment.
     wait_until(lambda: read_shown() == expected, f'{expected}')
 
 
@@ -422,7 +422,7 @@
     )
 
 
-def test_a_node_that_stops_takes_itself_off_the_platforms_list(
+def test_a_stopped_node_removes_its_presence_from_the_platform(
     served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""A group serves whole or not at all; no box is in two groups."""
+"""A group serves only with all its boxes, and no box is in two groups."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 CHAT = '/services/llm/v1/chat/completions'
 
 
-def ask(bench: Bench, entry: str, name: str = 'r') -> Answer:
+def send_request(bench: Bench, entry: str, name: str = 'r') -> Answer:
     return bench.get_caller(entry).call(
         CHAT,
         'POST',
@@ -45,7 +45,7 @@
 
 
 def find_holder(bench: Bench, duty: str) -> str | None:
-    """Return the entry box that holds a duty."""
+    """Return the name of the running entry box that holds a duty, if any."""
     for name, process in bench.entries.items():
         if not process.is_running() or process.is_stopped():
             continue
@@ -62,7 +62,7 @@
     timing: Mapping[str, float] = SHORT_TIMING,
     **changes: Any,
 ) -> None:
-    """Start entry boxes and boxes of one domain, and a configuration."""
+    """Start entry boxes and target boxes, and apply a configuration."""
     for number in range(entries):
         bench.start_entry(f'entry-{number}', timing=dict(timing))
     specs = [
@@ -78,17 +78,20 @@
     pair.targets['box-2'].kill()
     for entry in ('entry-1', 'entry-2'):
         pair.wait_serving(entry, 'llm-main', 0)
-        answer = ask(pair, entry)
+        answer = send_request(pair, entry)
         assert answer.status == 503
         assert answer.headers['waywell-ran'] == 'not_run'
-    # The box list still shows it live.
+    # The box list still shows the box as live.
     groups = pair.read_status('entry-1')['groups']
     states = {group['group_set']: group['state'] for group in groups}
     assert states['llm-main'] == 'serving'
 
 
 def test_without_probes_a_broken_group_serves(bench: Bench) -> None:
-    """The proof above can fail: the head answers while a member is dead."""
+    """Without health checks, a head answers although a member is dead.
+
+    This shows that the test above depends on the health checks.
+    """
     for number in (1, 2):
         bench.start_box(BoxSpec(f'box-{number}', labels={'pool': 'llm'}))
     bench.start_entry('entry-1', timing=SHORT_TIMING, switch='ignore_probes')
@@ -100,23 +103,23 @@
         lambda: dump.call('GET', '/v1/dump').read_json()['tasks']['prober'][
             'down'
         ],
-        'the prober to see it',
+        'the prober to detect the dead member',
     )
-    assert ask(bench, 'entry-1').status == 200
+    assert send_request(bench, 'entry-1').status == 200
 
 
 def test_box_that_returns_as_if_nothing_happened(pair: Bench) -> None:
-    """A restarted box without its order gets a new one, a higher epoch."""
+    """A restarted box has lost its order and gets one of a higher epoch."""
     before = list_epochs(pair, 'entry-1', 'llm-main')
     spec = pair.specs['box-1']
     pair.targets['box-1'].kill()
     pair.wait_serving('entry-2', 'llm-main', 0)
-    # The box list never noticed: the same start, still live.
+    # The box list shows no change: the box is live since the same start.
     pair.restart_target(spec)
     pair.wait_serving('entry-2', 'llm-main', 1)
     pair.wait_serving('entry-1', 'llm-main', 1)
     assert list_epochs(pair, 'entry-1', 'llm-main') > before
-    assert ask(pair, 'entry-1').status == 200
+    assert send_request(pair, 'entry-1').status == 200
 
 
 def test_lost_box_is_replaced_by_a_spare(bench: Bench) -> None:
@@ -130,7 +133,7 @@
     now = bench.read_status('entry-1')['groups'][0]['boxes']
     assert members[1] not in now
     assert len(set(now)) == 2
-    assert ask(bench, 'entry-1').status == 200
+    assert send_request(bench, 'entry-1').status == 200
 
 
 def test_frozen_assembler_changes_nothing_when_it_thaws(bench: Bench) -> None:
@@ -156,10 +159,10 @@
     bench.entries[holder].send_signal(signal.SIGCONT)
     wait_until(
         lambda: bench.read_status(holder)['groups'] == wanted,
-        'the thawed one to learn the roster',
+        'the resumed node to adopt the roster',
     )
     for number in range(20):
-        assert ask(bench, holder, f'h{number}').status == 200
+        assert send_request(bench, holder, f'h{number}').status == 200
     boxes = [box for group in wanted for box in group['boxes']]
     assert len(boxes) == len(set(boxes)) == 4
     assert find_shared_boxes(bench) == []
@@ -170,15 +173,15 @@
         bench.start_box(BoxSpec(f'box-{number}', labels={'pool': 'llm'}))
     bench.start_entry('entry-0', timing=SHORT_TIMING)
     bench.set_platform_faults(lose_answers=6)
-    # The operator's own write is among them, and is found to be accepted.
+    # The operator's own write loses its answer, too, and is found stored.
     assert bench.apply('entry-0', make_configuration()).status == 200
     bench.wait_serving('entry-0', 'llm-main', 1)
-    assert ask(bench, 'entry-0').status == 200
+    assert send_request(bench, 'entry-0').status == 200
     assert find_shared_boxes(bench) == []
 
 
 def test_refused_roster_write_is_made_again(bench: Bench) -> None:
-    """A change that was seen once is not lost with its first write."""
+    """A change is planned again if the first write of it is refused."""
     start_halls(bench, entries=1, boxes=3)
     bench.wait_serving('entry-0', 'llm-main', 1)
     bench.set_platform_faults(refuse_kind='roster')
@@ -198,8 +201,8 @@
 
 
 def test_empty_box_list_stops_nothing(bench: Bench) -> None:
-    """The list lacks every box, but the boxes answer their probers."""
-    # A box that stands still under load answers a probe within its time.
+    """The list has no boxes, although the boxes pass their health checks."""
+    # With this timing, a box that stalls under load still answers in time.
     start_halls(
         bench,
         entries=2,
@@ -220,7 +223,7 @@
         'the list to be doubted',
     )
     for entry in ('entry-0', 'entry-1'):
-        assert ask(bench, entry).status == 200
+        assert send_request(bench, entry).status == 200
     assert bench.count_serving('entry-1', 'llm-main') == 2
 
 
@@ -251,7 +254,7 @@
 
 
 def test_relabelled_box_leaves_its_group(bench: Bench) -> None:
-    """A box goes to another set only when its group has let it go."""
+    """A box joins another group set only after its group has released it."""
     start_halls(bench, entries=2, boxes=3)
     bench.wait_serving('entry-1', 'llm-main', 1)
     members = bench.read_status('entry-1')['groups'][0]['boxes']
@@ -279,7 +282,7 @@
     )
     thread.join()
     assert stream[0].body.count(b'"token"') == 300
-    assert ask(bench, 'entry-1', 'after').status == 200
+    assert send_request(bench, 'entry-1', 'after').status == 200
     ran = {
         line['box'] for line in list_runs(bench) if line['request'] == 'after'
     }
