--- a/waywell/process/administration.py
+++ b/waywell/process/administration.py
@@ -160,7 +160,7 @@
                 Code.STALE_VERSION,
                 detail=f'stored version: {number}',
             )
-        return await self._write(stored, entries, operation)
+        return await self._write_configuration(stored, entries, operation)
 
     def explain(self, raw: Any, down: dict[str, str]) -> dict[str, Any]:
         """Return to which groups a request would be routed, and why.
@@ -239,7 +239,7 @@
             raise Refusal(Code.PLATFORM_DOWN, retry_after=RETRY_SECONDS)
         return read.unwrap()
 
-    async def _write(
+    async def _write_configuration(
         self,
         stored: StoredDocument,
         entries: dict[str, Any],
--- a/waywell/process/assembly.py
+++ b/waywell/process/assembly.py
@@ -171,7 +171,7 @@
         if plan and self.is_held():
             # The same inputs have to be planned again if the write fails.
             self._planned_inputs = ()
-            await self._write(roster, plan)
+            await self._write_roster(roster, plan)
         if self._base is not None and self.is_held():
             self._send_orders(self._roster)
 
@@ -217,7 +217,8 @@
         """Return whether a plan has the same inputs as the last one.
 
         A plan goes through all groups, so it is skipped while all of them
-        serve and neither boxes, configuration nor health changed.
+        serve and neither boxes, configuration nor health changed.  The
+        inputs are recorded for the next call.
         """
         inputs = (
             roster.number,
@@ -329,7 +330,7 @@
             for group, answer in zip(leaving, answers, strict=True)
         }
 
-    async def _write(self, roster: Roster, plan: RosterPlan) -> None:
+    async def _write_roster(self, roster: Roster, plan: RosterPlan) -> None:
         if self._base is None:
             return
         next_roster = roster.replace(
@@ -369,9 +370,9 @@
                 self._ready.add(key)
             elif key not in self._ordering:
                 self._ordering.add(key)
-                self.spawn(self._order(group))
+                self.spawn(self._order_group(group))
 
-    async def _order(self, group: Group) -> None:
+    async def _order_group(self, group: Group) -> None:
         index = self._documents.in_force.index
         service = index.find_service(group.service)
         order = GroupOrder(
--- a/waywell/process/claims.py
+++ b/waywell/process/claims.py
@@ -85,16 +85,16 @@
         self._clock = clock
         self._notifications: set[asyncio.Task[ClaimState | None]] = set()
 
-    def answer(self, ask: ClaimAsk) -> ClaimAnswer:
+    def answer(self, request: ClaimAsk) -> ClaimAnswer:
         """Claim or settle an id with its home here for another entry box."""
-        key = ClaimKey(ask.account, ask.request_id)
-        if ask.settle is not None:
-            self.table.settle(key, ask.settle)
-            return ClaimAnswer(ask.settle)
+        key = ClaimKey(request.account, request.request_id)
+        if request.settle is not None:
+            self.table.settle(key, request.settle)
+            return ClaimAnswer(request.settle)
         state = self.table.claim(
             key,
-            ask.holder,
-            ask.holder_incarnation,
+            request.holder,
+            request.holder_incarnation,
             self._clock.read(),
         )
         return ClaimAnswer(state)
@@ -102,7 +102,7 @@
     def handle_node_change(self, record: NodeRecord) -> None:
         """Update the claims after a change of a node's membership record.
 
-        Claims held by a lost or earlier run of the node are marked so.
+        Claims of a lost or earlier run of the node get marked accordingly.
         """
         if record.node == self._members.own_name:
             self.table.change_incarnation(record.incarnation)
@@ -113,7 +113,7 @@
 
     async def claim(self, key: ClaimKey) -> ClaimState | None:
         """Claim an id at the entry box that issued it."""
-        return await self._call(key, None)
+        return await self._claim_or_settle(key, None)
 
     def settle(self, key: ClaimKey, state: ClaimState) -> None:
         """Record how the run ended; a remote home is notified by a task."""
@@ -122,18 +122,18 @@
             self.table.settle(key, state)
             return
         notification = asyncio.get_running_loop().create_task(
-            self._call(key, state),
+            self._claim_or_settle(key, state),
         )
         self._notifications.add(notification)
         notification.add_done_callback(self._notifications.discard)
 
-    async def _call(
+    async def _claim_or_settle(
         self,
         key: ClaimKey,
         settle: ClaimState | None,
     ) -> ClaimState | None:
         own = self._members.own
-        ask = ClaimAsk(
+        request = ClaimAsk(
             key.account,
             key.request_id,
             own.node,
@@ -142,19 +142,19 @@
         )
         issued = parse_issued_id(key.request_id)
         if issued is None or issued.node == own.node:
-            return self.answer(ask).state
+            return self.answer(request).state
         home = self._members.find(issued.node)
         if home is None or home.incarnation != issued.incarnation:
             return ClaimState.UNKNOWN
         if home.state is NodeState.LOST:
             return ClaimState.UNKNOWN
-        return await _call_home(home, ask)
+        return await _call_home(home, request)
 
 
-async def _call_home(home: NodeRecord, ask: ClaimAsk) -> ClaimState | None:
+async def _call_home(home: NodeRecord, request: ClaimAsk) -> ClaimState | None:
     channel = open_channel(home.host, home.peer_port)
     try:
-        answer = await ask_claim(channel, ask, HOME_TIMEOUT_SECONDS)
+        answer = await ask_claim(channel, request, HOME_TIMEOUT_SECONDS)
     except Exception:
         return None
     finally:
--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -198,7 +198,10 @@
     def _request_update(
         self, node: NodeId, kind: DocumentKind, have: int
     ) -> None:
-        """Request a later version unless another neighbour was just asked."""
+        """Request a later version unless one was requested recently.
+
+        Several neighbours may announce the same version.
+        """
         now = self._clock.read()
         requested_at = self._requested_at.get(kind, -math.inf)
         if now - requested_at < REQUEST_INTERVAL_SECONDS:
--- a/waywell/process/entry.py
+++ b/waywell/process/entry.py
@@ -146,7 +146,7 @@
         await self._close()
         log_event('stopped', node=self.own.node, cut=left)
 
-    def describe(self) -> NodeFacts:
+    def get_facts(self) -> NodeFacts:
         """Return the state of this node on which the dispatcher depends."""
         age = self.gossip.get_platform_age(self.clock.read())
         return NodeFacts(
@@ -350,7 +350,7 @@
             paths=self._paths,
         )
         self.parts = parts
-        self._dispatcher = Dispatcher(parts, self.describe)
+        self._dispatcher = Dispatcher(parts, self.get_facts)
 
     def _register_gauges(self) -> None:
         add_gauge = self.metrics.add_gauge
@@ -413,8 +413,8 @@
     async def _accept_peer(self, stream: Any) -> None:
         await self._transport.accept(stream, self.links.make_listener())
 
-    def _answer_claim(self, ask: Any) -> Any:
-        return self.home_claimer.answer(ask)
+    def _answer_claim(self, request: Any) -> Any:
+        return self.home_claimer.answer(request)
 
     def _announce_versions(self, _kind: DocumentKind) -> None:
         self.gossip.post(Gossip.Advance(numbers=self.in_force.numbers))
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -460,10 +460,12 @@
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         return cut
 
-    async def _serve(self, ask: DecodedRequest, answer: AnswerWriter) -> None:
+    async def _serve(
+        self, request: DecodedRequest, answer: AnswerWriter
+    ) -> None:
         self.in_flight += 1
         try:
-            await self._forwarder.serve(ask, answer)
+            await self._forwarder.serve(request, answer)
         finally:
             self.in_flight -= 1
 
