--- a/tests/held_clock.py
+++ b/tests/manual_clock.py
@@ -1,12 +1,12 @@
-"""A clock for tests that stands until it is moved."""
+"""A clock that tests set by hand."""
 
 from __future__ import annotations
 
 from waywell.process.clock import Clock
 
 
-class HeldClock(Clock):
-    """Tells the moment that a test has set."""
+class ManualClock(Clock):
+    """Clock that returns the time set in ``now``, in seconds."""
 
     now = 100.0
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,7 +21,7 @@
 import fire
 
 from tests.broken_bodies import BodyScript, Ending, Framing
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from tests.house import KEY, Server, StoreCopy, make_manifest
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 from tests.relay import Direction, Relay
@@ -133,7 +133,7 @@
 """HTTP statuses with which the store refuses calls."""
 
 PATHS = {
-    '/notes/1': ('small', WHOLE),
+    '/notes/1': ('small', WHOLE_STREAM),
     '/match/1': ('', b'the whole answer'),
     '/stock/1': ('', b'the whole answer'),
 }
@@ -233,7 +233,7 @@
         self._leaving_reported_at: dict[tuple[Process, str], float] = {}
         self._front_by_attempt: dict[str, Process] = {}
         self._disturbed_ports: set[int] = set()
-        self.front = Front(folder)
+        self.front = FrontHarness(folder)
         self.front.add_servers()
         self._server_relays = [
             self._add_relay(server) for server in self.front.servers.values()
@@ -345,7 +345,7 @@
         server = self.front.servers[draw.choice(sorted(self.front.servers))]
         framing, ending = draw.choice(TRUNCATIONS)
         is_stream = server.entry['service'] == 'llm'
-        whole = WHOLE if is_stream else PATHS['/stock/1'][1]
+        whole = WHOLE_STREAM if is_stream else PATHS['/stock/1'][1]
         part = whole[: draw.randrange(len(whole))]
         kind = 'text/event-stream' if is_stream else ''
         server.script.append(BodyScript(framing, ending, part, kind))
@@ -561,7 +561,7 @@
     def _replace_server(self, name: str) -> None:
         old = self.front.servers.pop(name)
         service = old.entry['service']
-        self.front.gone.append(old)
+        self.front.removed_servers.append(old)
         old.crash()
         self._servers_started += 1
         new = f'{name[:2]}-{self._servers_started}'
@@ -615,14 +615,14 @@
 
     def _is_serving(self, process: Process) -> bool:
         with contextlib.suppress(OSError, http.client.HTTPException):
-            status, body, _answer = self.front.ask(
+            status, body, _answer = self.front.send_request(
                 process,
                 '/notes/1',
                 'small',
                 key='another',
                 X_Prompt_Prefix='f0:40,c1:40,e0:1',
             )
-            return status == 200 and body == WHOLE
+            return status == 200 and body == WHOLE_STREAM
         return False
 
     def _run_caller(self) -> None:
@@ -649,7 +649,7 @@
         key: str,
     ) -> None:
         model, whole = PATHS[path]
-        status, body, answer = self.front.ask(
+        status, body, answer = self.front.send_request(
             process,
             path,
             model,
@@ -688,7 +688,7 @@
         Only requests from nodes in contact with the others count.  Prompt
         parts of other requests must be served at the end of the run.
         """
-        servers = (*self.front.servers.values(), *self.front.gone)
+        servers = (*self.front.servers.values(), *self.front.removed_servers)
         crashes = sorted(
             crash for server in servers for crash in server.crashes
         )
@@ -727,7 +727,10 @@
     def _check_promises(self) -> None:
         """Compare what servers ran with the answers that callers received."""
         runs: Counter[str] = Counter()
-        for server in (*self.front.servers.values(), *self.front.gone):
+        for server in (
+            *self.front.servers.values(),
+            *self.front.removed_servers,
+        ):
             for run in list(server.runs):
                 attempt = run.get('X-Request-Attempt-Id', '')
                 if not attempt:
@@ -746,7 +749,10 @@
                 self.violations.append(f'{attempt}: ran with a removed key')
 
         self._check_crashes()
-        for server in (*self.front.servers.values(), *self.front.gone):
+        for server in (
+            *self.front.servers.values(),
+            *self.front.removed_servers,
+        ):
             self._check_leaving(server)
             if server.get_port() not in self._disturbed_ports:
                 self._check_rests(server)
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -8,8 +8,8 @@
 import pytest
 from returns.result import Failure, Result, Success
 
-from tests.held_clock import HeldClock
 from tests.lone_gossip import LoneGossip
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import PlatformFault, Stored
 from waywell.duties.duty import Duty
 from waywell.duties.lease import LeaseState
@@ -61,7 +61,7 @@
 class _RecordingDuty(Duty):
     """Records the epochs under which it started work."""
 
-    def __init__(self, store: _Store, clock: HeldClock) -> None:
+    def __init__(self, store: _Store, clock: ManualClock) -> None:
         super().__init__('forming', store, LoneGossip(), clock, TERM)
         self.started_epochs: list[int] = []
 
@@ -71,7 +71,7 @@
 
 def test_term_after_a_store_outage_has_a_new_epoch() -> None:
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         assert duty.is_held()
@@ -91,7 +91,7 @@
     None
 ):
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         # The process is suspended for longer than the term.
@@ -107,7 +107,7 @@
     None
 ):
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         clock.now += TERM / 2
@@ -129,7 +129,7 @@
     """A holder that shuts down cleanly makes no candidate wait for a term."""
 
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty, other = (
             _RecordingDuty(store, clock),
             _RecordingDuty(store, clock),
@@ -164,7 +164,7 @@
     """
 
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         duty = _RecordingDuty(store, clock)
         await duty.on_lease_tick(Duty.LeaseTick())
         assert store.stored is not None
@@ -186,7 +186,7 @@
     """A node that never read a valid lease must not reuse group epochs."""
 
     async def work() -> None:
-        store, clock = _Store(), HeldClock()
+        store, clock = _Store(), ManualClock()
         store.stored = Stored('lease', 'forming', 4, 'x')
         duty = _RecordingDuty(store, clock)
         duty.find_highest_used_epoch = lambda: 17  # type: ignore[method-assign]
--- a/tests/test_entry_partitions.py
+++ b/tests/test_entry_partitions.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.checker import find_rollbacks
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from tests.relay import Relay, reserve_port
 from waywell.standins.harness import (
     BoxSpec,
@@ -38,7 +38,7 @@
     """Start entry boxes that reach each other only through relays."""
     for name, relay in zip(NAMES, relays, strict=True):
         ports = {'peer_port': relay.target, 'shown_peer_port': relay.port}
-        bench.start_entry(name, timing=QUICK, node=ports, switch=switch)
+        bench.start_entry(name, timing=SHORT_TIMING, node=ports, switch=switch)
     bench.start_boxes(
         [
             BoxSpec('box-1', labels={'pool': 'llm'}),
@@ -139,7 +139,7 @@
     wait_until(
         lambda: (
             dump.call('GET', '/v1/dump').read_json()['platform_age']
-            > QUICK['route_term'] * 1.5
+            > SHORT_TIMING['route_term'] * 1.5
         ),
         'the term to pass',
     )
@@ -158,7 +158,7 @@
         bench.start_entry(
             name,
             hall=f'hall-{name[0]}',
-            timing=QUICK,
+            timing=SHORT_TIMING,
             node={'peer_port': port},
             top={'seeds': [f'127.0.0.1:{ports[seed]}']},
         )
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Log lines are whole, bounded, and never waited for."""
+"""Log lines: complete lines, limited rate, no blocking on a slow reader."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 import pytest
 
-from waywell.telemetry.events import LineBudget, PipeSink, quote_text
+from waywell.telemetry.events import LineBudget, NonBlockingSink, quote_text
 
 LINE = 'event=x text=' + 'a' * 900 + '\n'
 
 
 @pytest.fixture
 def ends() -> Iterator[tuple[int, int]]:
-    """Give both ends of a pipe."""
-    made = os.pipe()
-    yield made
-    for end in made:
+    """Return the reading and the writing end of a pipe."""
+    pipe_ends = os.pipe()
+    yield pipe_ends
+    for end in pipe_ends:
         os.close(end)
 
 
@@ -32,29 +32,29 @@
     return read.decode()
 
 
-def test_a_reader_that_is_slow_is_told_how_much_it_missed(
+def test_a_slow_reader_gets_the_number_of_lost_lines(
     ends: tuple[int, int],
 ) -> None:
     reader, writer = ends
-    sink = PipeSink(writer)
-    while not sink.lost:
+    sink = NonBlockingSink(writer)
+    while not sink.lost_lines:
         sink(LINE)
     sink(LINE)
-    assert sink.lost == 2
+    assert sink.lost_lines == 2
     read = _read_all(reader)
     sink('event=next\n')
     lines = (read + _read_all(reader)).splitlines()
     assert lines[-2:] == ['event=lines_lost lines=2', 'event=next']
-    # The line that the pipe had room for in part only is whole as well.
+    # The line that fitted into the pipe only partially is complete, too.
     assert set(lines[:-2]) == {LINE.rstrip()}
-    assert sink.lost == 0
+    assert sink.lost_lines == 0
 
 
-def test_nothing_is_written_between_the_parts_of_a_line(
+def test_a_partially_written_line_is_completed_before_the_next(
     ends: tuple[int, int],
 ) -> None:
     reader, writer = ends
-    sink = PipeSink(writer)
+    sink = NonBlockingSink(writer)
     long_line = 'event=y text=' + 'b' * 200_000 + '\n'
     sink(long_line)
     read = _read_all(reader)
@@ -70,7 +70,7 @@
     )
 
 
-def test_an_event_has_so_many_lines_in_a_second() -> None:
+def test_lines_of_an_event_are_limited_in_each_second() -> None:
     budget = LineBudget(2)
     assert [budget.allow('a', 1.1) for _ in range(4)] == [
         True,
@@ -78,11 +78,11 @@
         False,
         False,
     ]
-    assert budget.take_left_out(1.9) == {}
-    assert budget.take_left_out(2.0) == {'a': 2}
+    assert budget.pop_dropped_counts(1.9) == {}
+    assert budget.pop_dropped_counts(2.0) == {'a': 2}
     assert budget.allow('a', 2.0)
 
 
-def test_a_value_can_not_look_like_another_pair() -> None:
+def test_a_value_can_not_be_mistaken_for_another_pair() -> None:
     assert quote_text('a b="c"\nd') == r'"a b=\"c\"\nd"'
     assert quote_text('plain/word') == 'plain/word'
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""A front daemon as a process of its own, before small stand-ins."""
+"""A front daemon as a separate process, with stand-ins for store and servers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from tests.house import HOST, KEY, make_manifest
 from waywell.cli import EXIT_REFUSED, run_command
 from waywell.codes import Code
@@ -25,39 +25,41 @@
 
 
 @pytest.fixture
-def front(tmp_path: Path) -> Iterator[Front]:
-    made = Front(tmp_path)
-    yield made
-    made.close()
+def front(tmp_path: Path) -> Iterator[FrontHarness]:
+    front_harness = FrontHarness(tmp_path)
+    yield front_harness
+    front_harness.close()
 
 
 @pytest.fixture
-def served(front: Front) -> tuple[Front, Process]:
+def served(front: FrontHarness) -> tuple[FrontHarness, Process]:
     front.add_servers()
     process = front.start()
     front.wait_serving(process)
     return front, process
 
 
-def test_a_node_without_routes_is_not_ready_and_promises_not_run(
-    front: Front,
+def test_a_node_without_routes_is_not_ready_and_refuses_as_not_run(
+    front: FrontHarness,
 ) -> None:
     process = front.start()
     assert not front.is_ready(process)
-    status, _body, answer = front.ask(process, '/stock/1')
+    status, _body, answer = front.send_request(process, '/stock/1')
     assert status == 503
     assert answer.getheader('waywell-ran') == 'not_run'
     assert float(answer.getheader('retry-after')) > 0
 
 
 def test_streams_and_plain_requests_are_served(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
-    status, body, answer = front.ask(process, '/notes/1', model='small')
-    assert (status, body) == (200, WHOLE)
+    status, body, answer = front.send_request(
+        process, '/notes/1', model='small'
+    )
+    assert (status, body) == (200, WHOLE_STREAM)
     assert answer.getheader('X-Replica-Stamp').startswith('stamp-of-m')
-    status, body, answer = front.ask(process, '/stock/1?x=2')
+    status, body, answer = front.send_request(process, '/stock/1?x=2')
     assert (status, body) == (200, b'the whole answer')
     (run,) = front.list_runs('a1', 'a2')
     assert run['X-Tenant'] == 'shop'
@@ -73,21 +75,21 @@
 
 
 def test_unknown_keys_and_routes_are_refused_and_never_sent(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
-    assert front.ask(process, '/stock/1', key='wrong')[0] == 401
-    assert front.ask(process, '/nowhere/1')[0] == 404
+    assert front.send_request(process, '/stock/1', key='wrong')[0] == 401
+    assert front.send_request(process, '/nowhere/1')[0] == 404
     assert not front.list_runs('a1', 'a2')
 
 
-def test_a_request_that_may_not_repeat_is_sent_again_only_when_rejected(
-    served: tuple[Front, Process],
+def test_a_non_repeatable_request_is_resent_only_after_a_rejection(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.extend(['reset'])
-    status, _body, answer = front.ask(process, '/match/1')
+    status, _body, answer = front.send_request(process, '/match/1')
     assert status == 502
     assert answer.getheader('waywell-ran') == 'may_have_run'
     assert len(front.list_runs('a1', 'a2')) == 1
@@ -96,50 +98,52 @@
         front.servers[name].runs.clear()
     front.servers['a1'].script.append('reject')
     front.servers['a2'].script.append('reject')
-    statuses = [front.ask(process, '/match/2')[0] for _time in range(2)]
+    statuses = [
+        front.send_request(process, '/match/2')[0] for _time in range(2)
+    ]
     assert 200 in statuses
     assert len(front.list_runs('a1', 'a2')) == statuses.count(200)
 
 
-def test_not_run_is_not_said_of_a_request_that_may_have_run(
-    served: tuple[Front, Process],
+def test_a_request_that_may_have_run_is_not_reported_as_not_run(
+    served: tuple[FrontHarness, Process],
 ) -> None:
-    """One replica broke off under it; the other was only full."""
+    """One replica resets the connection, and the other rejects the resend."""
     front, process = served
     shared = deque(['reset', 'reject'])
     for name in ('a1', 'a2'):
         front.servers[name].script = shared
-    status, _body, answer = front.ask(process, '/stock/1')
+    status, _body, answer = front.send_request(process, '/stock/1')
     assert not shared
     assert answer.getheader('waywell-ran') == 'may_have_run'
-    # 503 promises that it has not run.
+    # Status 503 would state that the request has not run.
     assert status == 502
 
 
-def test_a_request_that_all_rejected_has_not_run(
-    served: tuple[Front, Process],
+def test_a_request_rejected_by_all_replicas_is_reported_as_not_run(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.extend(['reject'] * 2)
-    status, _body, answer = front.ask(process, '/match/1')
+    status, _body, answer = front.send_request(process, '/match/1')
     assert status == 503
     assert answer.getheader('waywell-ran') == 'not_run'
     assert answer.getheader('X-Replica-Stamp') is None
     assert not front.list_runs('a1', 'a2')
 
 
-def test_an_answer_to_another_request_is_not_passed_on(
-    served: tuple[Front, Process],
+def test_an_answer_to_another_request_is_not_forwarded(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.append('foreign')
-    assert front.ask(process, '/match/1')[0] == 502
+    assert front.send_request(process, '/match/1')[0] == 502
 
 
-def test_a_safe_request_goes_on_elsewhere(
-    served: tuple[Front, Process],
+def test_a_repeatable_request_is_resent_to_another_replica(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for act in ('reset', 'fail'):
@@ -148,29 +152,31 @@
         front.servers['a1'].script.append(act)
         front.servers['a2'].script.append('')
         for _request in range(2):
-            assert front.ask(process, '/stock/1')[0] == 200
+            assert front.send_request(process, '/stock/1')[0] == 200
 
 
 @pytest.mark.parametrize('act', ['cut-3', 'wait-3', 'cut-1'])
-def test_a_stream_that_breaks_or_stalls_goes_on_at_another_group(
-    served: tuple[Front, Process],
+def test_a_broken_or_stalled_stream_continues_at_another_group(
+    served: tuple[FrontHarness, Process],
     act: str,
 ) -> None:
     front, process = served
-    # Whichever head takes the first attempt breaks; the other is sound.
+    # The head that gets the first attempt fails; the other one doesn't.
     shared = deque([act])
     heads = front.list_heads()
     for server in heads:
         server.goes_on.clear()
         server.script = shared
         server.runs.clear()
-    status, body, _answer = front.ask(process, '/notes/1', model='small')
-    assert (status, body) == (200, WHOLE)
+    status, body, _answer = front.send_request(
+        process, '/notes/1', model='small'
+    )
+    assert (status, body) == (200, WHOLE_STREAM)
     assert sorted(len(server.runs) for server in heads) == [1, 1]
 
 
-def test_keys_are_refused_when_the_store_is_silent_for_too_long(
-    front: Front,
+def test_keys_are_refused_when_the_store_is_unreachable_for_too_long(
+    front: FrontHarness,
 ) -> None:
     front.add_servers()
     process = front.start(keys_refused_within_ms=2500)
@@ -178,41 +184,43 @@
     front.store.is_down = True
 
     def is_refused() -> bool:
-        status, _body, answer = front.ask(process, '/stock/1')
+        status, _body, answer = front.send_request(process, '/stock/1')
         return status == 503 and answer.getheader('waywell-code') == '2008'
 
     wait_until(is_refused, 'refusals')
     assert not front.is_ready(process)
     front.store.is_down = False
     wait_until(lambda: front.is_ready(process), 'readiness')
-    assert front.ask(process, '/stock/1')[0] == 200
+    assert front.send_request(process, '/stock/1')[0] == 200
 
 
-def test_a_new_version_is_in_force_and_a_removed_key_is_refused(
-    served: tuple[Front, Process],
+def test_a_new_version_takes_effect_and_a_removed_key_is_refused(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     tenants = [{'name': 'shop', 'api_keys': ['another']}]
     front.store.put('config', 'main', make_manifest(2, tenants=tenants))
     wait_until(
-        lambda: front.ask(process, '/stock/1', key='another')[0] == 200,
+        lambda: (
+            front.send_request(process, '/stock/1', key='another')[0] == 200
+        ),
         'the new key',
     )
-    assert front.ask(process, '/stock/1')[0] == 401
+    assert front.send_request(process, '/stock/1')[0] == 401
 
 
-def test_a_version_that_is_not_understood_leaves_the_last_one_in_force(
-    served: tuple[Front, Process],
+def test_an_unreadable_version_leaves_the_former_one_in_force(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     front.store.put('config', 'main', {'version': 'x', 'routes': 3})
     log = front.folder / 'front-1.log'
     wait_until(lambda: 'object_unreadable' in log.read_text(), 'a log line')
-    assert front.ask(process, '/stock/1')[0] in {200, 503}
+    assert front.send_request(process, '/stock/1')[0] in {200, 503}
 
 
-def test_a_planned_stop_finishes_what_was_read(
-    served: tuple[Front, Process],
+def test_a_graceful_stop_finishes_requests_in_flight(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
@@ -220,7 +228,7 @@
     answers: list[tuple[int, str | None]] = []
 
     def ask() -> None:
-        status, _body, answer = front.ask(process, '/match/1')
+        status, _body, answer = front.send_request(process, '/match/1')
         answers.append((status, answer.getheader('connection')))
 
     thread = threading.Thread(target=ask)
@@ -235,14 +243,14 @@
     assert process.wait() == 0
 
 
-def test_a_node_that_leaves_takes_nothing_that_it_can_not_finish(
-    served: tuple[Front, Process],
+def test_a_stopping_node_refuses_requests_that_it_can_not_finish(
+    served: tuple[FrontHarness, Process],
 ) -> None:
-    """What would be cut by the node's end is refused as not run.
+    """A stopping node refuses requests that its end would cut as not run.
 
-    Symptom: streams that came 5.2 s after the order to stop were cut 2.2 s
-    later, as the process ended.  Cause: a node that leaves took all that came
-    as long as callers might keep the entry list, however long it would run.
+    If a stopping node accepted every request for as long as callers may use
+    an earlier entry list, long streams would be cut when the process ends:
+    streams accepted 5.2 s after the signal to stop were cut 2.2 s later.
     """
     front, process = served
     for server in front.servers.values():
@@ -250,7 +258,9 @@
         server.goes_on.clear()
     process.send_signal(signal.SIGTERM)
     wait_until(lambda: not front.is_ready(process), 'the node to leave')
-    status, _body, answer = front.ask(process, '/notes/1', model='small')
+    status, _body, answer = front.send_request(
+        process, '/notes/1', model='small'
+    )
     assert status == 503
     assert answer.getheader('waywell-code') == str(int(Code.NODE_LEAVING))
     assert answer.getheader('waywell-ran') == 'not_run'
@@ -259,16 +269,18 @@
     assert not front.list_runs('m1', 'm2', 'm3', 'm4')
 
 
-def test_a_hang_up_signal_ends_nothing(served: tuple[Front, Process]) -> None:
+def test_a_sighup_does_not_interrupt_service(
+    served: tuple[FrontHarness, Process],
+) -> None:
     front, process = served
     process.send_signal(signal.SIGHUP)
     log = front.folder / 'front-1.log'
     wait_until(lambda: 'event=reloaded' in log.read_text(), 'a log line')
-    assert front.ask(process, '/stock/1')[0] == 200
+    assert front.send_request(process, '/stock/1')[0] == 200
 
 
-def test_a_lost_box_is_seen_by_its_silence_and_its_group_is_patched(
-    served: tuple[Front, Process],
+def test_a_box_lost_without_notice_is_detected_and_its_group_left(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     head = front.list_heads()[0]
@@ -283,21 +295,25 @@
         server.goes_on.clear()
         server.script.append('wait-2')
     member.close()
-    # Its entry stays; only streams that stand still show the loss.
+    # Its entry stays in the store; only stalled streams show the loss.
     threading.Thread(
-        target=front.ask, args=(process, '/notes/1', 'small'), daemon=True
+        target=front.send_request,
+        args=(process, '/notes/1', 'small'),
+        daemon=True,
     ).start()
     threading.Thread(
-        target=front.ask, args=(process, '/notes/2', 'small'), daemon=True
+        target=front.send_request,
+        args=(process, '/notes/2', 'small'),
+        daemon=True,
     ).start()
     wait_until(
-        lambda: any(one['operation'] == 'leave' for one in head.orders),
-        'the head to be told to leave',
+        lambda: any(order['operation'] == 'leave' for order in head.orders),
+        'the order to the head to leave',
     )
 
 
-def test_a_holder_whose_orders_are_outdated_begins_a_later_term(
-    front: Front,
+def test_a_duty_holder_with_outdated_orders_starts_a_later_term(
+    front: FrontHarness,
 ) -> None:
     front.add_servers()
     for server in front.store.servers.values():
@@ -308,20 +324,20 @@
         [order['fence_token'] for order in front.servers[name].orders]
         for name in ('m1', 'm2', 'm3', 'm4')
     ]
-    # One refusal ends the term, so not each box gets an order of it.
+    # One refusal ends the term, so some boxes get no order of that term.
     assert min(tokens[0] for tokens in given) == 1
     assert all(tokens[-1] == 2 for tokens in given)
     assert all(tokens == sorted(tokens) for tokens in given)
     assert not front.store.broken
 
 
-def test_an_id_is_followed_through_the_log(
-    served: tuple[Front, Process],
+def test_an_attempt_id_appears_in_all_its_log_lines(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
         front.servers[name].script.append('reset')
-    front.ask(process, '/match/1', X_Request_Attempt_Id='look-for-me')
+    front.send_request(process, '/match/1', X_Request_Attempt_Id='look-for-me')
     log = (front.folder / 'front-1.log').read_text()
     lines = [line for line in log.splitlines() if 'look-for-me' in line]
     events = [line.partition('event=')[2].split()[0] for line in lines]
@@ -332,8 +348,8 @@
     assert b'waywell_requests' in raw
 
 
-def test_operators_see_what_a_node_knows_and_no_key(
-    served: tuple[Front, Process],
+def test_operators_see_the_state_of_a_node_but_no_keys(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     shown = {}
@@ -346,12 +362,12 @@
     assert shown['status']['boxes'] == len(shown['boxes']) == 6
     assert shown['configuration']['accounts'] == ['shop']
     assert len(shown['groups']) == 2
-    members = [one['members'] for one in shown['groups']]
-    assert {len(one) for one in members} == {2}
+    members = [group['members'] for group in shown['groups']]
+    assert {len(boxes) for boxes in members} == {2}
 
 
-def test_the_command_line_asks_a_front_daemon_where_requests_go(
-    served: tuple[Front, Process],
+def test_the_command_line_explains_routes_of_a_front_daemon(
+    served: tuple[FrontHarness, Process],
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     _front, process = served
@@ -370,12 +386,12 @@
     assert run_command(order) == EXIT_REFUSED
 
 
-def test_latencies_and_what_a_node_knows_are_shown_as_metrics(
-    served: tuple[Front, Process],
+def test_latencies_and_node_state_are_exported_as_metrics(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for path, model in (('/notes/1', 'small'), ('/stock/1', '')):
-        assert front.ask(process, path, model=model)[0] == 200
+        assert front.send_request(process, path, model=model)[0] == 200
     expected = {
         ('waywell_first_piece_seconds_count', 'service=llm'): 1,
         ('waywell_answer_seconds_count', 'service=app'): 1,
@@ -394,7 +410,7 @@
         }
         return {name: shown.get(name) for name in expected}
 
-    # A process that stands still under load loses its duty for a moment.
+    # A process that stalls under load loses its duty for a moment.
     wait_until(lambda: read_shown() == expected, f'{expected}')
 
 
@@ -406,8 +422,8 @@
     )
 
 
-def test_a_node_that_stops_takes_itself_off_the_platforms_list(
-    served: tuple[Front, Process],
+def test_a_stopped_node_removes_its_presence_from_the_platform(
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     kind = 'waywell-entries'
--- a/tests/test_lease_eras.py
+++ b/tests/test_lease_eras.py
@@ -17,9 +17,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from returns.result import Failure, Result, Success
 
-from tests.held_clock import HeldClock
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import PlatformFault, Stored
 from waywell.connection.store_era import EraTracker, StoreEra
 from waywell.duties.duty import Duty
@@ -160,19 +160,19 @@
         return Success(self.stored)
 
 
-async def tick(duty: Duty, clock: HeldClock, seconds: float = 0.0) -> bool:
+async def tick(duty: Duty, clock: ManualClock, seconds: float = 0.0) -> bool:
     clock.now += seconds
     await duty.on_lease_tick(Duty.LeaseTick())
     return duty.is_held()
 
 
-def make_duty(store: _Store, clock: HeldClock) -> Duty:
+def make_duty(store: _Store, clock: ManualClock) -> Duty:
     return Duty('forming', store, LoneGossip('a'), clock, TERM, store.eras)
 
 
 @in_loop
 async def test_no_lease_is_written_with_a_version_of_a_former_era() -> None:
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
     # The call of another actor reveals the era; the next read fails.
@@ -184,7 +184,7 @@
 
 @in_loop
 async def test_write_during_a_change_of_era_is_verified() -> None:
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
     # The store is restored while the write is in flight.
@@ -207,7 +207,7 @@
 @in_loop
 async def test_write_that_is_applied_in_a_later_era_does_not_count() -> None:
     """Its expected version was reused, so another holder may exist."""
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     assert not await tick(duty, clock)
     # The store is restored while the write is in flight.
@@ -219,7 +219,7 @@
 
 @in_loop
 async def test_holder_whose_lease_the_copy_lacks_waits_for_a_term() -> None:
-    store, clock = _Store(), HeldClock()
+    store, clock = _Store(), ManualClock()
     duty = make_duty(store, clock)
     await tick(duty, clock)
     assert await tick(duty, clock, TERM + 0.1)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.checker import list_runs
-from tests.conftest import QUICK
+from tests.conftest import SHORT_TIMING
 from waywell.client import Answer, UnreachableError
 from waywell.standins.harness import (
     BoxSpec,
@@ -88,7 +88,7 @@
         received = caller.recv(1000)
         process = pair.entries['entry-1']
         process.send_signal(signal.SIGTERM)
-        time.sleep(QUICK['entry_list'] * 3)
+        time.sleep(SHORT_TIMING['entry_list'] * 3)
         while piece := caller.recv(65536):
             received += piece
     head, _, body = received.partition(b'\r\n\r\n')
@@ -104,8 +104,8 @@
 def test_leaving_box_gets_no_new_requests_and_loses_none(bench: Bench) -> None:
     for number in range(4):
         bench.start_box(BoxSpec(f'box-{number}', labels={'pool': 'llm'}))
-    bench.start_entry('entry-1', timing=QUICK)
-    bench.start_entry('entry-2', timing=QUICK)
+    bench.start_entry('entry-1', timing=SHORT_TIMING)
+    bench.start_entry('entry-2', timing=SHORT_TIMING)
     bench.apply('entry-1', make_configuration(groups=2))
     for entry in ('entry-1', 'entry-2'):
         bench.wait_serving(entry, 'llm-main', 2)
@@ -163,7 +163,7 @@
 
     The second case disables the rule and shows that the check can fail.
     """
-    bench.start_entry('entry-1', timing=QUICK, switch=switch)
+    bench.start_entry('entry-1', timing=SHORT_TIMING, switch=switch)
     bench.start_box(BoxSpec('box-1', labels={'pool': 'llm'}))
     bench.apply('entry-1', make_configuration(boxes_per_group=1))
     bench.wait_serving('entry-1', 'llm-main', 1)
@@ -190,7 +190,7 @@
 def test_stream_past_the_drain_limit_is_cut_visibly(bench: Bench) -> None:
     """A stream that outlasts the drain is cut so that the caller notices."""
     bench.start_box(BoxSpec('box-1', labels={'pool': 'llm'}))
-    bench.start_entry('entry-1', timing={**QUICK, 'drain': 0.5})
+    bench.start_entry('entry-1', timing={**SHORT_TIMING, 'drain': 0.5})
     bench.apply('entry-1', make_configuration(boxes_per_group=1))
     bench.wait_serving('entry-1', 'llm-main', 1)
     outcomes: list[str] = []
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -10,7 +10,7 @@
 import asyncio
 
 from tests.forwarder_harness import ForwarderHarness
-from tests.front_bench import WHOLE, Front
+from tests.front_harness import WHOLE_STREAM, FrontHarness
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import wait_until
 
@@ -19,7 +19,7 @@
 
 
 def test_plain_replica_that_announces_leaving_gets_no_requests(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = front.start()
     front.wait_serving(node)
@@ -27,19 +27,19 @@
     leaving.is_leaving = True
 
     def ask() -> bool:
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
         return bool(leaving.arrivals)
 
     wait_until(ask, 'the replica to announce that it leaves')
     for _request in range(REQUESTS):
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
     # The box list does not show yet that it leaves.
     assert leaving.entry['state'] == 'ready'
     assert leaving.arrivals == 1
 
 
 def test_group_whose_head_announces_leaving_gets_no_requests(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = front.start()
     front.wait_serving(node)
@@ -47,17 +47,23 @@
     leaving.is_leaving = True
 
     def ask() -> bool:
-        assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
+        assert front.send_request(node, '/notes/1', 'small')[:2] == (
+            200,
+            WHOLE_STREAM,
+        )
         return bool(leaving.arrivals)
 
     wait_until(ask, 'the replica to announce that it leaves')
     for _request in range(REQUESTS):
-        assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
+        assert front.send_request(node, '/notes/1', 'small')[:2] == (
+            200,
+            WHOLE_STREAM,
+        )
     assert leaving.arrivals == 1
 
 
 def test_requests_are_refused_at_once_if_all_replicas_leave(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = front.start()
     front.wait_serving(node)
@@ -66,12 +72,12 @@
         server.is_leaving = True
 
     def ask() -> bool:
-        front.ask(node, '/stock/1')
+        front.send_request(node, '/stock/1')
         return all(server.arrivals for server in servers)
 
     wait_until(ask, 'both servers to announce that they leave')
     before = sum(server.arrivals for server in servers)
-    status, _body, answer = front.ask(node, '/match/1')
+    status, _body, answer = front.send_request(node, '/match/1')
     assert status == 503
     assert float(answer.headers['Retry-After']) > 0
     assert sum(server.arrivals for server in servers) == before
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: nothing is lost before OpenTelemetry is loaded, and it comes late."""
+"""Metrics: OpenTelemetry is imported late, and no measurement is lost."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from waywell.codes import Code, Ran
 from waywell.telemetry.metrics import InstrumentKind, InstrumentSpec, Metrics
 
-LOADING = """
+IMPORT_SCRIPT = """
 import asyncio, sys
 from twisted.internet import asyncioreactor
 asyncioreactor.install(asyncio.new_event_loop())
@@ -25,11 +25,12 @@
 
 
 def read(metrics: Metrics, name: str, *labels: str) -> set[str]:
-    """Return the values of the lines of a name that have some labels."""
+    """Return the exported values of a metric that have the given labels."""
     return {
         line.rpartition(' ')[2]
-        for line in metrics.write().decode().splitlines()
-        if line.startswith(f'{name}{{') and all(lab in line for lab in labels)
+        for line in metrics.render().decode().splitlines()
+        if line.startswith(f'{name}{{')
+        and all(label in line for label in labels)
     }
 
 
@@ -39,50 +40,54 @@
     )
 
 
-def test_front_starts_without_what_only_scrapes_or_others_need() -> None:
-    done = subprocess.run(
-        [sys.executable, '-c', LOADING],
+def test_the_front_daemon_starts_without_unneeded_imports() -> None:
+    completed = subprocess.run(
+        [sys.executable, '-c', IMPORT_SCRIPT],
         check=True,
         capture_output=True,
         text=True,
     )
-    assert done.stdout.splitlines() == ['[]', '[]']
+    assert completed.stdout.splitlines() == ['[]', '[]']
 
 
-def test_what_was_counted_before_the_first_scrape_is_shown() -> None:
+def test_measurements_before_the_first_scrape_are_exported() -> None:
     metrics = Metrics()
-    early = metrics.add(make_spec('waywell_test_early_seconds'))
-    early.note(0.05, {'service': 'notes'})
+    early = metrics.add_instrument(make_spec('waywell_test_early_seconds'))
+    early.record(0.05, {'service': 'notes'})
     metrics.count_request(Code.OK, Ran.RAN)
-    metrics.show('waywell_test_level', 'A level.', 'part', lambda: {'a': 2.5})
+    metrics.add_gauge(
+        'waywell_test_level', 'A level.', 'part', lambda: {'a': 2.5}
+    )
     assert read(metrics, 'waywell_requests_total', 'code="0"') == {'1.0'}
     bucket = 'waywell_test_early_seconds_bucket'
     assert read(metrics, bucket, 'service="notes"', 'le="0.1"') == {'1.0'}
     assert read(metrics, 'waywell_test_level', 'part="a"') == {'2.5'}
 
 
-def test_what_comes_after_the_first_scrape_is_shown() -> None:
+def test_measurements_after_the_first_scrape_are_exported() -> None:
     metrics = Metrics()
     metrics.load()
-    late = metrics.add(make_spec('waywell_test_late_seconds'))
-    late.note(0.5, {'service': 'notes'})
-    metrics.show('waywell_test_late', 'A level.', 'part', lambda: {'b': 1.5})
+    late = metrics.add_instrument(make_spec('waywell_test_late_seconds'))
+    late.record(0.5, {'service': 'notes'})
+    metrics.add_gauge(
+        'waywell_test_late', 'A level.', 'part', lambda: {'b': 1.5}
+    )
     bucket = 'waywell_test_late_seconds_bucket'
     assert read(metrics, bucket, 'service="notes"', 'le="1.0"') == {'1.0'}
     assert read(metrics, 'waywell_test_late', 'part="b"') == {'1.5'}
 
 
-def test_no_heap_of_words_waits_for_a_scrape(
+def test_the_buffer_before_the_first_scrape_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr('waywell.telemetry.metrics.MOST_WAITING', 3)
+    monkeypatch.setattr('waywell.telemetry.metrics.MAX_PENDING_RECORDINGS', 3)
     metrics = Metrics()
-    counter = metrics.add(
+    counter = metrics.add_instrument(
         InstrumentSpec(
             InstrumentKind.COUNTER, 'waywell_test_waiting', 'Words.'
         )
     )
     for _ in range(7):
-        counter.note(1, {})
-        assert len(counter._kept) < 3
+        counter.record(1, {})
+        assert len(counter._pending) < 3
     assert read(metrics, 'waywell_test_waiting_total') == {'7.0'}
--- a/tests/test_resting_replicas.py
+++ b/tests/test_resting_replicas.py
@@ -13,7 +13,7 @@
 import time
 
 from tests.forwarder_harness import ForwarderHarness
-from tests.front_bench import Front
+from tests.front_harness import FrontHarness
 from tests.house import Server
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import Process, wait_until
@@ -28,30 +28,32 @@
 """Enough requests that some would go to either of two replicas."""
 
 
-def start(front: Front) -> Process:
+def start(front: FrontHarness) -> Process:
     node = front.start()
     front.wait_serving(node)
     return node
 
 
-def request_rest(front: Front, node: Process, server: Server) -> None:
+def request_rest(front: FrontHarness, node: Process, server: Server) -> None:
     """Make a replica ask for rest; send requests until it has rejected one."""
     server.rest_text = LONG_REST
     server.script.append('rest')
 
     def ask() -> bool:
-        front.ask(node, '/stock/1')
+        front.send_request(node, '/stock/1')
         return not server.script
 
     wait_until(ask, f'{server.name} to ask for rest')
 
 
-def send_requests(front: Front, node: Process) -> None:
+def send_requests(front: FrontHarness, node: Process) -> None:
     for _request in range(REQUESTS):
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
 
 
-def test_rest_lasts_as_long_as_the_replica_asks(front: Front) -> None:
+def test_rest_lasts_as_long_as_the_replica_asks(
+    front: FrontHarness,
+) -> None:
     node = start(front)
     resting = front.servers['a1']
     request_rest(front, node, resting)
@@ -90,34 +92,36 @@
 
 
 def test_requests_are_refused_at_once_if_all_replicas_rest(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = start(front)
     servers = [front.servers[name] for name in ('a1', 'a2')]
     for server in servers:
         server.rest_text = LONG_REST
         server.script.append('rest')
-    front.ask(node, '/stock/1')
+    front.send_request(node, '/stock/1')
     wait_until(
         lambda: not any(server.script for server in servers),
         'both servers to ask for rest',
     )
     before = sum(server.arrivals for server in servers)
     for path in ('/stock/1', '/match/1'):
-        status, _body, answer = front.ask(node, path)
+        status, _body, answer = front.send_request(node, path)
         assert status == 503
         assert float(answer.headers['Retry-After']) > 0
     assert sum(server.arrivals for server in servers) == before
 
 
-def test_replica_gets_requests_again_after_its_rest(front: Front) -> None:
+def test_replica_gets_requests_again_after_its_rest(
+    front: FrontHarness,
+) -> None:
     node = start(front)
     servers = [front.servers[name] for name in ('a1', 'a2')]
     for server in servers:
         server.rest_text = '0.5'
         server.script.append('rest')
-    front.ask(node, '/stock/1')
+    front.send_request(node, '/stock/1')
     wait_until(
-        lambda: front.ask(node, '/stock/1')[0] == 200,
+        lambda: front.send_request(node, '/stock/1')[0] == 200,
         'an answer after the rest',
     )
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from tests.conftest import start_plain
+from tests.conftest import start_plain_targets
 from waywell.codes import Code
 from waywell.standins.harness import wait_until
 
@@ -38,7 +38,7 @@
 
 
 def test_resting_target_gets_no_requests(bench: Bench) -> None:
-    start_plain(bench, ('entry-1',), ('app-1', 'app-2'))
+    start_plain_targets(bench, ('entry-1',), ('app-1', 'app-2'))
     request_rest(bench, 'app-1')
     caller = bench.get_caller('entry-1')
     for _request in range(REQUESTS):
@@ -49,7 +49,7 @@
 def test_requests_are_refused_at_once_if_all_targets_rest(
     bench: Bench,
 ) -> None:
-    start_plain(bench, ('entry-1',), ('app-1', 'app-2'))
+    start_plain_targets(bench, ('entry-1',), ('app-1', 'app-2'))
     for name in ('app-1', 'app-2'):
         request_rest(bench, name)
     refused = bench.get_caller('entry-1').call(PATH)
--- a/tests/test_stale_lease_reads.py
+++ b/tests/test_stale_lease_reads.py
@@ -14,9 +14,9 @@
 
 from returns.result import Result, Success
 
-from tests.held_clock import HeldClock
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from tests.test_membership import make_record
 from waywell.connection.platform import Stored
 from waywell.duties.duty import TICKS_PER_TERM, Duty
@@ -36,7 +36,7 @@
 class _LaggingStore:
     """Store of one object with its history; cached reads show a past state."""
 
-    def __init__(self, clock: HeldClock) -> None:
+    def __init__(self, clock: ManualClock) -> None:
         self.fresh_reads = 0
         self.lag = LAG
         self._clock = clock
@@ -74,7 +74,7 @@
     """A candidate, and a holder that renewed its lease until just now."""
 
     def __init__(self) -> None:
-        self.clock = HeldClock()
+        self.clock = ManualClock()
         self.store = _LaggingStore(self.clock)
         self.gossip = LoneGossip()
         for beat in range(20):
--- a/tests/test_started_after_return.py
+++ b/tests/test_started_after_return.py
@@ -13,11 +13,11 @@
 from waywell.standins.harness import wait_until
 
 if TYPE_CHECKING:
-    from tests.front_bench import Front
+    from tests.front_harness import FrontHarness
 
 
 def test_a_node_that_starts_serves_no_key_that_others_know_to_be_removed(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     first = front.start()
     front.wait_serving(first)
@@ -33,4 +33,4 @@
     front.store.go_back(snapshot)
     second = front.start('front-2')
     wait_until(lambda: front.is_ready(second), 'the second node')
-    assert front.ask(second, '/stock/1', key=KEY)[0] != 200
+    assert front.send_request(second, '/stock/1', key=KEY)[0] != 200
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -13,11 +13,11 @@
 
 from returns.result import Result, Success
 
-from tests.front_bench import Front
-from tests.held_clock import HeldClock
+from tests.front_harness import FrontHarness
 from tests.house import KEY, StoreCopy, make_manifest
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
+from tests.manual_clock import ManualClock
 from waywell.connection.platform import Stored
 from waywell.duties.duty import Duty
 from waywell.standins.harness import Process, wait_until
@@ -39,29 +39,29 @@
 """Enough requests for some to go to each of two replicas."""
 
 
-def read_status(front: Front, node: Process) -> Any:
+def read_status(front: FrontHarness, node: Process) -> Any:
     _status, raw = front.get(node, 'metrics_port', '/v1/status')
     return json.loads(raw)
 
 
-def read_boxes(front: Front, node: Process) -> dict[str, Any]:
+def read_boxes(front: FrontHarness, node: Process) -> dict[str, Any]:
     _status, raw = front.get(node, 'metrics_port', '/v1/boxes')
     return {box['box']: box for box in json.loads(raw)}
 
 
-def read_revision(front: Front, node: Process, part: str) -> int:
+def read_revision(front: FrontHarness, node: Process, part: str) -> int:
     _status, raw = front.get(node, 'metrics_port', '/dump')
     return int(json.loads(raw)[part]['revision'])
 
 
-def start(front: Front) -> Process:
+def start(front: FrontHarness) -> Process:
     node = front.start()
     front.wait_serving(node)
     return node
 
 
 def restore_and_wait(
-    front: Front,
+    front: FrontHarness,
     node: Process,
     copy: StoreCopy,
     *objects: tuple[str, str, Any],
@@ -84,7 +84,7 @@
 
 
 def test_change_with_a_reused_revision_is_seen(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = start(front)
     copy = front.store.take_copy()
@@ -104,7 +104,9 @@
     )
 
 
-def test_status_and_log_report_the_restored_store(front: Front) -> None:
+def test_status_and_log_report_the_restored_store(
+    front: FrontHarness,
+) -> None:
     node = start(front)
     assert read_status(front, node)['store_era_since'] is None
     restore_and_wait(front, node, front.store.take_copy())
@@ -118,7 +120,9 @@
     assert 'boxes_kept=' in changes[0]
 
 
-def test_outdated_entry_does_not_end_the_life_of_a_box(front: Front) -> None:
+def test_outdated_entry_does_not_end_the_life_of_a_box(
+    front: FrontHarness,
+) -> None:
     node = start(front)
     front.servers.pop('a2').crash()
     wait_until(
@@ -134,7 +138,7 @@
     server.goes_on.clear()
     answers = []
     caller = threading.Thread(
-        target=lambda: answers.append(front.ask(node, '/match/1')[0])
+        target=lambda: answers.append(front.send_request(node, '/match/1')[0])
     )
     caller.start()
     wait_until(lambda: bool(server.runs), 'the request')
@@ -147,7 +151,7 @@
 
 
 def test_outdated_entry_does_not_revoke_that_a_box_is_leaving(
-    front: Front,
+    front: FrontHarness,
 ) -> None:
     node = start(front)
     copy = front.store.take_copy()
@@ -160,14 +164,14 @@
     )
     restore_and_wait(front, node, copy)
     for _request in range(REQUESTS):
-        assert front.ask(node, '/stock/1')[0] == 200
+        assert front.send_request(node, '/stock/1')[0] == 200
     assert not leaving.arrivals
 
 
 def test_boxes_missing_from_the_copy_are_kept_until_they_write_again(
     tmp_path: Path,
 ) -> None:
-    front = Front(tmp_path)
+    front = FrontHarness(tmp_path)
     copy = front.store.take_copy()
     front.add_servers()
     try:
@@ -175,7 +179,7 @@
         manifest = ('config', 'main', make_manifest())
         restore_and_wait(front, node, copy, manifest)
         for _request in range(REQUESTS):
-            assert front.ask(node, '/stock/1')[0] == 200
+            assert front.send_request(node, '/stock/1')[0] == 200
     finally:
         front.close()
 
@@ -201,7 +205,7 @@
 
 @in_loop
 async def test_lease_missing_from_the_copy_has_one_holder() -> None:
-    clock = HeldClock()
+    clock = ManualClock()
     store = _LeaseStore()
     first, second = (
         Duty('forming', store, LoneGossip(name), clock, TERM)
--- a/tests/test_truncated_answers.py
+++ b/tests/test_truncated_answers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.broken_bodies import BodyScript, Ending, Framing
-from tests.front_bench import CALL_SECONDS, WHOLE, Front
+from tests.front_harness import CALL_SECONDS, WHOLE_STREAM, FrontHarness
 from tests.house import EVENTS, HOST, KEY, make_manifest
 from tests.replica_paths import Cut, ReplicaPaths
 from waywell.standins.harness import Process, wait_until
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-EVENT = len(WHOLE) // EVENTS
+EVENT = len(WHOLE_STREAM) // EVENTS
 """Size of each event, in bytes."""
 
 PLAIN = b'the whole answer'
@@ -42,7 +42,7 @@
     'in_a_value': 3 * EVENT - 3,
     'after_a_line': 2 * EVENT + len(b'id: 3\n'),
     'in_the_end_of_an_event': 3 * EVENT - 1,
-    'in_the_last_line_end': len(WHOLE) - 1,
+    'in_the_last_line_end': len(WHOLE_STREAM) - 1,
 }
 """Numbers of bytes after which a stream ends within an event."""
 
@@ -84,8 +84,8 @@
 @pytest.fixture(scope='module')
 def running(
     tmp_path_factory: pytest.TempPathFactory,
-) -> Iterator[tuple[Front, Process]]:
-    front = Front(tmp_path_factory.mktemp('front'))
+) -> Iterator[tuple[FrontHarness, Process]]:
+    front = FrontHarness(tmp_path_factory.mktemp('front'))
     front.add_servers()
     front.store.put('config', 'main', make_routes())
     process = front.start()
@@ -95,7 +95,9 @@
 
 
 @pytest.fixture
-def served(running: tuple[Front, Process]) -> tuple[Front, Process]:
+def served(
+    running: tuple[FrontHarness, Process],
+) -> tuple[FrontHarness, Process]:
     """Return a node and servers without scripts or recorded runs."""
     front, _process = running
     for server in front.servers.values():
@@ -105,7 +107,7 @@
     return running
 
 
-def script_next(front: Front, *scripts: BodyScript | str) -> None:
+def script_next(front: FrontHarness, *scripts: BodyScript | str) -> None:
     """Set the next answers, whichever servers receive the requests."""
     shared = deque(scripts)
     for server in front.servers.values():
@@ -113,12 +115,12 @@
 
 
 def ask_stream(
-    front: Front, process: Process, route: str = 'notes'
+    front: FrontHarness, process: Process, route: str = 'notes'
 ) -> bytes | None:
     """Return the body of a stream; ``None`` if the caller sees it fail."""
     path = f'/{route}/{next(_numbers)}'
     try:
-        status, body, answer = front.ask(process, path, model='small')
+        status, body, answer = front.send_request(process, path, model='small')
     except http.client.HTTPException:
         return None
     if status != 200:
@@ -129,12 +131,15 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), ALL_ENDS)
 def test_a_stream_that_ends_within_an_event_resumes_elsewhere(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     for position, sent in WITHIN_EVENT.items():
-        script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
-        assert (position, ask_stream(front, process)) == (position, WHOLE)
+        script_next(front, BodyScript(framing, ending, WHOLE_STREAM[:sent]))
+        assert (position, ask_stream(front, process)) == (
+            position,
+            WHOLE_STREAM,
+        )
         assert len(front.list_runs(*front.servers)) == 2
         for server in front.servers.values():
             server.runs.clear()
@@ -142,30 +147,33 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), DETECTABLE_ENDS)
 def test_a_stream_that_ends_between_events_resumes_elsewhere(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     for position, sent in BETWEEN_EVENTS.items():
-        script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
-        assert (position, ask_stream(front, process)) == (position, WHOLE)
+        script_next(front, BodyScript(framing, ending, WHOLE_STREAM[:sent]))
+        assert (position, ask_stream(front, process)) == (
+            position,
+            WHOLE_STREAM,
+        )
 
 
 def test_a_closed_stream_without_an_event_is_retried_elsewhere(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, b''))
-    assert ask_stream(front, process) == WHOLE
+    assert ask_stream(front, process) == WHOLE_STREAM
 
 
 @pytest.mark.parametrize(('framing', 'ending'), ALL_ENDS)
 def test_a_truncated_stream_that_may_not_run_again_fails_at_its_caller(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     """No other replica may continue the stream, so the caller must see it."""
     front, process = served
     for position, sent in WITHIN_EVENT.items():
-        script_next(front, BodyScript(framing, ending, WHOLE[:sent]))
+        script_next(front, BodyScript(framing, ending, WHOLE_STREAM[:sent]))
         assert (position, ask_stream(front, process, 'once')) == (
             position,
             None,
@@ -177,32 +185,32 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), COMPLETE_ENDS)
 def test_complete_answers_are_relayed_in_each_framing(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
-    script_next(front, BodyScript(framing, ending, WHOLE))
-    assert ask_stream(front, process) == WHOLE
+    script_next(front, BodyScript(framing, ending, WHOLE_STREAM))
+    assert ask_stream(front, process) == WHOLE_STREAM
     script_next(front, BodyScript(framing, ending, PLAIN, 'text/plain'))
-    assert front.ask(process, '/match/1')[:2] == (200, PLAIN)
+    assert front.send_request(process, '/match/1')[:2] == (200, PLAIN)
     # Each ran once, so none was taken for truncated.
     assert len(front.list_runs(*front.servers)) == 2
 
 
 @pytest.mark.parametrize(('framing', 'ending'), DETECTABLE_ENDS)
 def test_a_truncated_plain_answer_is_retried(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     script_next(front, BodyScript(framing, ending, PLAIN[:7], 'text/plain'))
-    assert front.ask(process, '/stock/1')[:2] == (200, PLAIN)
+    assert front.send_request(process, '/stock/1')[:2] == (200, PLAIN)
 
 
 def test_a_stream_that_is_truncated_by_each_replica_fails_at_its_caller(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     parts = [
-        WHOLE[done * EVENT : (done + 1) * EVENT + 5]
+        WHOLE_STREAM[done * EVENT : (done + 1) * EVENT + 5]
         for done in range(REPLICAS)
     ]
     script_next(
@@ -214,12 +222,14 @@
 
 
 def test_a_truncated_hedge_of_a_silent_attempt_fails_at_its_caller(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     for server in front.servers.values():
         server.goes_on.clear()
-    broken = BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE[: 2 * EVENT + 3])
+    broken = BodyScript(
+        Framing.CLOSE, Ending.CLOSE, WHOLE_STREAM[: 2 * EVENT + 3]
+    )
     script_next(front, 'wait-1', broken)
     assert ask_stream(front, process, 'hedged') is None
     assert len(front.list_runs(*front.servers)) == 2
@@ -227,10 +237,10 @@
 
 @pytest.mark.parametrize('line_end', [b'\r\n', b'\r'], ids=['crlf', 'cr'])
 def test_truncation_is_detected_with_other_line_ends(
-    served: tuple[Front, Process], line_end: bytes
+    served: tuple[FrontHarness, Process], line_end: bytes
 ) -> None:
     front, process = served
-    complete = WHOLE.replace(b'\n', line_end)
+    complete = WHOLE_STREAM.replace(b'\n', line_end)
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, complete))
     assert ask_stream(front, process) == complete
     sent = 2 * len(complete) // EVENTS + 5
@@ -239,7 +249,7 @@
     )
     resumed = ask_stream(front, process)
     assert resumed is not None
-    assert resumed.replace(line_end, b'\n') == WHOLE
+    assert resumed.replace(line_end, b'\n') == WHOLE_STREAM
 
 
 def open_stream(
@@ -259,7 +269,7 @@
 
 @pytest.fixture
 def connection(
-    running: tuple[Front, Process],
+    running: tuple[FrontHarness, Process],
 ) -> Iterator[http.client.HTTPConnection]:
     """Return a connection of a caller to the node."""
     port = running[1].ports['caller_port']
@@ -269,10 +279,11 @@
 
 
 def test_events_with_other_line_ends_are_relayed_as_they_arrive(
-    served: tuple[Front, Process], connection: http.client.HTTPConnection
+    served: tuple[FrontHarness, Process],
+    connection: http.client.HTTPConnection,
 ) -> None:
     front, process = served
-    complete = WHOLE.replace(b'\n', b'\r\n')
+    complete = WHOLE_STREAM.replace(b'\n', b'\r\n')
     first = len(complete) // EVENTS
     script = BodyScript(
         Framing.CHUNKED, Ending.ANNOUNCED, complete, pause_after=first
@@ -284,31 +295,31 @@
 
 
 def test_the_content_type_of_a_stream_is_case_insensitive(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     broken = BodyScript(
         Framing.CLOSE,
         Ending.CLOSE,
-        WHOLE[: 2 * EVENT + 3],
+        WHOLE_STREAM[: 2 * EVENT + 3],
         'Text/Event-Stream; charset=utf-8',
     )
     script_next(front, broken)
-    assert ask_stream(front, process) == WHOLE
+    assert ask_stream(front, process) == WHOLE_STREAM
 
 
 def test_comments_do_not_count_as_an_unfinished_event(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
-    commented = b': ping\n\n' + WHOLE + b': bye\n'
+    commented = b': ping\n\n' + WHOLE_STREAM + b': bye\n'
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, commented))
     assert ask_stream(front, process) == commented
 
 
 @pytest.mark.parametrize('body', [b': ping\n\n', b'\n\n'])
 def test_a_closed_stream_of_comments_only_fails_at_its_caller(
-    served: tuple[Front, Process], body: bytes
+    served: tuple[FrontHarness, Process], body: bytes
 ) -> None:
     front, process = served
     script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, body))
@@ -317,7 +328,7 @@
 
 @pytest.mark.parametrize(('framing', 'ending'), COMPLETE_ENDS)
 def test_complete_compressed_streams_are_relayed(
-    served: tuple[Front, Process], framing: Framing, ending: Ending
+    served: tuple[FrontHarness, Process], framing: Framing, ending: Ending
 ) -> None:
     front, process = served
     body = b'\x1f\x8b\x08 compressed'
@@ -327,22 +338,25 @@
 
 
 def test_a_caller_on_a_persistent_connection_sees_the_truncation(
-    served: tuple[Front, Process], connection: http.client.HTTPConnection
+    served: tuple[FrontHarness, Process],
+    connection: http.client.HTTPConnection,
 ) -> None:
     front, process = served
     answer = open_stream('kept-1', connection)
-    assert answer.read() == WHOLE
+    assert answer.read() == WHOLE_STREAM
     assert not answer.will_close
     script_next(
-        front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE[: EVENT + 3])
+        front,
+        BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE_STREAM[: EVENT + 3]),
     )
     with pytest.raises(http.client.IncompleteRead) as broken:
         open_stream('kept-2', connection).read()
-    assert broken.value.partial == WHOLE[:EVENT]
+    assert broken.value.partial == WHOLE_STREAM[:EVENT]
 
 
 def test_a_slow_caller_sees_the_truncation(
-    served: tuple[Front, Process], connection: http.client.HTTPConnection
+    served: tuple[FrontHarness, Process],
+    connection: http.client.HTTPConnection,
 ) -> None:
     """The body ends while reading from the replica is paused."""
     front, process = served
@@ -361,14 +375,16 @@
 
 
 def test_an_answer_without_a_length_does_not_count_as_a_crash(
-    served: tuple[Front, Process],
+    served: tuple[FrontHarness, Process],
 ) -> None:
     front, process = served
     log = front.folder / 'front-1.log'
     before = len(log.read_bytes())
     for _request in range(4):
-        script_next(front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE))
-        assert ask_stream(front, process) == WHOLE
+        script_next(
+            front, BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE_STREAM)
+        )
+        assert ask_stream(front, process) == WHOLE_STREAM
     logged = log.read_bytes()[before:]
     assert logged.count(b'event=answered') == 4
     assert b'event=replica_ended' not in logged
@@ -376,7 +392,9 @@
 
 
 @pytest.fixture
-def through_peer(front: Front) -> Iterator[tuple[Front, Process]]:
+def through_peer(
+    front: FrontHarness,
+) -> Iterator[tuple[FrontHarness, Process]]:
     """Return a node that reaches replicas only through a peer."""
     front.store.put('config', 'main', make_routes())
     paths = ReplicaPaths(front)
@@ -384,14 +402,14 @@
     front.wait_serving(partitioned)
     front.wait_serving(front.start('front-1'))
     wait_until(
-        lambda: front.ask(partitioned, '/stock/1')[0] == 200,
+        lambda: front.send_request(partitioned, '/stock/1')[0] == 200,
         'a link to replicas',
     )
     paths.cut(Cut.RESET)
     log = front.folder / 'front-3.log'
 
     def is_forwarded() -> bool:
-        front.ask(partitioned, '/notes/1', model='small')
+        front.send_request(partitioned, '/notes/1', model='small')
         return 'event=partition_detected' in log.read_text()
 
     wait_until(is_forwarded, 'requests that are forwarded through the peer')
@@ -401,11 +419,11 @@
 
 @pytest.mark.parametrize('framing', Framing)
 def test_a_truncation_behind_a_peer_fails_at_the_caller(
-    through_peer: tuple[Front, Process], framing: Framing
+    through_peer: tuple[FrontHarness, Process], framing: Framing
 ) -> None:
     front, partitioned = through_peer
-    script = BodyScript(framing, Ending.CLOSE, WHOLE[: 2 * EVENT + 3])
+    script = BodyScript(framing, Ending.CLOSE, WHOLE_STREAM[: 2 * EVENT + 3])
     script_next(front, *(script for _send in range(9)))
     assert ask_stream(front, partitioned) is None
     script_next(front)
-    assert ask_stream(front, partitioned) == WHOLE
+    assert ask_stream(front, partitioned) == WHOLE_STREAM
--- a/tests/test_truncated_targets.py
+++ b/tests/test_truncated_targets.py
@@ -16,8 +16,8 @@
 import pytest
 
 from tests.broken_bodies import BodyScript, Ending, Framing, reset_connection
-from tests.conftest import QUICK
-from tests.front_bench import WHOLE
+from tests.conftest import SHORT_TIMING
+from tests.front_harness import WHOLE_STREAM
 from waywell.client import UnreachableError
 from waywell.standins.harness import Bench, BoxSpec, make_configuration
 
@@ -116,7 +116,7 @@
         bench.list_scripted(
             BoxSpec(name, fenced=False, labels={'pool': name}), box.port
         )
-    bench.start_entry('entry-1', timing=QUICK)
+    bench.start_entry('entry-1', timing=SHORT_TIMING)
     configuration = make_configuration(boxes_per_group=1, service=services)
     assert bench.apply('entry-1', configuration).status == 200
     for name in ('llm', 'app'):
@@ -147,8 +147,8 @@
     for framing, ending in COMPLETE_ENDS:
         box.script = BodyScript(framing, ending, PLAIN_BODY, 'text/plain')
         assert (framing, ask(served, box, 'app')) == (framing, PLAIN_BODY)
-        box.script = BodyScript(framing, ending, WHOLE)
-        assert (framing, ask(served, box, 'app')) == (framing, WHOLE)
+        box.script = BodyScript(framing, ending, WHOLE_STREAM)
+        assert (framing, ask(served, box, 'app')) == (framing, WHOLE_STREAM)
         box.script = BodyScript(framing, ending, CHAT_STREAM)
         assert (framing, ask(served, box, 'llm')) == (framing, CHAT_STREAM)
 
@@ -160,7 +160,7 @@
         box.script = BodyScript(framing, ending, PLAIN_BODY[:7], 'text/plain')
         assert (framing, ask(served, box, 'app')) == (framing, None)
         for length in (EVENT_BYTES, *CUTS_WITHIN_EVENT):
-            box.script = BodyScript(framing, ending, WHOLE[:length])
+            box.script = BodyScript(framing, ending, WHOLE_STREAM[:length])
             assert (framing, ask(served, box, 'app')) == (framing, None)
 
 
@@ -171,7 +171,7 @@
         for (framing, ending), length in itertools.product(
             COMPLETE_ENDS, CUTS_WITHIN_EVENT
         ):
-            body = WHOLE[:length].replace(b'\n', line_end)
+            body = WHOLE_STREAM[:length].replace(b'\n', line_end)
             box.script = BodyScript(framing, ending, body)
             assert (framing, length, ask(served, box, 'app')) == (
                 framing,
--- a/waywell/process/documents.py
+++ b/waywell/process/documents.py
@@ -1,4 +1,4 @@
-"""The task that keeps the documents in force and spreads them."""
+"""The documents in force at a node, and their distribution to its peers."""
 
 from __future__ import annotations
 
@@ -30,68 +30,76 @@
     from waywell.process.clock import Clock
 
 
-ASK_SECONDS = 1.0
-"""Seconds until another neighbour is asked for the same document."""
+REQUEST_INTERVAL_SECONDS = 1.0
+"""Seconds before the same document is requested from another neighbour."""
 
 
 class InForce:
-    """The versions that requests are served by; replaced, never changed."""
+    """Versions of the documents by which a node serves requests.
+
+    A new version replaces the objects held here; they are never modified.
+    """
 
     def __init__(self) -> None:
         """Start with an empty configuration and roster."""
-        self.ledgers = {kind: DocumentHistory(kind) for kind in DocumentKind}
+        self.histories = {kind: DocumentHistory(kind) for kind in DocumentKind}
         self.configuration = Configuration()
         self.roster = Roster(0)
         self.index = ServingIndex(self.configuration, self.roster)
 
     @property
     def numbers(self) -> VersionNumbers:
-        """Return the versions in force."""
+        """Return the version numbers in force."""
         return VersionNumbers(
-            self.ledgers[DocumentKind.CONFIGURATION].current.number,
-            self.ledgers[DocumentKind.ROSTER].current.number,
+            self.histories[DocumentKind.CONFIGURATION].current.number,
+            self.histories[DocumentKind.ROSTER].current.number,
         )
 
     def adopt(self, kind: DocumentKind, document: Document) -> bool:
-        """Put a document in force if it is higher and holds together.
+        """Put a document in force if its number is higher.
+
+        Returns
+        -------
+        bool
+            Whether the document was put in force.
 
         Raises
         ------
         Exception
-            When the document is not valid; what is in force stays.
+            When the document is invalid; the former one stays in force.
         """
-        if document.number <= self.ledgers[kind].current.number:
+        if document.number <= self.histories[kind].current.number:
             return False
         if kind is DocumentKind.CONFIGURATION:
             self.configuration = parse_configuration(document)
         else:
             self.roster = parse_roster(document)
-        self.ledgers[kind].adopt(document)
+        self.histories[kind].adopt(document)
         self.index = ServingIndex(self.configuration, self.roster)
         return True
 
 
 class Documents(Actor):
-    """Owns the documents in force at this node.
+    """Updates the documents in force at this node.
 
     Parameters
     ----------
     in_force
-        The versions, read by the other tasks.
+        Documents in force, which the other tasks read.
     links
         Streams to other nodes.
     clock
-        Where the time is read.
+        Clock of the node.
     """
 
     class Offer(Message, frozen=True):
-        """A document is known to be stored in the platform."""
+        """Offers a version that is stored in the platform."""
 
         kind: DocumentKind
-        """Which document."""
+        """Kind of the document."""
 
         document: Document
-        """The whole version."""
+        """Complete version of the document."""
 
     def __init__(
         self,
@@ -99,22 +107,22 @@
         links: PeerLinks,
         clock: Clock,
     ) -> None:
-        """Start with what is in force."""
+        """Subscribe to messages of peers about documents."""
         super().__init__('documents')
         self.in_force = in_force
         self._links = links
         self._clock = clock
-        self._asked_at: dict[DocumentKind, float] = {}
+        self._requested_at: dict[DocumentKind, float] = {}
         self._watchers: list[Callable[[DocumentKind], None]] = []
         links.subscribe(self, Heartbeat, DocumentUpdate, DocumentRequest)
 
     def watch_changes(self, watcher: Callable[[DocumentKind], None]) -> None:
-        """Call a watcher with the kind of each newly adopted document."""
+        """Register a function that gets the kind of each adopted document."""
         self._watchers.append(watcher)
 
     def get_current(self, kind: DocumentKind) -> Document:
         """Return the version in force of a document."""
-        return self.in_force.ledgers[kind].current
+        return self.in_force.histories[kind].current
 
     def adopt(
         self,
@@ -122,8 +130,23 @@
         document: Document,
         source: NodeId | None = None,
     ) -> bool:
-        """Put a document in force if it is higher, and pass it on."""
-        before = self.in_force.ledgers[kind].current
+        """Put a document in force if its number is higher, and distribute it.
+
+        Parameters
+        ----------
+        kind
+            Kind of the document.
+        document
+            Complete version of the document.
+        source
+            Peer that sent the document and needs no copy of it.
+
+        Returns
+        -------
+        bool
+            Whether the document was put in force.
+        """
+        before = self.in_force.histories[kind].current
         try:
             adopted = self.in_force.adopt(kind, document)
         except Exception as error:
@@ -135,82 +158,89 @@
             )
             return False
         if adopted:
-            self._pass_on(kind, before, document, source)
+            self._publish(kind, before, document, source)
         return adopted
 
     def on_offer(self, offer: Offer) -> None:
-        """Take in a version that the platform holds."""
+        """Adopt a version that is stored in the platform."""
         self.adopt(offer.kind, offer.document)
 
     def on_received(self, received: PeerLinks.Received) -> None:
-        """Take in what a peer says of documents."""
+        """Handle a peer's versions, update or request for an update."""
         message = received.message
         if isinstance(message, Heartbeat):
-            self._compare(received.node, message)
+            self._compare_versions(received.node, message)
         elif isinstance(message, DocumentUpdate):
-            self._take_news(received.node, message)
+            self._apply_news(received.node, message)
         else:
-            self._answer(received.node, message)
+            self._send_update(received.node, message)
 
     def dump(self) -> dict[str, object]:
-        """Return the versions in force as plain values."""
+        """Return the versions in force as plain values for the state dump."""
         return {
             kind.value: {
-                'number': ledger.current.number,
-                'entries': len(ledger.current.entries),
-                'operations': list(ledger.current.operations[-1:]),
+                'number': history.current.number,
+                'entries': len(history.current.entries),
+                'operations': list(history.current.operations[-1:]),
             }
-            for kind, ledger in self.in_force.ledgers.items()
+            for kind, history in self.in_force.histories.items()
         }
 
-    def _compare(self, node: NodeId, beat: Heartbeat) -> None:
+    def _compare_versions(self, node: NodeId, beat: Heartbeat) -> None:
         numbers = self.in_force.numbers
         if beat.configuration > numbers.configuration:
-            self._ask(node, DocumentKind.CONFIGURATION, numbers.configuration)
+            self._request_update(
+                node, DocumentKind.CONFIGURATION, numbers.configuration
+            )
         if beat.roster > numbers.roster:
-            self._ask(node, DocumentKind.ROSTER, numbers.roster)
+            self._request_update(node, DocumentKind.ROSTER, numbers.roster)
+
+    def _request_update(
+        self, node: NodeId, kind: DocumentKind, have: int
+    ) -> None:
+        """Request a later version unless one was requested recently.
 
-    def _ask(self, node: NodeId, kind: DocumentKind, have: int) -> None:
-        """Ask one neighbour, though several may have shown a later one."""
+        Several neighbours may announce the same version.
+        """
         now = self._clock.read()
-        asked_at = self._asked_at.get(kind, -math.inf)
-        if now - asked_at < ASK_SECONDS:
+        requested_at = self._requested_at.get(kind, -math.inf)
+        if now - requested_at < REQUEST_INTERVAL_SECONDS:
             return
-        self._asked_at[kind] = now
+        self._requested_at[kind] = now
         self._links.send(node, DocumentRequest(kind, have))
 
-    def _answer(self, node: NodeId, wanted: DocumentRequest) -> None:
-        offered = self.in_force.ledgers[wanted.kind].make_update(
+    def _send_update(self, node: NodeId, wanted: DocumentRequest) -> None:
+        update = self.in_force.histories[wanted.kind].make_update(
             wanted.known_version
         )
-        if isinstance(offered, Change):
-            news = DocumentUpdate(wanted.kind, change=offered)
+        if isinstance(update, Change):
+            news = DocumentUpdate(wanted.kind, change=update)
         else:
-            news = DocumentUpdate(wanted.kind, document=offered)
+            news = DocumentUpdate(wanted.kind, document=update)
         self._links.send(node, news)
 
-    def _take_news(self, node: NodeId, news: DocumentUpdate) -> None:
-        ledger = self.in_force.ledgers[news.kind]
+    def _apply_news(self, node: NodeId, news: DocumentUpdate) -> None:
+        history = self.in_force.histories[news.kind]
         if news.document is not None:
             self.adopt(news.kind, news.document, node)
             return
         change = news.change
-        if change is None or change.number <= ledger.current.number:
+        if change is None or change.number <= history.current.number:
             return
-        changed = ledger.preview(change)
+        changed = history.preview(change)
         if changed is None:
-            self._ask(node, news.kind, ledger.current.number)
+            self._request_update(node, news.kind, history.current.number)
         else:
             self.adopt(news.kind, changed, node)
 
-    def _pass_on(
+    def _publish(
         self,
         kind: DocumentKind,
         before: Document,
         document: Document,
         source: NodeId | None,
     ) -> None:
-        self._asked_at.pop(kind, None)
+        self._requested_at.pop(kind, None)
         log_event('document_adopted', kind=kind.value, number=document.number)
         change = compare_documents(before, document)
         self._links.broadcast(DocumentUpdate(kind, change=change), skip=source)
--- a/waywell/telemetry/front_gauges.py
+++ b/waywell/telemetry/front_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a front daemon, read at each scrape."""
+"""Gauges of a front daemon, evaluated at each scrape."""
 
 from __future__ import annotations
 
@@ -11,89 +11,89 @@
 
 
 class FrontGauges:
-    """Shows what a node knows and does.
+    """Registers gauges of the state of a node.
 
     Parameters
     ----------
     node
-        The node.
+        Node whose state the gauges show.
     """
 
     def __init__(self, node: FrontNode) -> None:
-        """Keep the node; its parts are read at each scrape."""
+        """Use a node, whose components are read at each scrape."""
         self._node = node
 
-    def show(self) -> None:
+    def register(self) -> None:
         """Add the gauges to the node's metrics."""
-        show = self._node.metrics.show
-        show(
+        add_gauge = self._node.metrics.add_gauge
+        add_gauge(
             'waywell_serving_replicas',
             'Replicas that may get requests, by service and model.',
             'model',
             self._count_serving,
         )
-        show(
+        add_gauge(
             'waywell_knowledge_age_seconds',
             'For how long what is known was not confirmed.',
             'part',
-            self._read_ages,
+            self._get_knowledge_ages,
         )
-        show(
+        add_gauge(
             'waywell_nodes',
             'Entry boxes that this one knows, by state.',
             'state',
             self._count_nodes,
         )
-        show(
+        add_gauge(
             'waywell_duties',
             'Whether this node holds a duty now: 1 or 0.',
             'duty',
-            self._read_duties,
+            self._get_duties,
         )
-        show(
+        add_gauge(
             'waywell_requests_in_flight',
             'Requests of callers that are not answered yet.',
             'node',
             self._count_in_flight,
         )
-        show(
+        add_gauge(
             'waywell_foreign_objects',
             'Objects of the platform that another writer has written.',
             'part',
             self._count_foreign,
         )
-        show(
+        add_gauge(
             'waywell_quarantine',
             'Replicas that ended under requests, and requests held back.',
             'part',
             self._count_quarantine,
         )
-        show(
+        add_gauge(
             'waywell_backpressure',
             'Replicas that have asked this node for no more requests.',
             'part',
-            self._count_wishes,
+            self._count_backpressure,
         )
-        show(
+        add_gauge(
             'waywell_limits',
             'Replicas that have a limit, and what this node dealt of it.',
             'part',
-            self._count_turns,
+            self._count_limits,
         )
-        show(
+        add_gauge(
             'waywell_unreachable_boxes',
             'Boxes that recently refused this node a connection, by service.',
             'service',
             self._count_unreachable,
         )
-        show(
+        add_gauge(
             'waywell_store_era',
             'Era of the store, and the changes of it that this node saw.',
             'part',
-            self._read_era,
+            self._get_store_era,
         )
 
-        show(
+        add_gauge(
             'waywell_crashing_loads',
             'Loads in a row that ended their boxes, by service and model.',
             'model',
@@ -108,14 +108,14 @@
         node = self._node
         return node.paths.watch.table.count_unreachable(node.clock.read())
 
-    def _read_era(self) -> Mapping[str, float]:
+    def _get_store_era(self) -> Mapping[str, float]:
         eras = self._node.cluster.eras
         return {'era': eras.current, 'changes': eras.changes}
 
-    def _count_turns(self) -> Mapping[str, float]:
+    def _count_limits(self) -> Mapping[str, float]:
         return self._node.turns.count()
 
-    def _count_wishes(self) -> Mapping[str, float]:
+    def _count_backpressure(self) -> Mapping[str, float]:
         node = self._node
         return node.backpressure.count(node.clock.read())
 
@@ -132,7 +132,7 @@
     def _count_serving(self) -> Mapping[str, float]:
         return self._node.cluster.count_serving()
 
-    def _read_ages(self) -> Mapping[str, float]:
+    def _get_knowledge_ages(self) -> Mapping[str, float]:
         cluster = self._node.cluster
         now = self._node.clock.read()
         return {
@@ -143,7 +143,7 @@
     def _count_nodes(self) -> Mapping[str, float]:
         return self._node.members.count_states()
 
-    def _read_duties(self) -> Mapping[str, float]:
+    def _get_duties(self) -> Mapping[str, float]:
         return {
             'forming': float(self._node.forming.is_held()),
             'reader': float(self._node.feed.is_reader()),
