--- a/tests/house.py
+++ b/tests/fake_platform.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class StoreCopy:
+class StoreSnapshot:
     """What a store held at a moment."""
 
     objects: dict[tuple[str, str], dict[str, Any]]
@@ -81,12 +81,12 @@
     def __init__(self) -> None:
         """Listen."""
         self.is_down = False
-        self.slow_seconds = 0.0
-        self.loses_answers = False
-        self.refusal = 0
-        self.hidden: set[str] = set()
+        self.delay_seconds = 0.0
+        self.drops_answers = False
+        self.refusal_status = 0
+        self.hidden_kinds: set[str] = set()
         self.servers: dict[str, Server] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self._objects: dict[tuple[str, str], dict[str, Any]] = {}
         self._events: list[tuple[int, str, dict[str, Any], bool]] = []
         self._revision = 0
@@ -133,14 +133,16 @@
             self._forgotten = self._revision
             self._changed.notify_all()
 
-    def take_copy(self) -> StoreCopy:
+    def take_snapshot(self) -> StoreSnapshot:
         """Return what it holds now, to come back from later."""
         with self._changed:
-            return StoreCopy(
+            return StoreSnapshot(
                 dict(self._objects), list(self._events), self._revision
             )
 
-    def go_back(self, copy: StoreCopy, *again: tuple[str, str, Any]) -> None:
+    def restore(
+        self, copy: StoreSnapshot, *again: tuple[str, str, Any]
+    ) -> None:
         """Come back from an older copy; revisions are given out again.
 
         Parameters
@@ -171,7 +173,7 @@
             items = [
                 found
                 for (its_kind, _name), found in sorted(self._objects.items())
-                if its_kind == kind and kind not in self.hidden
+                if its_kind == kind and kind not in self.hidden_kinds
             ]
             return {'items': items, 'current_rev': self._revision}
 
@@ -251,7 +253,7 @@
                     return
                 kind = urlsplit(self.path).path.split('/')[3]
                 outcome = store._write(kind, body, creates)
-                if store.loses_answers:
+                if store.drops_answers:
                     self.hang_up()
                     return
                 self.answer(*outcome)
@@ -261,10 +263,10 @@
                 if store.is_down:
                     self.hang_up()
                     return True
-                time.sleep(store.slow_seconds)
-                if store.refusal:
-                    self.answer(store.refusal, {})
-                return bool(store.refusal)
+                time.sleep(store.delay_seconds)
+                if store.refusal_status:
+                    self.answer(store.refusal_status, {})
+                return bool(store.refusal_status)
 
         return Handler
 
@@ -276,25 +278,25 @@
         """Listen, and write the entry."""
         self.name = name
         self.runs: list[dict[str, str]] = []
-        self.came: list[tuple[float, str]] = []
-        self.asked_rest: list[tuple[float, float, str]] = []
-        self.rest_text = ''
-        self.limit_text = ''
+        self.arrivals: list[tuple[float, str]] = []
+        self.rest_answers: list[tuple[float, float, str]] = []
+        self.retry_after = ''
+        self.server_limit = ''
         self.is_leaving = False
         self.orders: list[dict[str, Any]] = []
         self.script: deque[str | BodyScript] = deque()
         self.members: list[str] = []
         self.fence = 0
         self.orders_begun = 0
-        self.goes_on = threading.Event()
-        self.goes_on.set()
-        self.deadly_body = b''
-        self.deadly_parts: frozenset[str] = frozenset()
-        self.turns_down = ''
+        self.unblocked = threading.Event()
+        self.unblocked.set()
+        self.crashing_body = b''
+        self.crashing_prompt_parts: frozenset[str] = frozenset()
+        self.rejected_path = ''
         self.crashes: list[tuple[float, str]] = []
-        self.when_ended: Callable[[], None] = lambda: None
+        self.on_crash: Callable[[], None] = lambda: None
         self.has_ended = False
-        self._lines: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
         self._store = store
         store.servers[name] = self
         self._server = _serve(self._make_handler())
@@ -315,9 +317,9 @@
         self.write_entry()
 
     @property
-    def arrivals(self) -> int:
+    def arrival_count(self) -> int:
         """Return how many requests have come."""
-        return len(self.came)
+        return len(self.arrivals)
 
     def write_entry(self) -> None:
         """Write the entry as it is."""
@@ -349,17 +351,17 @@
         if self.name in self._store.list_names('servers'):
             self._store.remove('servers', self.name)
 
-    def end_at_once(self) -> None:
+    def abort(self) -> None:
         """End like a process that crashes; the entry stays for a while."""
         self.has_ended = True
         self._server.socket.shutdown(socket.SHUT_RDWR)
-        for line in tuple(self._lines):
+        for line in tuple(self._connections):
             try:
                 line.shutdown(socket.SHUT_RDWR)
             except OSError:
                 # Its caller has hung up meanwhile.
                 continue
-        self.when_ended()
+        self.on_crash()
         # The thread that accepts would try so for ever.
         threading.Thread(target=self.close, daemon=True).start()
 
@@ -367,7 +369,7 @@
         """Return the group that it stands in, or nothing."""
         return dict(self.entry.get('group') or {})
 
-    def _find_broken(self, order: dict[str, Any]) -> str:
+    def _find_violation(self, order: dict[str, Any]) -> str:
         """Return the promise about groups that an order breaks, or nothing."""
         group = self.get_group()
         mates = [
@@ -385,7 +387,7 @@
                 return f'{self.name} opened with {sorted(ready)} ready'
         return ''
 
-    def _take_order(self, order: dict[str, Any]) -> int:
+    def _apply_order(self, order: dict[str, Any]) -> int:
         self.orders.append(order)
         fence = order['fence_token']
         if fence < self.fence:
@@ -395,12 +397,12 @@
         operation = order['operation']
         expected = order.get('expect_rev')
         if operation == 'join' and expected is None:
-            self._store.broken.append(f'{self.name}: a join for any state')
+            self._store.violations.append(f'{self.name}: a join for any state')
         if expected is not None and expected != self.orders_begun:
             return 409
-        broken = self._find_broken(order)
+        broken = self._find_violation(order)
         if broken:
-            self._store.broken.append(broken)
+            self._store.violations.append(broken)
         if operation == 'stage':
             self.entry['staged'] = [order['model']]
         elif operation == 'join':
@@ -430,30 +432,30 @@
             'group': self.get_group() or None,
         }
 
-    def _is_deadly(self, body: bytes, headers: Any) -> bool:
+    def _crashes_on(self, body: bytes, headers: Any) -> bool:
         """Answer whether it ends when it begins to answer a request."""
         named = headers.get('X-Prompt-Prefix', '').split(',')[:-1]
         parts = {one.partition(':')[0] for one in named}
-        return bool(parts & self.deadly_parts) or (
-            bool(body) and body == self.deadly_body
+        return bool(parts & self.crashing_prompt_parts) or (
+            bool(body) and body == self.crashing_body
         )
 
     def _make_handler(server) -> type[_Handler]:  # noqa: N805
         class Handler(_Handler):
             def setup(self) -> None:
                 super().setup()
-                server._lines.add(self.connection)
+                server._connections.add(self.connection)
 
             def finish(self) -> None:
-                server._lines.discard(self.connection)
+                server._connections.discard(self.connection)
                 super().finish()
 
             def send_response(self, *words: Any) -> None:
                 super().send_response(*words)
                 if server.is_leaving:
                     self.send_header('Server-Leaving', '1')
-                if server.limit_text:
-                    self.send_header('Server-Limit', server.limit_text)
+                if server.server_limit:
+                    self.send_header('Server-Limit', server.server_limit)
 
             def do_GET(self) -> None:
                 if self.path == '/api/report':
@@ -464,22 +466,24 @@
             def do_POST(self) -> None:
                 body = self.read_body()
                 if self.path == '/api/order':
-                    self.answer(server._take_order(json.loads(body)), {})
-                elif server.turns_down and server.turns_down in self.path:
+                    self.answer(server._apply_order(json.loads(body)), {})
+                elif (
+                    server.rejected_path and server.rejected_path in self.path
+                ):
                     attempt = self.headers['X-Request-Attempt-Id']
                     self.answer(400, {}, {'X-Request-Attempt-Id': attempt})
-                elif server._is_deadly(body, self.headers):
+                elif server._crashes_on(body, self.headers):
                     server.runs.append({**self.headers, 'X-Path': self.path})
                     attempt = self.headers['X-Request-Attempt-Id']
                     server.crashes.append((time.monotonic(), attempt))
-                    server.end_at_once()
+                    server.abort()
                     self.hang_up()
                 else:
                     self._run()
 
             def _run(self) -> None:
                 attempt = self.headers['X-Request-Attempt-Id']
-                server.came.append((time.monotonic(), attempt))
+                server.arrivals.append((time.monotonic(), attempt))
                 act = server.script.popleft() if server.script else ''
                 own = {
                     'X-Request-Attempt-Id': attempt,
@@ -493,13 +497,13 @@
                     self.answer(503, {}, {**own, 'X-Not-Executed': '1'})
                     return
                 if act == 'late-rest':
-                    server.goes_on.wait(20)
+                    server.unblocked.wait(20)
                 if act in {'rest', 'late-rest'}:
-                    server.asked_rest.append(
-                        (time.monotonic(), float(server.rest_text), attempt)
+                    server.rest_answers.append(
+                        (time.monotonic(), float(server.retry_after), attempt)
                     )
                     own |= {'X-Not-Executed': '1'}
-                    own |= {'Retry-After': server.rest_text}
+                    own |= {'Retry-After': server.retry_after}
                     self.answer(503, {}, own)
                     return
                 server.runs.append({**self.headers, 'X-Path': self.path})
@@ -514,7 +518,7 @@
                 elif 'X-Model' in self.headers:
                     self._stream(act, own)
                 else:
-                    server.goes_on.wait(20)
+                    server.unblocked.wait(20)
                     self.answer(200, b'the whole answer', own)
 
             def _stream(self, act: str, own: dict[str, str]) -> None:
@@ -532,7 +536,7 @@
                         self.hang_up()
                         return
                     if act == f'wait-{number}':
-                        server.goes_on.wait(20)
+                        server.unblocked.wait(20)
                     self._chunk(event)
                 self._chunk(b'')
 
--- a/tests/front_bench.py
+++ b/tests/front_bench.py
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from tests.house import EVENTS, HOST, KEY, Server, Store, make_manifest
+from tests.fake_platform import EVENTS, HOST, KEY, Server, Store, make_manifest
 from waywell.standins.harness import Process, wait_until
 
 if TYPE_CHECKING:
@@ -156,7 +156,7 @@
             if process.is_running():
                 process.kill()
         for server in self.servers.values():
-            server.goes_on.set()
+            server.unblocked.set()
             server.close()
         self.store.close()
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,8 +21,8 @@
 import fire
 
 from tests.broken_bodies import BodyScript, Ending, Framing
+from tests.fake_platform import KEY, Server, StoreSnapshot, make_manifest
 from tests.front_bench import WHOLE, Front
-from tests.house import KEY, Server, StoreCopy, make_manifest
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 from tests.relay import Direction, Relay
 from tests.replica_paths import Cut, ReplicaRelays
@@ -210,7 +210,7 @@
         self._return_share = return_share
         self._cut_share = cut_share
         self._truncated_share = truncated_share
-        self._copies: list[StoreCopy] = []
+        self._copies: list[StoreSnapshot] = []
         self._manifest = make_manifest()
         # The seeds that ever failed go on to draw the faults that they drew.
         self._wishes = random.Random(seed + 1)
@@ -268,7 +268,7 @@
             for caller in callers:
                 caller.join()
             self._check()
-            return self.broken + self.front.store.broken
+            return self.broken + self.front.store.violations
         finally:
             self._is_over.set()
             for relay in (*self._list_relays(), self._links):
@@ -338,12 +338,14 @@
         """Let the store come back from a copy; return what is done later."""
         if not self._return_share:
             return []
-        self._copies = [*self._copies, self.front.store.take_copy()][-COPIES:]
+        self._copies = [*self._copies, self.front.store.take_snapshot()][
+            -COPIES:
+        ]
         if self._returns.random() >= self._return_share:
             return []
         kept = self._returns.randrange(len(self._copies)) + 1
         self._copies = self._copies[:kept]
-        self.front.store.go_back(self._copies[-1])
+        self.front.store.restore(self._copies[-1])
         later = [(LAPSE_SECONDS, self._let_entries_lapse)]
         for write in (
             self._write_routes,
@@ -393,8 +395,8 @@
         server.entry['address'] = f'127.0.0.1:{relay.port}'
         server.write_entry()
         if self._prompt_share:
-            server.deadly_parts = frozenset((BAD_PART,))
-            server.when_ended = relay.refuse_new
+            server.crashing_prompt_parts = frozenset((BAD_PART,))
+            server.on_crash = relay.refuse_new
         return relay
 
     def _kill(self) -> Any:
@@ -427,14 +429,14 @@
         store = self.front.store
         kind = self.random.choice(('slow', 'loses', 'refuses', 'forgets'))
         if kind == 'slow':
-            store.slow_seconds = self.random.uniform(*SLOW_SECONDS)
-            return lambda: setattr(store, 'slow_seconds', 0.0)
+            store.delay_seconds = self.random.uniform(*SLOW_SECONDS)
+            return lambda: setattr(store, 'delay_seconds', 0.0)
         if kind == 'loses':
-            store.loses_answers = True
-            return lambda: setattr(store, 'loses_answers', False)
+            store.drops_answers = True
+            return lambda: setattr(store, 'drops_answers', False)
         if kind == 'refuses':
-            store.refusal = self.random.choice(REFUSALS)
-            return lambda: setattr(store, 'refusal', 0)
+            store.refusal_status = self.random.choice(REFUSALS)
+            return lambda: setattr(store, 'refusal_status', 0)
         store.forget_history()
         return None
 
@@ -474,7 +476,7 @@
         name = self._wishes.choice(sorted(self.front.servers))
         server = self.front.servers[name]
         if self._wishes.random() < 0.5:
-            server.rest_text = self._wishes.choice(REST_TEXTS)
+            server.retry_after = self._wishes.choice(REST_TEXTS)
             server.script.append('rest')
         else:
             server.is_leaving = True
@@ -484,15 +486,15 @@
         """Let a server name a limit, or the one that has one end it."""
         now = time.monotonic()
         self._end_limits(now)
-        if any(one.server.limit_text for one in self._limited):
+        if any(one.server.server_limit for one in self._limited):
             return
         if self._naming.random() > LIMIT_SHARE:
             return
         name = self._naming.choice(sorted(self.front.servers))
         server = self.front.servers[name]
-        server.limit_text = self._naming.choice(LIMIT_TEXTS)
+        server.server_limit = self._naming.choice(LIMIT_TEXTS)
         ends_at = now + self._naming.uniform(*LIMIT_LASTS)
-        limit = float(server.limit_text)
+        limit = float(server.server_limit)
         self._limited.append(_Limited(server, limit, ends_at))
 
     def _end_limits(self, due_at: float = float('inf')) -> None:
@@ -500,8 +502,8 @@
         now = time.monotonic()
         for one in self._limited:
             is_gone = one.server.name not in self.front.servers
-            if one.server.limit_text and (is_gone or one.ends_at <= due_at):
-                one.server.limit_text = ''
+            if one.server.server_limit and (is_gone or one.ends_at <= due_at):
+                one.server.server_limit = ''
                 one.ends_at = min(one.ends_at, now)
 
     def _excuse(self, process: Process) -> None:
@@ -673,7 +675,7 @@
 
     def _note_told_limit(self, process: Process, name: str) -> None:
         for one in self._limited:
-            if one.server.name == name and one.server.limit_text:
+            if one.server.name == name and one.server.server_limit:
                 one.note_told(process, time.monotonic())
 
     def _check(self) -> None:
@@ -710,7 +712,7 @@
             limited.excuse(process, time.monotonic())
         came = [
             at
-            for at, attempt in limited.server.came
+            for at, attempt in limited.server.arrivals
             if limited.counts(self._asked.get(attempt), at)
         ]
         if count_most(came) > count_allowed(limited.limit):
@@ -719,7 +721,7 @@
 
     def _check_leaving(self, server: Server) -> None:
         """Hold what came against what nodes had passed on before."""
-        for _at, attempt in server.came:
+        for _at, attempt in server.arrivals:
             told = (self._asked.get(attempt), server.name)
             sent_at = self._sent.get(attempt, ('', 0.0))[1]
             told_at = self._told_leaving.get(told, float('inf'))
@@ -731,12 +733,12 @@
 
         A way that was cut or silent may have lost the wish.
         """
-        for asked_at, seconds, attempt in server.asked_rest:
+        for asked_at, seconds, attempt in server.rest_answers:
             node = self._asked.get(attempt)
             came = sum(
                 asked_at + REST_KNOWN_SECONDS < at < asked_at + seconds
                 and self._asked.get(other) is node
-                for at, other in server.came
+                for at, other in server.arrivals
             )
             if came > MOST_DURING_REST:
                 told = f'{seconds} s of rest told to {attempt}'
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -103,7 +103,7 @@
     switch: str = '',
 ) -> None:
     """Start an entry box with the scripted target as an unfenced model."""
-    bench.list_scripted(
+    bench.list_box_at_port(
         BoxSpec('s', fenced=False, labels={'pool': 'llm'}), scripted.port
     )
     timing = {**QUICK, 'probe': PROBE_SECONDS}
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.house import KEY
+from tests.fake_platform import KEY
 from waywell.codes import Refusal
 from waywell.daemon import make_loop
 from waywell.duties.lease import TRUSTED_TERM_FRACTION, LeaseRecord, LeaseState
--- a/tests/test_crashing_prompt_parts.py
+++ b/tests/test_crashing_prompt_parts.py
@@ -13,8 +13,8 @@
 
 import pytest
 
+from tests.fake_platform import Server, make_manifest
 from tests.front_bench import Front
-from tests.house import Server, make_manifest
 from tests.test_crashing_requests import (
     REPLICAS,
     count_crashed,
@@ -55,7 +55,7 @@
     """Start two entry boxes and replicas that the given parts crash."""
     for number in range(REPLICAS):
         server = Server(front.store, f'a{number}', 'app')
-        server.deadly_parts = frozenset(bad or (BAD,))
+        server.crashing_prompt_parts = frozenset(bad or (BAD,))
         server.entry['domain'] = f'd{number}'
         server.write_entry()
         front.servers[server.name] = server
@@ -156,7 +156,7 @@
 ) -> None:
     nodes = start(front)
     for server in front.servers.values():
-        server.turns_down = '/match/malformed'
+        server.rejected_path = '/match/malformed'
     for number in range(3):
         assert send_request(front, nodes[0], number, SYSTEM, BAD)[0] == 502
         wait_crashes_known(front, nodes)
@@ -206,7 +206,7 @@
 def test_a_node_that_reaches_only_the_platform_holds_the_part(
     front: Front,
 ) -> None:
-    front.store.hidden.add('waywell-entries')
+    front.store.hidden_kinds.add('waywell-entries')
     first, other = start(front)
     crash_three(front, [first])
     wait_until(
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -15,8 +15,8 @@
 
 import pytest
 
+from tests.fake_platform import Server, make_manifest
 from tests.front_bench import Front
-from tests.house import Server, make_manifest
 from waywell.codes import Code
 from waywell.standins.harness import wait_until
 
@@ -51,7 +51,7 @@
     """Start two entry boxes and plain replicas."""
     for number in range(REPLICAS):
         server = Server(front.store, f'a{number}', 'app')
-        server.deadly_body = DEADLY
+        server.crashing_body = DEADLY
         front.servers[server.name] = server
     front.store.put('config', 'main', make_manifest())
     nodes = [front.start(f'front-{number}') for number in (1, 2)]
@@ -174,7 +174,7 @@
     front: Front,
 ) -> None:
     """The nodes have no streams, like data halls that can't reach each other."""
-    front.store.hidden.add('waywell-entries')
+    front.store.hidden_kinds.add('waywell-entries')
     first, other = start(front)
     crash_three(front, first)
     wait_until(
--- a/tests/test_desk.py
+++ b/tests/test_endpoints.py
@@ -4,19 +4,19 @@
 
 import json
 
-from waywell.platform.desk import (
-    MOST_ADDRESSES,
+from waywell.platform.endpoints import (
+    MAX_ADDRESSES,
     RESOLVE_PATH,
     make_directory_handlers,
 )
 
 
 def test_an_entry_list_holds_what_clients_take_notice_of() -> None:
-    addresses = [f'10.0.0.{number}:80' for number in range(MOST_ADDRESSES + 9)]
+    addresses = [f'10.0.0.{number}:80' for number in range(MAX_ADDRESSES + 9)]
     handlers = make_directory_handlers(lambda _hall: addresses, 2.0)
     answer = handlers[RESOLVE_PATH]({'zone': 'hall-a'})
     told = json.loads(answer.raw)
-    assert told['addresses'] == addresses[:MOST_ADDRESSES]
+    assert told['addresses'] == addresses[:MAX_ADDRESSES]
     assert told['ttl_s'] == 2.0
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,8 +11,8 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
+from tests.fake_platform import HOST, KEY, make_manifest
 from tests.front_bench import WHOLE, Front
-from tests.house import HOST, KEY, make_manifest
 from waywell.cli import EXIT_REFUSED, run_command
 from waywell.codes import Code
 from waywell.standins.harness import wait_until
@@ -161,7 +161,7 @@
     shared = deque([act])
     heads = front.list_heads()
     for server in heads:
-        server.goes_on.clear()
+        server.unblocked.clear()
         server.script = shared
         server.runs.clear()
     status, body, _answer = front.ask(process, '/notes/1', model='small')
@@ -216,7 +216,7 @@
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
-        front.servers[name].goes_on.clear()
+        front.servers[name].unblocked.clear()
     answers: list[tuple[int, str | None]] = []
 
     def ask() -> None:
@@ -229,7 +229,7 @@
     process.send_signal(signal.SIGTERM)
     wait_until(lambda: not front.is_ready(process), 'the node to leave')
     for name in ('a1', 'a2'):
-        front.servers[name].goes_on.set()
+        front.servers[name].unblocked.set()
     thread.join()
     assert answers == [(200, 'close')]
     assert process.wait() == 0
@@ -247,7 +247,7 @@
     front, process = served
     for server in front.servers.values():
         server.script.append('wait-3')
-        server.goes_on.clear()
+        server.unblocked.clear()
     process.send_signal(signal.SIGTERM)
     wait_until(lambda: not front.is_ready(process), 'the node to leave')
     status, _body, answer = front.ask(process, '/notes/1', model='small')
@@ -280,7 +280,7 @@
     ]
     (member,) = [server for server in members if server is not head]
     for server in front.list_heads():
-        server.goes_on.clear()
+        server.unblocked.clear()
         server.script.append('wait-2')
     member.close()
     # Its entry stays; only streams that stand still show the loss.
@@ -312,7 +312,7 @@
     assert min(tokens[0] for tokens in given) == 1
     assert all(tokens[-1] == 2 for tokens in given)
     assert all(tokens == sorted(tokens) for tokens in given)
-    assert not front.store.broken
+    assert not front.store.violations
 
 
 def test_an_id_is_followed_through_the_log(
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -124,7 +124,7 @@
     bench.wait_serving('entry-1', 'llm-main', 1)
     members = bench.read_status('entry-1')['groups'][0]['boxes']
     bench.targets[members[1]].kill()
-    bench.list_box(members[1], 'lost')
+    bench.set_box_state(members[1], 'lost')
     bench.wait_serving('entry-1', 'llm-main', 0)
     bench.wait_serving('entry-1', 'llm-main', 1)
     now = bench.read_status('entry-1')['groups'][0]['boxes']
@@ -145,7 +145,7 @@
     other = next(name for name in bench.entries if name != holder)
     lost = bench.read_status(other)['groups'][0]['boxes'][0]
     bench.targets[lost].kill()
-    bench.list_box(lost, 'lost')
+    bench.set_box_state(lost, 'lost')
     second = wait_until(
         lambda: find_holder(bench, 'assembly'),
         'another assembler',
@@ -183,7 +183,7 @@
     bench.wait_serving('entry-0', 'llm-main', 1)
     bench.set_platform_faults(refuse_kind='roster')
     lost = bench.read_status('entry-0')['groups'][0]['boxes'][1]
-    bench.list_box(lost, 'lost')
+    bench.set_box_state(lost, 'lost')
     log = bench.entries['entry-0'].log
     wait_until(
         lambda: 'roster_not_written' in log.read_text(),
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -120,7 +120,7 @@
     wait_until(lambda: len(list_runs(bench)) == len(threads), 'the streams')
     groups = bench.read_status('entry-1')['groups']
     leaving = groups[0]
-    bench.list_box(leaving['boxes'][1], 'leaving')
+    bench.set_box_state(leaving['boxes'][1], 'leaving')
     for entry in ('entry-1', 'entry-2'):
         bench.wait_serving(entry, 'llm-main', 1)
     before = len(list_runs(bench))
@@ -174,7 +174,7 @@
     )
     thread.start()
     wait_until(lambda: list_runs(bench), 'the stream to begin')
-    bench.list_box('box-1', 'leaving')
+    bench.set_box_state('box-1', 'leaving')
     wait_until(
         lambda: (
             bench.read_status('entry-1')['groups'][0]['state'] == 'leaving'
--- a/tests/test_leaving_replicas.py
+++ b/tests/test_leaving_replicas.py
@@ -28,14 +28,14 @@
 
     def ask() -> bool:
         assert front.ask(node, '/stock/1')[0] == 200
-        return bool(leaving.arrivals)
+        return bool(leaving.arrival_count)
 
     wait_until(ask, 'the replica to announce that it leaves')
     for _request in range(REQUESTS):
         assert front.ask(node, '/stock/1')[0] == 200
     # The box list does not show yet that it leaves.
     assert leaving.entry['state'] == 'ready'
-    assert leaving.arrivals == 1
+    assert leaving.arrival_count == 1
 
 
 def test_group_whose_head_announces_leaving_gets_no_requests(
@@ -48,12 +48,12 @@
 
     def ask() -> bool:
         assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
-        return bool(leaving.arrivals)
+        return bool(leaving.arrival_count)
 
     wait_until(ask, 'the replica to announce that it leaves')
     for _request in range(REQUESTS):
         assert front.ask(node, '/notes/1', 'small')[:2] == (200, WHOLE)
-    assert leaving.arrivals == 1
+    assert leaving.arrival_count == 1
 
 
 def test_requests_are_refused_at_once_if_all_replicas_leave(
@@ -67,14 +67,14 @@
 
     def ask() -> bool:
         front.ask(node, '/stock/1')
-        return all(server.arrivals for server in servers)
+        return all(server.arrival_count for server in servers)
 
     wait_until(ask, 'both servers to announce that they leave')
-    before = sum(server.arrivals for server in servers)
+    before = sum(server.arrival_count for server in servers)
     status, _body, answer = front.ask(node, '/match/1')
     assert status == 503
     assert float(answer.headers['Retry-After']) > 0
-    assert sum(server.arrivals for server in servers) == before
+    assert sum(server.arrival_count for server in servers) == before
 
 
 def test_running_stream_on_a_leaving_replica_continues(
--- a/tests/test_limited_replicas.py
+++ b/tests/test_limited_replicas.py
@@ -18,8 +18,8 @@
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 
 if TYPE_CHECKING:
+    from tests.fake_platform import Server
     from tests.front_bench import Front
-    from tests.house import Server
     from waywell.standins.harness import Process
 
 LIMIT = 0.5
@@ -41,7 +41,7 @@
 ) -> float:
     """Report the limits to every node; return when they must hold."""
     for server in servers:
-        server.limit_text = str(LIMIT)
+        server.server_limit = str(LIMIT)
     reported_at = time.monotonic()
     for node in nodes:
         for _request in range(6):
@@ -63,7 +63,7 @@
 
 
 def count_after(server: Server, moment: float) -> int:
-    return count_most([at for at, _attempt in server.came if at >= moment])
+    return count_most([at for at, _attempt in server.arrivals if at >= moment])
 
 
 @pytest.mark.parametrize('is_even', [True, False])
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -51,7 +51,7 @@
 
 
 def count_after(bench: Bench, name: str, moment: float) -> int:
-    arrivals = bench.read_target(name)['arrived_at']
+    arrivals = bench.read_target_counts(name)['arrived_at']
     return count_most([at for at in arrivals if at >= moment])
 
 
--- a/tests/test_lost_hedges.py
+++ b/tests/test_lost_hedges.py
@@ -16,8 +16,8 @@
 from waywell.standins.harness import Process, wait_until
 
 if TYPE_CHECKING:
+    from tests.fake_platform import Server
     from tests.front_bench import Front
-    from tests.house import Server
 
 LONG_REST = '600'
 """Pause in seconds that is longer than any test."""
@@ -34,8 +34,8 @@
 
 def lose_hedge(front: Front, node: Process, server: Server) -> None:
     """Send requests until a hedge answers in place of a silent replica."""
-    server.goes_on.clear()
-    server.rest_text = LONG_REST
+    server.unblocked.clear()
+    server.retry_after = LONG_REST
     server.script.append('late-rest')
 
     def has_sent_rest() -> bool:
@@ -54,13 +54,13 @@
     server = front.servers['a1']
     lose_hedge(front, node, server)
     server.is_leaving = is_leaving
-    server.goes_on.set()
+    server.unblocked.set()
     kind = 'leaving' if is_leaving else 'resting'
     wait_until(
         lambda: 'a1' in read_backpressure(front, node)[kind],
         'the pause or departure of the replica',
     )
-    before = server.arrivals
+    before = server.arrival_count
     for _request in range(REQUESTS):
         assert front.ask(node, '/stock/1')[0] == 200
-    assert server.arrivals == before
+    assert server.arrival_count == before
--- a/tests/test_partitioned_nodes.py
+++ b/tests/test_partitioned_nodes.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from tests.fake_platform import HOST, make_manifest
 from tests.front_bench import WHOLE, Front
-from tests.house import HOST, make_manifest
 from tests.replica_paths import Cut, ReplicaPaths
 from waywell.standins.harness import Process, wait_until
 
@@ -149,7 +149,7 @@
         'another holder of the duty',
     )
     assert len(fleet.front.list_heads()) == 2
-    assert not fleet.front.store.broken
+    assert not fleet.front.store.violations
 
 
 def cut_streams(fleet: Fleet, how: Cut) -> list[tuple[int, bytes]]:
@@ -157,7 +157,7 @@
     front = fleet.front
     servers = front.servers.values()
     for server in servers:
-        server.goes_on.clear()
+        server.unblocked.clear()
         # A second attempt beside a silent one also waits.
         server.script.extend(['wait-3'] * 4)
     answers: list[tuple[int, bytes]] = []
@@ -183,7 +183,7 @@
     for caller in callers:
         caller.join()
     for server in servers:
-        server.goes_on.set()
+        server.unblocked.set()
     return answers
 
 
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -81,7 +81,7 @@
     )
     front.wait_serving(process)
     assert front.ask(process, '/notes/1', model='small')[:2] == (200, WHOLE)
-    assert not front.store.broken
+    assert not front.store.violations
 
 
 def test_a_foreign_entry_beside_them_disturbs_no_box(
--- a/tests/test_resting_replicas.py
+++ b/tests/test_resting_replicas.py
@@ -12,9 +12,9 @@
 import asyncio
 import time
 
+from tests.fake_platform import Server
 from tests.forwarder_harness import ForwarderHarness
 from tests.front_bench import Front
-from tests.house import Server
 from waywell.request.decoded_request import AnswerMetadata
 from waywell.standins.harness import Process, wait_until
 
@@ -36,7 +36,7 @@
 
 def request_rest(front: Front, node: Process, server: Server) -> None:
     """Make a replica ask for rest; send requests until it has rejected one."""
-    server.rest_text = LONG_REST
+    server.retry_after = LONG_REST
     server.script.append('rest')
 
     def ask() -> bool:
@@ -55,10 +55,10 @@
     node = start(front)
     resting = front.servers['a1']
     request_rest(front, node, resting)
-    before = resting.arrivals
+    before = resting.arrival_count
     time.sleep(BACKOFF_SECONDS)
     send_requests(front, node)
-    assert resting.arrivals == before
+    assert resting.arrival_count == before
 
 
 def test_running_stream_does_not_end_the_rest(
@@ -95,26 +95,26 @@
     node = start(front)
     servers = [front.servers[name] for name in ('a1', 'a2')]
     for server in servers:
-        server.rest_text = LONG_REST
+        server.retry_after = LONG_REST
         server.script.append('rest')
     front.ask(node, '/stock/1')
     wait_until(
         lambda: not any(server.script for server in servers),
         'both servers to ask for rest',
     )
-    before = sum(server.arrivals for server in servers)
+    before = sum(server.arrival_count for server in servers)
     for path in ('/stock/1', '/match/1'):
         status, _body, answer = front.ask(node, path)
         assert status == 503
         assert float(answer.headers['Retry-After']) > 0
-    assert sum(server.arrivals for server in servers) == before
+    assert sum(server.arrival_count for server in servers) == before
 
 
 def test_replica_gets_requests_again_after_its_rest(front: Front) -> None:
     node = start(front)
     servers = [front.servers[name] for name in ('a1', 'a2')]
     for server in servers:
-        server.rest_text = '0.5'
+        server.retry_after = '0.5'
         server.script.append('rest')
     front.ask(node, '/stock/1')
     wait_until(
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -32,7 +32,7 @@
 
     def ask() -> bool:
         caller.call(PATH)
-        return bench.read_target(name)['turned_away'] > 0
+        return bench.read_target_counts(name)['turned_away'] > 0
 
     wait_until(ask, f'{name} to ask for rest')
 
@@ -43,7 +43,7 @@
     caller = bench.get_caller('entry-1')
     for _request in range(REQUESTS):
         assert caller.call(PATH).status == 200
-    assert bench.read_target('app-1')['turned_away'] == 1
+    assert bench.read_target_counts('app-1')['turned_away'] == 1
 
 
 def test_requests_are_refused_at_once_if_all_targets_rest(
@@ -57,4 +57,4 @@
     assert refused.read_json()['code'] == Code.REPLICAS_REST
     assert refused.read_json()['ran'] == 'not_run'
     for name in ('app-1', 'app-2'):
-        assert bench.read_target(name)['turned_away'] == 1
+        assert bench.read_target_counts(name)['turned_away'] == 1
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -74,7 +74,7 @@
     for session, group in first.items():
         expected = 'moved_down' if group == lost['group'] else 'session'
         assert reasons[session] == expected
-    bench.list_box(box, 'lost')
+    bench.set_box_state(box, 'lost')
     bench.start_box(BoxSpec(box, labels={'pool': 'llm'}))
     for number in (1, 2):
         bench.wait_serving(f'entry-{number}', 'llm-main', 3)
--- a/tests/test_started_after_return.py
+++ b/tests/test_started_after_return.py
@@ -9,7 +9,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from tests.house import KEY, make_manifest
+from tests.fake_platform import KEY, make_manifest
 from waywell.standins.harness import wait_until
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 ) -> None:
     first = front.start()
     front.wait_serving(first)
-    snapshot = front.store.take_copy()
+    snapshot = front.store.take_snapshot()
     tenants = [{'name': 'shop', 'api_keys': ['another']}]
     front.store.put('config', 'main', make_manifest(2, tenants=tenants))
 
@@ -30,7 +30,7 @@
         return bool(json.loads(body)['routes_version'] == 2)
 
     wait_until(has_later_version, 'the version without the key')
-    front.store.go_back(snapshot)
+    front.store.restore(snapshot)
     second = front.start('front-2')
     wait_until(lambda: front.is_ready(second), 'the second node')
     assert front.ask(second, '/stock/1', key=KEY)[0] != 200
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -13,9 +13,9 @@
 
 from returns.result import Result, Success
 
+from tests.fake_platform import KEY, StoreSnapshot, make_manifest
 from tests.front_bench import Front
 from tests.held_clock import HeldClock
-from tests.house import KEY, StoreCopy, make_manifest
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
 from waywell.connection.platform import Stored
@@ -63,7 +63,7 @@
 def restore_and_wait(
     front: Front,
     node: Process,
-    copy: StoreCopy,
+    copy: StoreSnapshot,
     *objects: tuple[str, str, Any],
 ) -> None:
     """Restore the store; wait until a node has read all of it."""
@@ -76,7 +76,7 @@
         'a read newer than the copy',
     )
     seen = {**front.servers['m1'].entry, 'slots': 7}
-    front.store.go_back(copy, ('servers', 'm1', seen), *objects)
+    front.store.restore(copy, ('servers', 'm1', seen), *objects)
     wait_until(
         lambda: read_boxes(front, node)['m1']['places'] == 7,
         'a read after the restore',
@@ -87,7 +87,7 @@
     front: Front,
 ) -> None:
     node = start(front)
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     for number in range(40):
         front.store.put('others', f'o{number}', {})
     wait_until(
@@ -96,7 +96,7 @@
     )
     later = make_manifest(2, tenants=[{'name': 'new', 'api_keys': [KEY]}])
     objects = [('others', f'o{number}', {}) for number in range(400)]
-    front.store.go_back(copy, ('config', 'main', later), *objects)
+    front.store.restore(copy, ('config', 'main', later), *objects)
     wait_until(
         lambda: read_status(front, node)['routes_version'] == 2,
         'the version that was written after the restore',
@@ -107,7 +107,7 @@
 def test_status_and_log_report_the_restored_store(front: Front) -> None:
     node = start(front)
     assert read_status(front, node)['store_era_since'] is None
-    restore_and_wait(front, node, front.store.take_copy())
+    restore_and_wait(front, node, front.store.take_snapshot())
     status = read_status(front, node)
     assert (status['store_era'], status['store_era_changes']) == (2, 1)
     assert status['store_era_since'] is not None
@@ -124,14 +124,14 @@
     wait_until(
         lambda: 'a2' not in read_boxes(front, node), 'one remaining replica'
     )
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     server = front.servers['a1']
     server.restart()
     wait_until(
         lambda: read_boxes(front, node)['a1']['incarnation'] == 2,
         'the new incarnation',
     )
-    server.goes_on.clear()
+    server.unblocked.clear()
     answers = []
     caller = threading.Thread(
         target=lambda: answers.append(front.ask(node, '/match/1')[0])
@@ -141,7 +141,7 @@
     restore_and_wait(front, node, copy)
     # The box keeps running and writes its entry again a moment later.
     server.write_entry()
-    server.goes_on.set()
+    server.unblocked.set()
     caller.join()
     assert answers == [200]
 
@@ -150,7 +150,7 @@
     front: Front,
 ) -> None:
     node = start(front)
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     leaving = front.servers['a1']
     leaving.entry['state'] = 'draining'
     leaving.write_entry()
@@ -161,14 +161,14 @@
     restore_and_wait(front, node, copy)
     for _request in range(REQUESTS):
         assert front.ask(node, '/stock/1')[0] == 200
-    assert not leaving.arrivals
+    assert not leaving.arrival_count
 
 
 def test_boxes_missing_from_the_copy_are_kept_until_they_write_again(
     tmp_path: Path,
 ) -> None:
     front = Front(tmp_path)
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     front.add_servers()
     try:
         node = start(front)
--- a/tests/test_truncated_answers.py
+++ b/tests/test_truncated_answers.py
@@ -11,8 +11,8 @@
 import pytest
 
 from tests.broken_bodies import BodyScript, Ending, Framing
+from tests.fake_platform import EVENTS, HOST, KEY, make_manifest
 from tests.front_bench import CALL_SECONDS, WHOLE, Front
-from tests.house import EVENTS, HOST, KEY, make_manifest
 from tests.replica_paths import Cut, ReplicaPaths
 from waywell.standins.harness import Process, wait_until
 
@@ -101,7 +101,7 @@
     for server in front.servers.values():
         server.script = deque()
         server.runs.clear()
-        server.goes_on.set()
+        server.unblocked.set()
     return running
 
 
@@ -218,7 +218,7 @@
 ) -> None:
     front, process = served
     for server in front.servers.values():
-        server.goes_on.clear()
+        server.unblocked.clear()
     broken = BodyScript(Framing.CLOSE, Ending.CLOSE, WHOLE[: 2 * EVENT + 3])
     script_next(front, 'wait-1', broken)
     assert ask_stream(front, process, 'hedged') is None
--- a/tests/test_truncated_targets.py
+++ b/tests/test_truncated_targets.py
@@ -102,7 +102,7 @@
         {'name': 'app', 'type': 'plain', 'fenced': False},
     ]
     for name in ('llm', 'app'):
-        bench.list_scripted(
+        bench.list_box_at_port(
             BoxSpec(name, fenced=False, labels={'pool': name}), box.port
         )
     bench.start_entry('entry-1', timing=QUICK)
--- a/waywell/bench/size.py
+++ b/waywell/bench/size.py
@@ -52,7 +52,7 @@
     port = bench.targets['app-1'].ports['port']
     for number in range(count):
         box = BoxSpec(f'box-{number:04}', labels={'pool': 'llm'})
-        bench.list_scripted(box, port)
+        bench.list_box_at_port(box, port)
 
 
 def form_groups(bench: Bench, names: list[str], groups: int) -> float:
--- a/waywell/demo.py
+++ b/waywell/demo.py
@@ -130,7 +130,7 @@
         'the group to be out of service',
     )
     say(f'a request is refused: {refused.read_json()["name"]}, not run')
-    bench.list_box('box-2', 'lost')
+    bench.set_box_state('box-2', 'lost')
     bench.start_box(BoxSpec('box-2', labels={'pool': 'notes'}))
     say('box-2 is back with a new start; the group is formed again')
     wait_until(lambda: _ask_until(caller, 200), 'the group to be back')
--- a/waywell/platform/adapter.py
+++ b/waywell/platform/adapter.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from waywell.connection.store_era import EraTracker
-from waywell.platform.desk import (
+from waywell.platform.endpoints import (
     make_directory_handlers,
     make_ready_handlers,
 )
--- a/waywell/platform/desk.py
+++ b/waywell/platform/endpoints.py
@@ -20,7 +20,7 @@
 """Asked by clients, for the addresses to connect to."""
 
 
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 """Addresses of one answer that clients take notice of."""
 
 
@@ -58,7 +58,7 @@
     if not addresses:
         return DeskAnswer(HTTPStatus.SERVICE_UNAVAILABLE)
     body = {
-        'addresses': addresses[:MOST_ADDRESSES],
+        'addresses': addresses[:MAX_ADDRESSES],
         'ttl_s': keep_seconds,
     }
     return DeskAnswer(HTTPStatus.OK, msgspec.json.encode(body))
--- a/waywell/platform/orders.py
+++ b/waywell/platform/orders.py
@@ -14,8 +14,8 @@
 from waywell.platform.servers import (
     Born,
     Group,
-    decode_group,
-    decode_life,
+    decode_incarnation,
+    decode_standing,
 )
 from waywell.telemetry.events import log_warning
 from waywell.version.box_report import NORMAL_PACE, BoxReport
@@ -124,8 +124,8 @@
 
 def _decode_readable(raw: bytes) -> BoxReport:
     found = msgspec.json.decode(raw, type=_Report)
-    standing = None if found.group is None else decode_group(found.group)
-    life = decode_life(found.born)
+    standing = None if found.group is None else decode_standing(found.group)
+    life = decode_incarnation(found.born)
     return BoxReport(found.pace, found.seq_no, standing, life)
 
 
--- a/waywell/platform/servers.py
+++ b/waywell/platform/servers.py
@@ -103,13 +103,15 @@
         places=server.slots,
         leaving=server.state != 'ready',
         staged=tuple(_decode_staged(staged) for staged in server.staged),
-        standing=None if server.group is None else decode_group(server.group),
-        incarnation=decode_life(server.born),
+        standing=None
+        if server.group is None
+        else decode_standing(server.group),
+        incarnation=decode_incarnation(server.born),
         entry_number=server.seq_no,
     )
 
 
-def decode_life(born: int | msgspec.UnsetType) -> Incarnation:
+def decode_incarnation(born: int | msgspec.UnsetType) -> Incarnation:
     """Return which life of a server tells something."""
     if isinstance(born, msgspec.UnsetType):
         return UNKNOWN_INCARNATION
@@ -132,7 +134,7 @@
     return ModelName(msgspec.convert(staged, _Model).name)
 
 
-def decode_group(group: Group) -> Standing | None:
+def decode_standing(group: Group) -> Standing | None:
     """Return a place in a group; ``None`` for that in no group.
 
     Raises
--- a/waywell/standins/harness.py
+++ b/waywell/standins/harness.py
@@ -203,7 +203,7 @@
             self._boots[spec.name] = self._boots.get(spec.name, 0) + 1
             self.restart_target(spec)
         for spec in specs:
-            self.list_box(spec.name, 'live')
+            self.set_box_state(spec.name, 'live')
 
     def restart_target(self, spec: BoxSpec) -> Process:
         """Start a target of which the box list learns nothing."""
@@ -225,7 +225,7 @@
         self.specs[spec.name] = spec
         return process
 
-    def list_scripted(self, spec: BoxSpec, port: int) -> None:
+    def list_box_at_port(self, spec: BoxSpec, port: int) -> None:
         """Put a box on the box list whose target a test plays itself."""
         self.specs[spec.name] = spec
         self._put_box(spec, port, 'live', boot=1)
@@ -233,9 +233,9 @@
     def relabel(self, name: str, labels: dict[str, str]) -> None:
         """Set the labels of a box, as an operator would."""
         self.specs[name].labels = labels
-        self.list_box(name, 'live')
+        self.set_box_state(name, 'live')
 
-    def list_box(self, name: str, state: str) -> None:
+    def set_box_state(self, name: str, state: str) -> None:
         """Set the state of a box on the platform's box list."""
         port = self.targets[name].ports['port']
         self._put_box(self.specs[name], port, state, self._boots[name])
@@ -312,7 +312,7 @@
         """Set faults of a target; return its counts of runs."""
         return dict(self._call_faults(name, faults)['runs'])
 
-    def read_target(self, name: str) -> dict[str, Any]:
+    def read_target_counts(self, name: str) -> dict[str, Any]:
         """Return what a target counts: runs, turned away, arrivals."""
         return dict(self._call_faults(name, {}))
 
