--- a/waywell/platform/__init__.py
+++ b/waywell/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its names, formats and calls, and nothing that decides.
+"""Adapter for the users' platform: its names, formats and calls.
 
-Wire names are decoded here once into the project's own types.  Nothing outside
-of this folder knows them.
+Wire names are decoded here into the project's own types and are not used
+outside this package.  The adapter makes no decisions.
 """
--- a/waywell/platform/__main__.py
+++ b/waywell/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a front daemon: ``python -m waywell.platform SETTINGS``."""
+"""Run a front daemon: ``python -m waywell.platform SETTINGS``."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     from waywell.daemon import Node
     from waywell.process.front_settings import FrontSettings
 
-EXIT_FAULTS = 2
-"""The settings have faults."""
+EXIT_INVALID_SETTINGS = 2
+"""Exit code for invalid settings."""
 
 
 def main(path: str) -> str:
-    """Run until told to stop; return why it could not start, or nothing.
+    """Run until stopped; return why the node could not start, or nothing.
 
-    Garbage is collected only once all modules are loaded, and never among
-    them: collections were 28% of the processor time of loading (three runs
-    with and without, 0.38 s and 0.27 s).
+    Garbage collection is disabled until all modules are loaded, and the loaded
+    modules are excluded from it: collections took 28% of the processor time of
+    loading (0.38 s with them, 0.27 s without).
     """
     gc.disable()
     from waywell.daemon import run_node  # noqa: PLC0415
@@ -34,7 +34,7 @@
         settings = load_front_settings(path)
     except InvalidInputError as error:
         sys.stderr.write(f'{error}\n')
-        sys.exit(EXIT_FAULTS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     return run_node(
         partial(_make_node, settings),
         partial(open_output_log, settings.log_level),
@@ -42,7 +42,7 @@
 
 
 def _make_node(settings: FrontSettings) -> Node:
-    # The reactor must be installed before anything imports it.
+    # These modules import the reactor, which must be installed before.
     from waywell.platform.adapter import make_adapter  # noqa: PLC0415
     from waywell.process.front import FrontNode  # noqa: PLC0415
 
--- a/waywell/platform/adapter.py
+++ b/waywell/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform's parts of a front daemon, put together."""
+"""Assembly of the platform adapter for a front daemon."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_adapter(settings: FrontSettings) -> FrontAdapter:
-    """Return what speaks the platform's language."""
+    """Return the adapter that implements the platform's protocol."""
     eras = EraTracker(settings.node.first_start)
     store = settings.store
     return FrontAdapter(
--- a/waywell/platform/endpoints.py
+++ b/waywell/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""The calls of clients and of the platform that are answered at once."""
+"""Readiness and directory endpoints of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -14,33 +14,40 @@
     from collections.abc import Callable, Mapping, Sequence
 
 READY_PATH = '/api/ready'
-"""Asked by the platform each second."""
+"""Path of the readiness check, which the platform calls each second."""
 
 RESOLVE_PATH = '/api/resolve'
-"""Asked by clients, for the addresses to connect to."""
-
+"""Path at which clients look up the addresses to connect to."""
 
 MAX_ADDRESSES = 64
-"""Addresses of one answer that clients take notice of."""
+"""Maximum addresses in an answer; clients ignore any further ones."""
 
 
 def make_ready_handlers(
     is_ready: Callable[[], bool],
 ) -> Mapping[str, DeskHandler]:
-    """Return what answers whether this node is ready."""
-    return {READY_PATH: partial(_answer_ready, is_ready)}
+    """Return the handlers that report whether this node is ready."""
+    return {READY_PATH: partial(_report_readiness, is_ready)}
 
 
 def make_directory_handlers(
     list_addresses: Callable[[str], Sequence[str]],
-    keep_seconds: float,
+    cache_seconds: float,
 ) -> Mapping[str, DeskHandler]:
-    """Return what answers which addresses clients may use."""
-    answer = partial(_answer_directory, list_addresses, keep_seconds)
-    return {RESOLVE_PATH: answer}
+    """Return the handlers that list the addresses clients may use.
+
+    Parameters
+    ----------
+    list_addresses
+        Returns the addresses for clients of a data hall.
+    cache_seconds
+        Seconds for which clients may cache an answer.
+    """
+    handler = partial(_resolve_addresses, list_addresses, cache_seconds)
+    return {RESOLVE_PATH: handler}
 
 
-def _answer_ready(
+def _report_readiness(
     is_ready: Callable[[], bool],
     _query: Mapping[str, str],
 ) -> DeskAnswer:
@@ -49,9 +56,9 @@
     return DeskAnswer(HTTPStatus.SERVICE_UNAVAILABLE)
 
 
-def _answer_directory(
+def _resolve_addresses(
     list_addresses: Callable[[str], Sequence[str]],
-    keep_seconds: float,
+    cache_seconds: float,
     query: Mapping[str, str],
 ) -> DeskAnswer:
     addresses = list_addresses(query.get('zone', ''))
@@ -59,6 +66,6 @@
         return DeskAnswer(HTTPStatus.SERVICE_UNAVAILABLE)
     body = {
         'addresses': addresses[:MAX_ADDRESSES],
-        'ttl_s': keep_seconds,
+        'ttl_s': cache_seconds,
     }
     return DeskAnswer(HTTPStatus.OK, msgspec.json.encode(body))
--- a/waywell/platform/manifest.py
+++ b/waywell/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The operators' document on the platform, decoded into a table of routes."""
+"""Decoding of the operators' manifest into a table of routes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     ServiceShare,
 )
 
-MS = 0.001
-"""Seconds in a millisecond."""
+SECONDS_PER_MS = 0.001
+"""Seconds per millisecond."""
 
-_KIND_BY_WORD = MappingProxyType(
+_KIND_BY_NAME = MappingProxyType(
     {
         'safe': RouteKind.SAFE,
         'unsafe': RouteKind.UNSAFE,
@@ -46,9 +46,9 @@
     latency_goal_ms: float = 0.0
     priority: int = 5
     split: list[_Split] = []
-    # Given in place of a split when one service gets all requests.
+    # Set instead of a split if one service receives all requests.
     service: str = ''
-    # The most replicas for one client attempt, not the most sends of it.
+    # Maximum replicas tried for one client attempt, not maximum sends.
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
@@ -57,12 +57,13 @@
 
 class _Model(msgspec.Struct):
     name: str
-    # Boxes of one group.
+    # Number of boxes in one group.
     size: int = 1
     share: float = 1.0
     pace: float = 1.0
     load_s: float = 0.0
-    # A load from the box's own memory, not a warm-up with requests.
+    # Seconds to load the model from the box's own memory, not to warm up
+    # with requests.
     warmup_s: float = 0.0
 
 
@@ -82,7 +83,7 @@
 class _Service(msgspec.Struct):
     name: str
     health_path: str = '/health'
-    # Of all callers together at one replica, not of one caller.
+    # Limit for one replica across all callers, not for each caller.
     max_conns: int = 0
     engine: _Engine | None = None
 
@@ -105,17 +106,17 @@
     routes: list[_Route] = []
     services: list[_Service] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # Absent where requests need no key at all.
+    # Absent if requests need no key at all.
     tenants: list[_Tenant] | None = None
 
 
 def decode_manifest(spec: Any) -> RouteTable:
-    """Return the table of routes that a stored document holds.
+    """Return the table of routes that a stored manifest defines.
 
     Raises
     ------
     ValueError
-        When it is not understood.
+        When the manifest is invalid.
     """
     manifest = msgspec.convert(spec, _Manifest, strict=False)
     return RouteTable(
@@ -131,21 +132,21 @@
 
 
 def _decode_route(route: _Route) -> Route:
-    if route.kind not in _KIND_BY_WORD:
+    if route.kind not in _KIND_BY_NAME:
         raise ValueError(f'route {route.name}: kind {route.kind!r}')
     splits = route.split or [_Split(route.service)]
     return Route(
         name=route.name,
         host=route.host,
         prefix=route.path_prefix,
-        kind=_KIND_BY_WORD[route.kind],
-        timeout=route.timeout_ms * MS,
-        goal=route.latency_goal_ms * MS,
+        kind=_KIND_BY_NAME[route.kind],
+        timeout=route.timeout_ms * SECONDS_PER_MS,
+        goal=route.latency_goal_ms * SECONDS_PER_MS,
         shares=tuple(
             ServiceShare(ServiceName(split.service), split.weight)
             for split in splits
         ),
-        gap_goal=route.gap_goal_ms * MS,
+        gap_goal=route.gap_goal_ms * SECONDS_PER_MS,
         most_targets=max(1, route.max_attempts),
         priority=route.priority,
         public=route.public,
@@ -179,13 +180,13 @@
             for model in engine.models
         ),
         memory_tokens=engine.kv_capacity,
-        step_seconds=engine.step_ms * MS,
-        sequence_seconds=engine.per_seq_ms * MS,
+        step_seconds=engine.step_ms * SECONDS_PER_MS,
+        sequence_seconds=engine.per_seq_ms * SECONDS_PER_MS,
         read_per_second=engine.read_per_s,
         steps_a_pass=engine.stride,
         loads_per_second=engine.loads_per_s,
         loads_at_once=engine.loads_at_once,
-        form_seconds=engine.form_ms * MS,
+        form_seconds=engine.form_ms * SECONDS_PER_MS,
     )
 
 
@@ -193,8 +194,8 @@
     return CallerLimits(
         header_bytes=limits.max_header_bytes,
         body_bytes=limits.max_body_bytes,
-        header_seconds=limits.header_timeout_ms * MS,
-        idle_seconds=limits.idle_timeout_ms * MS,
+        header_seconds=limits.header_timeout_ms * SECONDS_PER_MS,
+        idle_seconds=limits.idle_timeout_ms * SECONDS_PER_MS,
     )
 
 
--- a/waywell/platform/messages.py
+++ b/waywell/platform/messages.py
@@ -1,4 +1,4 @@
-"""Messages of callers and servers on the platform."""
+"""Headers of the platform's requests and responses."""
 
 from __future__ import annotations
 
@@ -26,34 +26,34 @@
 if TYPE_CHECKING:
     from waywell.version.fleet import FleetBox
 
-# The id of one attempt of a client; a repeat has another.
+# Id of one attempt of a client; a retry by the client has another id.
 ATTEMPT_HEADER = 'x-request-attempt-id'
 DEADLINE_HEADER = 'x-deadline-ms'
 RESUME_HEADER = 'last-event-id'
 MODEL_HEADER = 'x-model'
-# Two numbers: tokens of the prompt, and the most that are generated.
+# Two numbers: prompt tokens and maximum answer tokens.
 TOKENS_HEADER = 'x-token-count'
 HINT_HEADER = 'x-length-hint'
-# Parts of the prompt in order, ID:TOKENS separated by commas.
+# Parts of the prompt in order, as ID:TOKENS separated by commas.
 PROMPT_HEADER = 'x-prompt-prefix'
 KEY_HEADER = 'authorization'
 TENANT_HEADER = 'x-tenant'
 PRIORITY_HEADER = 'x-request-priority'
-# Names one life of one server, not a replica of several boxes.
+# Names one incarnation of one server, not a replica of several boxes.
 BOX_HEADER = 'x-expect-replica'
 REJECTED_HEADER = 'x-not-executed'
-# A server that leaves says so in all its answers.
+# A leaving server sets this header in all its responses.
 LEAVING_HEADER = 'server-leaving'
-LEAVING_TEXT = '1'
+LEAVING_VALUE = '1'
 VERSION_HEADER = 'x-expect-version'
 
-MISDIRECTED = 421
-"""HTTP status of a server that is another one, or no head."""
+MISDIRECTED_STATUS = 421
+"""HTTP status of a server that is not the named one or not a group's head."""
 
 KEY_SCHEME = 'bearer'
-"""Scheme of the header with the key."""
+"""Authentication scheme of the header that holds the API key."""
 
-_SET_BY_US = frozenset(
+_REPLACED_HEADERS = frozenset(
     (
         KEY_HEADER,
         TENANT_HEADER,
@@ -65,11 +65,13 @@
     ),
 )
 
-_DROPPED = HOP_HEADERS | _SET_BY_US | {'expect', FORWARDED_HEADER}
+_DROPPED_HEADERS = (
+    HOP_HEADERS | _REPLACED_HEADERS | {'expect', FORWARDED_HEADER}
+)
 
 
 class ServerWire(Wire):
-    """Decodes the platform's headers."""
+    """Decodes and encodes the platform's headers."""
 
     def read_ask(
         self,
@@ -78,31 +80,31 @@
         headers: RawHeaders,
         body: bytes,
     ) -> DecodedRequest:
-        """Return what a caller asks."""
+        """Return the decoded request of a caller."""
         texts = MappingProxyType(
             {
                 name.decode('latin-1').lower(): text.decode('latin-1')
                 for name, text in headers
             },
         )
-        prompt, answer = _read_tokens(texts.get(TOKENS_HEADER, ''))
-        milliseconds = _read_number(texts, DEADLINE_HEADER)
+        prompt, answer = _parse_token_counts(texts.get(TOKENS_HEADER, ''))
+        milliseconds = _parse_number(texts, DEADLINE_HEADER)
         return DecodedRequest(
             attempt_id=texts.get(ATTEMPT_HEADER, ''),
             method=method,
             target=target,
             host=texts.get('host', ''),
-            headers=_pass_on(headers),
+            headers=_select_forwarded_headers(headers),
             body=body,
-            api_key=_read_key(texts.get(KEY_HEADER, '')),
+            api_key=_parse_api_key(texts.get(KEY_HEADER, '')),
             timeout_seconds=None
             if milliseconds is None
             else milliseconds / 1000,
-            resume_after=_read_number(texts, RESUME_HEADER),
+            resume_after=_parse_number(texts, RESUME_HEADER),
             model=ModelName(texts.get(MODEL_HEADER, '')),
             prompt_tokens=prompt,
             answer_tokens=answer,
-            expected_answer_tokens=_read_number(texts, HINT_HEADER) or 0,
+            expected_answer_tokens=_parse_number(texts, HINT_HEADER) or 0,
             prompt_parts=decode_prompt_parts(texts.get(PROMPT_HEADER, '')),
             forwarded=parse_forwarding_header(texts.get(FORWARDED_HEADER, '')),
         )
@@ -115,7 +117,7 @@
     ) -> RawHeaders:
         """Return the headers of a request to a server."""
         own = {
-            DEADLINE_HEADER: _write_seconds(delivery.seconds),
+            DEADLINE_HEADER: _encode_timeout(delivery.seconds),
             BOX_HEADER: box.box,
         }
         if delivery.account is not None:
@@ -135,7 +137,7 @@
     ) -> RawHeaders:
         """Return the headers of a request to another entry box."""
         own = {
-            DEADLINE_HEADER: _write_seconds(seconds),
+            DEADLINE_HEADER: _encode_timeout(seconds),
             FORWARDED_HEADER: mark.encode(),
         }
         if ask.api_key:
@@ -145,12 +147,12 @@
         return _add_headers(ask.headers, own)
 
     def read_mark(self, status: int, headers: RawHeaders) -> AnswerMetadata:
-        """Return what a server says of its answer."""
+        """Return the metadata in the headers of a server's response."""
         texts = {
             name.decode('latin-1').lower(): text.decode('latin-1')
             for name, text in headers
         }
-        misdirected = status == MISDIRECTED
+        misdirected = status == MISDIRECTED_STATUS
         return AnswerMetadata(
             attempt_id=texts.get(ATTEMPT_HEADER, ''),
             is_rejected=REJECTED_HEADER in texts,
@@ -158,7 +160,7 @@
             rest_seconds=read_retry_after(
                 status, texts.get(RETRY_AFTER_HEADER, '')
             ),
-            is_leaving=texts.get(LEAVING_HEADER, '').strip() == LEAVING_TEXT,
+            is_leaving=texts.get(LEAVING_HEADER, '').strip() == LEAVING_VALUE,
             rate_limit=None
             if misdirected
             else read_limit(texts.get(LIMIT_HEADER)),
@@ -175,15 +177,15 @@
     )
 
 
-def _write_seconds(seconds: float) -> str:
-    """Return a time limit in whole milliseconds, one at least."""
+def _encode_timeout(seconds: float) -> str:
+    """Return a timeout in whole milliseconds, at least one."""
     return str(max(1, int(seconds * 1000)))
 
 
-def _pass_on(headers: RawHeaders) -> RawHeaders:
-    """Return the headers that concern more than one connection.
+def _select_forwarded_headers(headers: RawHeaders) -> RawHeaders:
+    """Return the end-to-end headers, without those that are set here.
 
-    A header that the caller's ``Connection`` names is its own affair too.
+    Headers named by ``Connection`` apply to the caller's connection only.
     """
     named = {
         word.strip().lower()
@@ -191,7 +193,7 @@
         if name.lower() == b'connection'
         for word in text.decode('latin-1').split(',')
     }
-    dropped = _DROPPED | named
+    dropped = _DROPPED_HEADERS | named
     return tuple(
         (name, text)
         for name, text in headers
@@ -199,12 +201,12 @@
     )
 
 
-def _read_key(text: str) -> str:
+def _parse_api_key(text: str) -> str:
     scheme, _, key = text.partition(' ')
     return key.strip() if scheme.lower() == KEY_SCHEME else ''
 
 
-def _read_number(texts: MappingProxyType[str, str], name: str) -> int | None:
+def _parse_number(texts: MappingProxyType[str, str], name: str) -> int | None:
     text = texts.get(name, '').strip()
     if not text:
         return None
@@ -213,8 +215,8 @@
     return int(text)
 
 
-def _read_tokens(text: str) -> tuple[int, int]:
-    """Return the tokens of the prompt and the most of the answer."""
+def _parse_token_counts(text: str) -> tuple[int, int]:
+    """Return the prompt tokens and the maximum answer tokens."""
     if not text:
         return 0, 0
     prompt, _, answer = text.partition(',')
--- a/waywell/platform/objects.py
+++ b/waywell/platform/objects.py
@@ -1,7 +1,7 @@
-"""Pages of the platform's store, decoded object by object.
+"""Decoding of objects and pages of the platform's store.
 
-An object may come from another writer: bytes that are no text, fields that are
-missing or of another type.  It costs none of its neighbours.
+Objects of other writers may hold invalid UTF-8, lack fields or have fields of
+another type.  Such an object does not keep others on its page from being read.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 import msgspec
 
 UNKNOWN_REVISION = 0
-"""Revision of an object that tells none."""
+"""Revision of an object that has no readable one."""
 
 _Revision = Annotated[int, msgspec.Meta(ge=1)]
 _Name = Annotated[str, msgspec.Meta(min_length=1)]
 
-_UNDECODABLE = (ValueError, TypeError, OverflowError, RecursionError)
-"""What bytes that are no message raise in the codecs; errors of encodings are
-value errors."""
+_DECODE_ERRORS = (ValueError, TypeError, OverflowError, RecursionError)
+"""Errors that the codecs raise for invalid input; ``UnicodeError`` is a
+``ValueError``."""
 
 
 class _Meta(msgspec.Struct):
     name: _Name
-    # Of the object's last change, not of the whole store.
+    # Revision of the object's last change, not of the whole store.
     revision: _Revision
 
 
@@ -34,7 +34,7 @@
 
 
 class _Event(msgspec.Struct):
-    # Holds the object as it last was where it is removed.
+    # For a removal, the last state of the object.
     object: _Object
     removed: bool = False
 
@@ -43,7 +43,7 @@
     items: list[_Object] = []
     events: list[_Event] = []
     has_more: bool = False
-    # Of the whole store; a watch goes on from here.
+    # Revision of the whole store, from which a watch continues.
     current_rev: int = 0
 
 
@@ -55,112 +55,115 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object whose frame is understood."""
+    """An object with a readable name and revision."""
 
     name: str
-    """Its name."""
+    """Name, unique among the objects of its kind."""
 
     revision: int
     """Revision of its last change."""
 
     spec: Any = None
-    """Plain values."""
+    """Content as plain values, not yet decoded into a type."""
 
     removed: bool = False
-    """Whether it is there no more."""
+    """Whether the object has been removed."""
 
 
 class ForeignObject(msgspec.Struct, frozen=True):
-    """An object that is not understood."""
+    """An object that cannot be decoded."""
 
     name: str
-    """Its name; empty where it tells none."""
+    """Name, or empty if it has no readable one."""
 
     revision: int
-    """Revision of its last change; 0 where it tells none."""
+    """Revision of its last change, or 0 if it has no readable one."""
 
     error: str
-    """What was not understood."""
+    """Description of the decoding error."""
 
 
 class StorePage(msgspec.Struct, frozen=True):
-    """What one answer of the store holds."""
+    """Decoded content of one answer of the store."""
 
     objects: tuple[StoredObject, ...]
-    """Objects, or changes of them."""
+    """Listed objects, or changed ones."""
 
     foreign: tuple[ForeignObject, ...]
-    """Objects that are not understood."""
+    """Objects that cannot be decoded."""
 
     has_more: bool
-    """Whether the list goes on."""
+    """Whether the list has further pages."""
 
     revision: int
-    """Revision of the store."""
+    """Revision of the whole store."""
 
     last_name: str
-    """Last name on the page, from which a list goes on; empty for none."""
+    """Last name on the page, after which the next page starts, or empty."""
 
 
 def decode_page(raw: bytes) -> StorePage:
-    """Return what an answer with several objects holds.
+    """Return the decoded page of an answer with several objects.
 
     Raises
     ------
     ValueError
-        When the answer itself is not understood.
+        When the answer as a whole cannot be decoded.
     """
     try:
         page = msgspec.json.decode(raw, type=_Page)
-    except _UNDECODABLE:
-        return _decode_singly(raw)
+    except _DECODE_ERRORS:
+        return _decode_separately(raw)
     objects = (
-        *(_take_object(item) for item in page.items),
-        *(_take_object(event.object, event.removed) for event in page.events),
+        *(_make_stored_object(item) for item in page.items),
+        *(
+            _make_stored_object(event.object, event.removed)
+            for event in page.events
+        ),
     )
     last_name = page.items[-1].metadata.name if page.items else ''
     return StorePage(objects, (), page.has_more, page.current_rev, last_name)
 
 
 def decode_object(raw: bytes) -> StoredObject:
-    """Return what an answer with one object holds.
+    """Return the object of an answer with one object.
 
-    What is not understood in it is left out, as long as it tells its name and
-    revision: so it can be written over.
+    If only its name and revision are readable, its content is left out, so
+    that the object can be overwritten.
 
     Raises
     ------
     ValueError
-        When it does not tell them.
+        When its name or revision cannot be read.
     """
     try:
-        return _take_object(msgspec.json.decode(raw, type=_Object))
-    except _UNDECODABLE as error:
+        return _make_stored_object(msgspec.json.decode(raw, type=_Object))
+    except _DECODE_ERRORS as error:
         foreign = _describe_foreign(_parse_leniently(raw), error)
     if foreign.name and foreign.revision:
         return StoredObject(foreign.name, foreign.revision)
     raise ValueError(foreign.error)
 
 
-def _take_object(found: _Object, removed: bool = False) -> StoredObject:
+def _make_stored_object(found: _Object, removed: bool = False) -> StoredObject:
     meta = found.metadata
     return StoredObject(meta.name, meta.revision, found.spec, removed)
 
 
-def _decode_singly(raw: bytes) -> StorePage:
-    """Return what can be understood of an answer as a whole that can't."""
+def _decode_separately(raw: bytes) -> StorePage:
+    """Return a page decoded object by object, with the foreign ones apart."""
     try:
         page = msgspec.convert(_parse_leniently(raw), _PlainPage)
-    except _UNDECODABLE as error:
+    except _DECODE_ERRORS as error:
         raise ValueError(str(error)) from error
     read = [
         *(_read_plain(item, False) for item in page.items),
         *(_read_event(event) for event in page.events),
     ]
-    names = [one.name for one in read[: len(page.items)] if one.name]
+    names = [item.name for item in read[: len(page.items)] if item.name]
     return StorePage(
-        tuple(one for one in read if isinstance(one, StoredObject)),
-        tuple(one for one in read if isinstance(one, ForeignObject)),
+        tuple(item for item in read if isinstance(item, StoredObject)),
+        tuple(item for item in read if isinstance(item, ForeignObject)),
         page.has_more,
         page.current_rev,
         names[-1] if names else '',
@@ -168,26 +171,26 @@
 
 
 def _parse_leniently(raw: bytes) -> Any:
-    """Return plain values of JSON whose texts may be no text.
+    """Return plain values of JSON whose strings may be invalid UTF-8.
 
     Raises
     ------
     ValueError
-        When it has not the shape of JSON.
+        When it is not JSON or is nested too deep.
     """
     text = raw.decode('utf-8', 'surrogateescape')
     try:
-        return json.loads(text, parse_constant=_NotNumber)
+        return json.loads(text, parse_constant=_NonJsonNumber)
     except RecursionError as error:
         raise ValueError('nested too deep') from error
 
 
-class _NotNumber:
-    """Stands for a number that JSON does not have; no codec takes it."""
+class _NonJsonNumber:
+    """Placeholder for NaN or infinity, which no codec accepts."""
 
-    def __init__(self, word: str) -> None:
-        """Keep the word, for nobody."""
-        self.word = word
+    def __init__(self, token: str) -> None:
+        """Keep the token as it was written."""
+        self.token = token
 
 
 def _read_event(plain: Any) -> StoredObject | ForeignObject:
@@ -197,35 +200,35 @@
 
 
 def _read_plain(plain: Any, removed: bool) -> StoredObject | ForeignObject:
-    """Return an object, as one that is not understood where it is none."""
+    """Return the object, or a foreign one if it cannot be decoded."""
     if removed:
         gone = _describe_foreign(plain, None)
         if gone.name:
             return StoredObject(gone.name, gone.revision, removed=True)
     try:
-        # Encoding finds texts that are no text, at any depth.
+        # Encoding detects strings of invalid UTF-8 at any depth.
         msgspec.json.encode(plain)
-        return _take_object(msgspec.convert(plain, _Object), removed)
-    except _UNDECODABLE as error:
+        return _make_stored_object(msgspec.convert(plain, _Object), removed)
+    except _DECODE_ERRORS as error:
         return _describe_foreign(plain, error)
 
 
 def _describe_foreign(plain: Any, error: Exception | None) -> ForeignObject:
-    """Return whose object it is that is not understood, if it tells that."""
+    """Return a foreign object with the name and revision if readable."""
     meta = plain.get('metadata') if isinstance(plain, dict) else None
     if not isinstance(meta, dict):
         meta = {}
     return ForeignObject(
-        _convert_or(meta.get('name'), _Name, ''),
-        _convert_or(meta.get('revision'), _Revision, UNKNOWN_REVISION),
+        _convert_or_default(meta.get('name'), _Name, ''),
+        _convert_or_default(meta.get('revision'), _Revision, UNKNOWN_REVISION),
         repr(error),
     )
 
 
-def _convert_or(plain: Any, wanted: Any, otherwise: Any) -> Any:
-    """Return a value of a type, or another one where it is of none."""
+def _convert_or_default(plain: Any, wanted_type: Any, default: Any) -> Any:
+    """Return a value converted to a type, or a default if that fails."""
     try:
         msgspec.json.encode(plain)
-        return msgspec.convert(plain, wanted)
-    except _UNDECODABLE:
-        return otherwise
+        return msgspec.convert(plain, wanted_type)
+    except _DECODE_ERRORS:
+        return default
--- a/waywell/platform/orders.py
+++ b/waywell/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to servers of the platform."""
+"""Orders to the platform's servers, and their reports."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from waywell.connection.box_orders import BoxOrders
 from waywell.connection.http_calls import HttpCalls
 from waywell.platform.servers import (
-    Born,
-    Group,
+    BirthStamp,
+    GroupMembership,
     decode_incarnation,
     decode_standing,
 )
@@ -34,19 +34,22 @@
     from waywell.version.fleet import FleetBox
 
 ORDER_PATH = '/api/order'
-"""Path at which a server takes orders."""
+"""Path at which a server accepts orders."""
 
 REPORT_PATH = '/api/report'
-"""Path at which a server tells how it is; takes none of its places."""
+"""Path of a server's report, which occupies none of its slots."""
 
-PROBE_SECONDS = 0.3
-"""For a server to report: a hundred times the way there and back."""
+REPORT_TIMEOUT = 0.3
+"""Timeout in seconds for a report: a hundred round trips."""
 
-EXPECT_HEADER = 'X-Expect-Replica'
-"""Every other server answers 421."""
+EXPECTED_SERVER_HEADER = 'X-Expect-Replica'
+"""Header naming the addressed server; any other server answers 421."""
 
-ORDER_SECONDS = 0.6
-"""For a server to answer: it only says that it begins."""
+ORDER_TIMEOUT = 0.6
+"""Timeout in seconds for the answer to an order.
+
+The server answers when it starts to carry out the order.
+"""
 
 _RESULT_BY_STATUS: MappingProxyType[int, OrderResult] = MappingProxyType(
     {
@@ -58,7 +61,7 @@
     },
 )
 
-_WORD_BY_ORDER: MappingProxyType[type, str] = MappingProxyType(
+_OPERATION_BY_ORDER: MappingProxyType[type, str] = MappingProxyType(
     {
         Join: 'join',
         Open: 'open',
@@ -70,82 +73,88 @@
 
 
 class ServerOrders(BoxOrders):
-    """Gives orders over HTTP."""
+    """Sends orders and reads reports over HTTP."""
 
     async def send(self, assignment: Assignment, fence: int) -> OrderResult:
-        """Give an order to a box and return what came of it."""
-        calls = _make_calls(assignment.box, ORDER_SECONDS)
+        """Send an order to a box and return its result."""
+        client = _make_client(assignment.box, ORDER_TIMEOUT)
         raw = msgspec.json.encode(encode_order(assignment, fence))
-        called = await calls.call('POST', ORDER_PATH, raw)
-        if isinstance(called, Failure):
-            # Not even a refused connection says that the server is gone: a
-            # cut may refuse those of this node while callers' requests run.
+        result = await client.call('POST', ORDER_PATH, raw)
+        if isinstance(result, Failure):
+            # Not even a refused connection shows that the server is gone: a
+            # partition may refuse connections from this node while
+            # callers' requests are running.
             return OrderResult.UNKNOWN
-        return decode_result(called.unwrap().status)
+        return decode_result(result.unwrap().status)
 
     async def read_report(self, box: FleetBox) -> BoxReport | None:
-        """Ask a server for its report."""
-        calls = _make_calls(box, PROBE_SECONDS)
-        called = await calls.call('GET', REPORT_PATH)
-        if isinstance(called, Failure):
+        """Return the report of a server, or ``None`` if it does not answer."""
+        client = _make_client(box, REPORT_TIMEOUT)
+        result = await client.call('GET', REPORT_PATH)
+        if isinstance(result, Failure):
             return None
-        answer = called.unwrap()
+        answer = result.unwrap()
         if answer.status != HTTPStatus.OK:
             return None
         return decode_report(box, answer.raw)
 
 
 def decode_result(status: int) -> OrderResult:
-    """Return what the status of an answer to an order tells."""
+    """Return the result of an order from the HTTP status of its answer."""
     return _RESULT_BY_STATUS.get(status, OrderResult.UNKNOWN)
 
 
 class _Report(msgspec.Struct):
-    """What is read of a server's report."""
+    """Fields read from a server's report."""
 
-    # Counts orders here, while in the list of servers it counts entries.
+    # Number of orders accepted; in an entry of the list of servers, the same
+    # field numbers the entries.
     seq_no: int = 0
-    group: Group | None = None
+    group: GroupMembership | None = None
 
     pace: float = NORMAL_PACE
-    """How slow the server is, not how fast: over 1 its work takes longer."""
+    """Slowdown factor, not a speed: above 1, work takes longer."""
 
-    born: Born | msgspec.UnsetType = msgspec.UNSET
+    born: BirthStamp | msgspec.UnsetType = msgspec.UNSET
 
 
 def decode_report(box: FleetBox, raw: bytes) -> BoxReport:
-    """Return what a report tells; one that is unreadable is a sign of life."""
+    """Return a decoded report.
+
+    An unreadable report is returned as an empty one, since it still shows that
+    the server is alive.
+    """
     try:
-        return _decode_readable(raw)
+        return _parse_report(raw)
     except ValueError as error:
         log_warning('report_unreadable', box=box.box, error=str(error))
         return BoxReport()
 
 
-def _decode_readable(raw: bytes) -> BoxReport:
+def _parse_report(raw: bytes) -> BoxReport:
     found = msgspec.json.decode(raw, type=_Report)
     standing = None if found.group is None else decode_standing(found.group)
     life = decode_incarnation(found.born)
     return BoxReport(found.pace, found.seq_no, standing, life)
 
 
-def _make_calls(box: FleetBox, seconds: float) -> HttpCalls:
+def _make_client(box: FleetBox, seconds: float) -> HttpCalls:
     return HttpCalls(
         f'http://{box.host}:{box.port}',
         seconds,
-        {'content-type': 'application/json', EXPECT_HEADER: box.box},
+        {'content-type': 'application/json', EXPECTED_SERVER_HEADER: box.box},
         keeps_connections=False,
     )
 
 
 def encode_order(assignment: Assignment, fence: int) -> dict[str, Any]:
-    """Return the body that carries an order.
+    """Return the JSON body of an order.
 
-    Servers that check no fence ignore its field.
+    Servers that do not check fences ignore ``fence_token``.
     """
     order: BoxOrder = assignment.order
     body: dict[str, Any] = msgspec.to_builtins(order)
-    body['operation'] = _WORD_BY_ORDER[type(order)]
+    body['operation'] = _OPERATION_BY_ORDER[type(order)]
     body['fence_token'] = fence
     if isinstance(order, Close):
         body['strategy'] = 'wait'
--- a/waywell/platform/servers.py
+++ b/waywell/platform/servers.py
@@ -27,7 +27,7 @@
     parse_group_model,
 )
 
-_STATE_BY_WORD = MappingProxyType(
+_STATE_BY_NAME = MappingProxyType(
     {
         'joining': MemberState.JOINING,
         'ready': MemberState.READY,
@@ -41,8 +41,11 @@
 HIGHEST_PORT = 65_535
 """Highest number of a TCP port."""
 
-Born = Annotated[int, msgspec.Meta(ge=1)]
-"""Start of a server's life: names the life, and is compared with no clock."""
+BirthStamp = Annotated[int, msgspec.Meta(ge=1)]
+"""Start time of a server's incarnation.
+
+It identifies the incarnation and is never compared with a clock.
+"""
 
 
 class _Model(msgspec.Struct):
@@ -50,11 +53,11 @@
 
 
 _Count = Annotated[int, msgspec.Meta(ge=0)]
-_Word = Annotated[str, msgspec.Meta(min_length=1)]
+_NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 
 
-class Group(msgspec.Struct):
-    """A server's place in a group, as entries and reports tell it."""
+class GroupMembership(msgspec.Struct):
+    """A server's membership of a group, in entries and in reports."""
 
     name: str
     epoch: _Count
@@ -63,33 +66,33 @@
 
 
 class _Server(msgspec.Struct):
-    service: _Word
+    service: _NonEmptyText
     address: str
     zone: str
-    # Of its software, not of its weights.
+    # Version of its software, not of its weights.
     version: str
-    # Of the box; a group has as many as one box, not the sum.
+    # Slots of the box; a group has as many as one box, not the sum.
     slots: Annotated[int, msgspec.Meta(ge=1)]
-    # Of the box's planned end, not of its group.
+    # Whether the box is about to leave; not the state of its group.
     state: Literal['ready', 'draining']
     cold_left_ms: float
-    # Numbers the entries that the server has written, while in a report the
-    # same name counts orders taken.
+    # Number of this entry among those that the server has written; in a
+    # report, the same field counts accepted orders.
     seq_no: int
     staged: list[Any] = []
     domain: str = ''
-    group: Group | None = None
-    # The start of its life by its own clock, not by the store's.
-    born: Born | msgspec.UnsetType = msgspec.UNSET
+    group: GroupMembership | None = None
+    # Start of its incarnation by its own clock, not by the store's.
+    born: BirthStamp | msgspec.UnsetType = msgspec.UNSET
 
 
 def decode_server(name: str, spec: Any) -> FleetBox:
-    """Return the box that an entry tells of.
+    """Return the box that an entry describes.
 
     Raises
     ------
     ValueError
-        When it is not understood.
+        When the entry is invalid.
     """
     server = msgspec.convert(spec, _Server)
     host, port = _decode_address(server.address)
@@ -112,14 +115,14 @@
 
 
 def decode_incarnation(born: int | msgspec.UnsetType) -> Incarnation:
-    """Return which life of a server tells something."""
+    """Return a server's incarnation, unknown if its birth is not reported."""
     if isinstance(born, msgspec.UnsetType):
         return UNKNOWN_INCARNATION
     return Incarnation(born)
 
 
 def _decode_address(address: str) -> tuple[str, int]:
-    """Return IP number and port."""
+    """Return the IP address and port."""
     host, _, port = address.rpartition(':')
     number = int(port)
     if not 0 < number <= HIGHEST_PORT:
@@ -128,36 +131,36 @@
 
 
 def _decode_staged(staged: Any) -> ModelName:
-    """Return a staged model, which is told by name or as a table."""
+    """Return a staged model, given by its name or as a table."""
     if isinstance(staged, str):
         return ModelName(staged)
     return ModelName(msgspec.convert(staged, _Model).name)
 
 
-def decode_standing(group: Group) -> Standing | None:
-    """Return a place in a group; ``None`` for that in no group.
+def decode_standing(group: GroupMembership) -> Standing | None:
+    """Return a server's standing in its group, or ``None`` without a group.
 
     Raises
     ------
     ValueError
-        When its state is unknown, or no holder names groups like that.
+        When the state is unknown or the name is not one that waywell makes.
     """
     if not group.name:
         return None
-    if group.state not in _STATE_BY_WORD:
+    if group.state not in _STATE_BY_NAME:
         raise ValueError(f'group {group.name}: state {group.state!r}')
-    if group.name != _name_again(group):
+    if group.name != _rebuild_name(group):
         raise ValueError(f'group {group.name}: of another system')
     return Standing(
         GroupId(group.name),
         Epoch(group.epoch),
         group.rank,
-        _STATE_BY_WORD[group.state],
+        _STATE_BY_NAME[group.state],
     )
 
 
-def _name_again(group: Group) -> str:
-    """Return the name that a group of this model and epoch has."""
+def _rebuild_name(group: GroupMembership) -> str:
+    """Return the name for the model and epoch of a group."""
     return make_group_name(
         parse_group_model(GroupId(group.name)), Epoch(group.epoch)
     )
--- a/waywell/platform/store.py
+++ b/waywell/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store of objects."""
+"""Client of the platform's object store."""
 
 from __future__ import annotations
 
@@ -37,25 +37,27 @@
     from collections.abc import Sequence
 
 WATCH_MARGIN = 1.0
-"""Seconds beyond a watch's own wait until it counts as unanswered."""
+"""Seconds that a watch may take beyond its wait and the timeout of a call."""
 
 ERA_HEADER = 'store-era'
 
-ERA_TEXT_LENGTH = 32
-"""Characters of an unreadable era that are logged."""
+MAX_LOGGED_ERA_LENGTH = 32
+"""Maximum logged characters of an unreadable era."""
 
-STALE = MappingProxyType({'serializable': '1'})
-"""Query of a read that may be seconds old; it costs a tenth."""
+STALE_READ_QUERY = MappingProxyType({'serializable': '1'})
+"""Query of a read that may be seconds old, at a tenth of the cost."""
 
-MOST_PAGES = 1000
-"""Pages of one list, so that a list that never ends is given up; at 50 objects
-a page some twenty times the target's boxes."""
+MAX_PAGES = 1000
+"""Maximum pages of one list, so that a list without an end is abandoned.
 
-MOST_TOLD = 1000
-"""Objects of other writers whose revision is remembered, so that the log tells
-of each once."""
+At 50 objects per page, this is about twenty times the number of boxes that the
+system is designed for.
+"""
 
-_WORD_BY_KIND = MappingProxyType(
+MAX_LOGGED_OBJECTS = 1000
+"""Maximum foreign objects whose revision is remembered to log each once."""
+
+_PATH_BY_KIND = MappingProxyType(
     {
         Kind.CONFIGURATION: 'config',
         Kind.BOX: 'servers',
@@ -73,7 +75,7 @@
     },
 )
 
-_REFUSALS = frozenset(
+_REJECTION_STATUSES = frozenset(
     (
         HTTPStatus.TOO_MANY_REQUESTS,
         HTTPStatus.BAD_GATEWAY,
@@ -81,10 +83,10 @@
         HTTPStatus.GATEWAY_TIMEOUT,
     ),
 )
-"""HTTP statuses of calls that were turned away, with no content."""
+"""HTTP statuses of rejected calls, which carry no content."""
 
 BodyDecoder = Callable[[str, Any], Any]
-"""Turns the name and the plain body of an object into the project's type."""
+"""Decodes the name and the plain body of an object into the project's type."""
 
 
 def _keep_plain(_name: str, spec: Any) -> Any:
@@ -101,16 +103,16 @@
 
 
 class ObjectStore(Platform):
-    """Calls the store of objects at an address.
+    """Client of the object store at an address.
 
     Parameters
     ----------
     address
         ``IP:PORT``.
     timeout
-        Seconds until a call counts as unanswered.
+        Timeout of a call in seconds.
     eras
-        Tracks the era that each answer tells.
+        Tracks the store era that each answer reports.
     """
 
     def __init__(
@@ -119,14 +121,14 @@
         timeout: float,
         eras: EraTracker | None = None,
     ) -> None:
-        """Open no connection yet."""
+        """Create the client; connections are opened on the first call."""
         self._eras = eras or EraTracker()
         self._calls = HttpCalls(
             f'http://{address}',
             timeout,
             {'content-type': 'application/json'},
         )
-        self._reader = _ObjectReader()
+        self._decoder = _ObjectDecoder()
 
     async def fetch(
         self,
@@ -134,15 +136,15 @@
         name: str,
         fresh: bool = True,
     ) -> Result[Stored | None, PlatformFault]:
-        """Return an object, or ``None`` where there is none."""
-        query = {} if fresh else STALE
+        """Return an object, or ``None`` if it does not exist."""
+        query = {} if fresh else STALE_READ_QUERY
         path = _make_path(kind, name, **query)
-        called = await self._call('GET', path)
-        if isinstance(called, Success):
-            if called.unwrap().status == HTTPStatus.NOT_FOUND:
+        result = await self._call('GET', path)
+        if isinstance(result, Success):
+            if result.unwrap().status == HTTPStatus.NOT_FOUND:
                 return Success(None)
-        return called.bind(_take_body).bind(
-            partial(self._reader.decode_one, kind)
+        return result.bind(_extract_body).bind(
+            partial(self._decoder.decode_one, kind)
         )
 
     async def fetch_all(
@@ -150,17 +152,17 @@
         kind: Kind,
         fresh: bool = True,
     ) -> Result[Changes, PlatformFault]:
-        """Return all objects of a kind and where a watch goes on."""
+        """Return all objects of a kind and the revision to watch from."""
         pages: list[StorePage] = []
-        query = {} if fresh else dict(STALE)
+        query = {} if fresh else dict(STALE_READ_QUERY)
         era = self._eras.current
-        while len(pages) < MOST_PAGES:
-            called = await self._call('GET', _make_path(kind, **query))
-            decoded = called.bind(_take_body).bind(_decode_page)
+        while len(pages) < MAX_PAGES:
+            result = await self._call('GET', _make_path(kind, **query))
+            decoded = result.bind(_extract_body).bind(_decode_page)
             if isinstance(decoded, Failure):
                 return decoded
             if pages and self._eras.current != era:
-                # Pages of two eras are no list of either.
+                # Pages of two eras do not form a list of either era.
                 return Failure(PlatformFault.FORMER_ERA)
             era = self._eras.current
             page = decoded.unwrap()
@@ -170,8 +172,8 @@
             if not page.last_name:
                 return Failure(PlatformFault.UNREADABLE)
             query['since_rev'] = page.last_name
-        changes = self._reader.gather(kind, pages)
-        # Changes after the first page are seen by the watch.
+        changes = self._decoder.gather(kind, pages)
+        # The watch delivers the changes made after the first page.
         return Success(
             msgspec.structs.replace(
                 changes, revision=pages[0].revision, complete=True
@@ -185,16 +187,16 @@
         body: Any,
         expected: int,
     ) -> Result[Stored, PlatformFault]:
-        """Write an object if its version is the expected one."""
+        """Write an object if its stored version is the expected one."""
         meta = {'name': name, 'revision': expected}
         method = 'PUT' if expected else 'POST'
         path = _make_path(kind, name) if expected else _make_path(kind)
         if not expected:
             meta.pop('revision')
         raw = msgspec.json.encode({'metadata': meta, 'spec': body})
-        called = await self._call(method, path, raw)
-        return called.bind(_take_body).bind(
-            partial(self._reader.decode_one, kind)
+        result = await self._call(method, path, raw)
+        return result.bind(_extract_body).bind(
+            partial(self._decoder.decode_one, kind)
         )
 
     async def delete(
@@ -203,8 +205,8 @@
         name: str,
     ) -> Result[None, PlatformFault]:
         """Delete an object."""
-        called = await self._call('DELETE', _make_path(kind, name))
-        return called.bind(_take_body).map(lambda _raw: None)
+        result = await self._call('DELETE', _make_path(kind, name))
+        return result.bind(_extract_body).map(lambda _raw: None)
 
     async def watch(
         self,
@@ -217,21 +219,21 @@
         Raises
         ------
         ValueError
-            When more than one kind is asked for.
+            When not exactly one kind is given.
         """
         if len(kinds) != 1:
-            raise ValueError('the store watches one kind a call')
+            raise ValueError('the store can watch only one kind per call')
         query = {'watch': str(after), 'wait_ms': str(round(seconds * 1000))}
-        called = await self._call(
+        result = await self._call(
             'GET',
             _make_path(kinds[0], **query),
             extra=seconds + WATCH_MARGIN,
         )
-        decoded = called.bind(_take_body).bind(_decode_page)
+        decoded = result.bind(_extract_body).bind(_decode_page)
         if isinstance(decoded, Failure):
             return decoded
         page = decoded.unwrap()
-        changes = self._reader.gather(kinds[0], [page])
+        changes = self._decoder.gather(kinds[0], [page])
         return Success(
             msgspec.structs.replace(changes, revision=page.revision),
         )
@@ -243,17 +245,17 @@
         body: bytes | None = None,
         extra: float = 0,
     ) -> Result[CallAnswer, PlatformFault]:
-        """Return an answer of the present era."""
-        called = await self._calls.call(method, path, body, extra)
-        return called.bind(self._check_era)
+        """Return the answer to a call, or a fault if it is of a former era."""
+        result = await self._calls.call(method, path, body, extra)
+        return result.bind(self._check_era)
 
     def _check_era(
         self,
         answer: CallAnswer,
     ) -> Result[CallAnswer, PlatformFault]:
         era = _read_era(answer.find_header(ERA_HEADER))
-        if era == UNREPORTED_ERA and answer.status in _REFUSALS:
-            # What turned the call away need not be the store itself.
+        if era == UNREPORTED_ERA and answer.status in _REJECTION_STATUSES:
+            # The call may have been rejected by a proxy, not by the store.
             return Success(answer)
         if self._eras.observe(era):
             return Success(answer)
@@ -261,30 +263,30 @@
 
 
 def _read_era(text: str | None) -> StoreEra:
-    """Return the era that an answer tells, if it tells a readable one."""
+    """Return the era in a header, or the unreported era if unreadable."""
     if text is None:
         return UNREPORTED_ERA
     if text.isascii() and text.isdecimal():
         return StoreEra(int(text))
-    log_warning('store_era_unreadable', text=text[:ERA_TEXT_LENGTH])
+    log_warning('store_era_unreadable', text=text[:MAX_LOGGED_ERA_LENGTH])
     return UNREPORTED_ERA
 
 
 def _make_path(kind: Kind, name: str = '', **query: str) -> str:
-    path = f'/api/objects/{_WORD_BY_KIND[kind]}'
+    path = f'/api/objects/{_PATH_BY_KIND[kind]}'
     if name:
         path = f'{path}/{quote(name, safe="")}'
     return f'{path}?{urlencode(query)}' if query else path
 
 
-def _take_body(answer: CallAnswer) -> Result[bytes, PlatformFault]:
+def _extract_body(answer: CallAnswer) -> Result[bytes, PlatformFault]:
     if answer.status < HTTPStatus.MULTIPLE_CHOICES:
         return Success(answer.raw)
-    # The store says of a 503 that nothing was done.
+    # With a 503, the store guarantees that nothing was done.
     return Failure(_FAULT_BY_STATUS.get(answer.status, PlatformFault.REFUSED))
 
 
-def _refuse_answer(error: ValueError) -> Failure[PlatformFault]:
+def _reject_unreadable(error: ValueError) -> Failure[PlatformFault]:
     log_warning('store_answer_unreadable', error=str(error))
     return Failure(PlatformFault.UNREADABLE)
 
@@ -293,31 +295,33 @@
     try:
         return Success(decode_page(raw))
     except ValueError as error:
-        return _refuse_answer(error)
+        return _reject_unreadable(error)
 
 
-class _ObjectReader:
-    """Turns objects of the store into the project's types."""
+class _ObjectDecoder:
+    """Decodes objects of the store into the project's types."""
 
     def __init__(self) -> None:
-        """Have told of no foreign object."""
-        self._told: OrderedDict[tuple[Kind, str], int] = OrderedDict()
+        """Start with no foreign object logged."""
+        self._logged_revisions: OrderedDict[tuple[Kind, str], int] = (
+            OrderedDict()
+        )
 
     def gather(self, kind: Kind, pages: list[StorePage]) -> Changes:
-        """Return what some pages hold, but where a watch goes on."""
-        found = [one for page in pages for one in page.objects]
+        """Return the content of pages, with 0 as the revision."""
+        found = [framed for page in pages for framed in page.objects]
         foreign = [other for page in pages for other in page.foreign]
         names = [other.name for other in foreign if other.name]
         for unframed in foreign:
-            self._tell_foreign(kind, unframed)
+            self._log_foreign(kind, unframed)
         nameless = len(foreign) - len(names)
         stored = []
         for framed in found:
-            read = self.read(kind, framed)
-            if read is None:
+            decoded = self.decode(kind, framed)
+            if decoded is None:
                 names.append(framed.name)
             else:
-                stored.append(read)
+                stored.append(decoded)
         return Changes(
             0,
             tuple(stored),
@@ -325,8 +329,8 @@
             nameless=nameless,
         )
 
-    def read(self, kind: Kind, found: StoredObject) -> Stored | None:
-        """Return an object, or nothing where it is another writer's."""
+    def decode(self, kind: Kind, found: StoredObject) -> Stored | None:
+        """Return a decoded object, or ``None`` if it is foreign."""
         if found.removed:
             return Stored(kind.value, found.name, found.revision)
         decoder = _DECODER_BY_KIND.get(kind, _keep_plain)
@@ -334,7 +338,7 @@
             body = decoder(found.name, found.spec)
         except (ValueError, TypeError, OverflowError) as error:
             foreign = ForeignObject(found.name, found.revision, str(error))
-            self._tell_foreign(kind, foreign)
+            self._log_foreign(kind, foreign)
             return None
         return Stored(kind.value, found.name, found.revision, body)
 
@@ -343,23 +347,23 @@
         kind: Kind,
         raw: bytes,
     ) -> Result[Any, PlatformFault]:
-        """Return the one object of an answer."""
+        """Return the object of an answer with one object."""
         try:
-            stored = self.read(kind, decode_object(raw))
+            stored = self.decode(kind, decode_object(raw))
         except ValueError as error:
-            return _refuse_answer(error)
+            return _reject_unreadable(error)
         if stored is None:
             return Failure(PlatformFault.UNREADABLE)
         return Success(stored)
 
-    def _tell_foreign(self, kind: Kind, foreign: ForeignObject) -> None:
-        """Log an object of another writer, once a revision."""
+    def _log_foreign(self, kind: Kind, foreign: ForeignObject) -> None:
+        """Log a foreign object once per revision."""
         key = (kind, foreign.name)
-        if self._told.get(key) == foreign.revision:
+        if self._logged_revisions.get(key) == foreign.revision:
             return
-        self._told[key] = foreign.revision
-        while len(self._told) > MOST_TOLD:
-            self._told.popitem(last=False)
+        self._logged_revisions[key] = foreign.revision
+        while len(self._logged_revisions) > MAX_LOGGED_OBJECTS:
+            self._logged_revisions.popitem(last=False)
         log_warning(
             'object_unreadable',
             kind=kind.value,
