--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""Reports from a journal."""
+"""Reading of a journal and the report made of it."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import pytest
 
 from waywell.cli import EXIT_FAULTS, run_command
-from waywell.report.charts import draw_losses, draw_prices
+from waywell.report.charts import draw_prices, draw_worth_after_prices
 from waywell.report.entries import JournalDay, read_journal
 from waywell.report.page import find_latest_days, make_page
 
-PNG = b'\x89PNG'
+PNG_SIGNATURE = b'\x89PNG'
 
 
-def _write(folder: Path, number: int, **changes: object) -> None:
+def _write_entry(folder: Path, number: int, **changes: object) -> None:
     day = {
         'name': 'quiet-1',
         'G': 0.5 + number / 100,
@@ -39,46 +39,46 @@
     (folder / f'2026120{number}.json').write_text(json.dumps(entry))
 
 
-def test_the_last_play_of_a_day_is_shown_with_what_it_broke(
+def test_the_report_shows_the_last_run_of_a_day_and_its_broken_rules(
     tmp_path: Path,
 ) -> None:
-    _write(tmp_path, 1)
-    _write(tmp_path, 2, rules={'TWO': 1}, name='scale-1')
-    _write(tmp_path, 3)
-    _write(tmp_path, 4, name='fresh-abc')
+    _write_entry(tmp_path, 1)
+    _write_entry(tmp_path, 2, rules={'TWO': 1}, name='scale-1')
+    _write_entry(tmp_path, 3)
+    _write_entry(tmp_path, 4, name='fresh-abc')
     entries = read_journal(tmp_path)
     days = find_latest_days(entries)
     assert [(day.name, day.worth) for day in days] == [
         ('quiet-1', 0.53),
         ('scale-1', 0.52),
     ]
-    assert [day.is_sound for day in days] == [True, False]
+    assert [day.is_faultless for day in days] == [True, False]
     page = make_page(entries)
     assert '4 runs, 4 of them cut off' in page
     assert 'run2 scale-1: TWO' in page
     assert page.count('<img') == 4
 
 
-def test_an_entry_that_can_not_be_read_is_left_out(tmp_path: Path) -> None:
-    _write(tmp_path, 1)
+def test_an_unreadable_entry_is_left_out(tmp_path: Path) -> None:
+    _write_entry(tmp_path, 1)
     (tmp_path / 'broken.json').write_text('{')
     assert [entry.run_id for entry in read_journal(tmp_path)] == ['run1']
 
 
-def test_charts_are_pictures_also_of_nothing() -> None:
+def test_charts_are_images_even_without_data() -> None:
     day = JournalDay('quiet-1', worth=0.5, served=0.9)
-    assert draw_losses('a', [day]).startswith(PNG)
-    assert draw_prices('b', []).startswith(PNG)
+    assert draw_worth_after_prices('a', [day]).startswith(PNG_SIGNATURE)
+    assert draw_prices('b', []).startswith(PNG_SIGNATURE)
 
 
-def test_the_command_line_writes_the_page(
+def test_the_report_command_writes_the_page(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     out = tmp_path / 'report.html'
-    words = ['report', f'--journal={tmp_path}', f'--out={out}']
-    assert run_command(words) == EXIT_FAULTS
-    _write(tmp_path, 1)
-    assert run_command(words) == 0
+    arguments = ['report', f'--journal={tmp_path}', f'--out={out}']
+    assert run_command(arguments) == EXIT_FAULTS
+    _write_entry(tmp_path, 1)
+    assert run_command(arguments) == 0
     assert '1 runs' in capsys.readouterr().out
     assert '<h2>shop</h2>' in out.read_text()
--- a/waywell/report/__init__.py
+++ b/waywell/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reports drawn from the journal of played days."""
+"""HTML reports of the benchmark runs in a journal."""
--- a/waywell/report/charts.py
+++ b/waywell/report/charts.py
@@ -1,4 +1,4 @@
-"""Charts of played days, as PNG pictures."""
+"""Charts of the days in a journal, as PNG images."""
 
 from __future__ import annotations
 
@@ -24,132 +24,134 @@
 """Height of a chart, in inches."""
 
 DOTS_PER_INCH = 110
-"""Resolution of a chart."""
+"""Resolution of a chart, in dots per inch."""
 
-MOST_PRICES = 6
-"""Prices that a chart shows; the others are small and left out."""
+MAX_PRICES = 6
+"""Maximum number of prices in a chart; smaller ones are left out."""
 
-SHARE_BAR = 0.75
-"""Part of a bar's room that is filled."""
+BAR_WIDTH = 0.75
+"""Width of a bar, as a fraction of the distance between bars."""
 
-LEAST_WORTH = -0.1
-"""Lowest worth that a chart shows."""
+MIN_WORTH = -0.1
+"""Lower end of the axis of worth; lower values lie outside the chart."""
 
 LEGEND_COLUMNS = 6
-"""Names in one row of a legend: the days of a site."""
+"""Columns of a legend, enough for the days of a site in one row."""
 
-GRID_STRENGTH = 0.3
-"""Opacity of the lines behind a chart."""
+GRID_OPACITY = 0.3
+"""Opacity of the grid lines, from 0 to 1."""
 
 
 @attrs.frozen
-class _Play:
-    """One play of a day."""
+class _DayRun:
+    """One run of a day."""
 
     at: datetime
-    """When its run began."""
+    """Start of the journal entry that contains it."""
 
     day: JournalDay
-    """How it went."""
+    """Results of the day."""
 
 
 def draw_worth(site: str, entries: Iterable[JournalEntry]) -> bytes:
     """Draw the worth of each standard day over the runs of a site.
 
-    Days that broke a rule or met a fault are marked by a cross.  The first
-    tries of a site may lie below the chart.
+    Days with a broken rule or a fault are marked by a cross.  Early runs of a
+    site may have a worth below the axis.
     """
-    figure, axes = _open_chart(f'{site}: worth of each run of a day')
-    for name, plays in sorted(_gather_plays(entries).items()):
+    figure, axes = _make_chart(f'{site}: worth of each run of a day')
+    for name, runs in sorted(_group_runs_by_day(entries).items()):
         axes.plot(
-            [play.at for play in plays],
-            [play.day.worth for play in plays],
+            [run.at for run in runs],
+            [run.day.worth for run in runs],
             marker='o',
             markersize=3,
             label=name,
         )
-        broken = [play for play in plays if not play.day.is_sound]
+        broken = [run for run in runs if not run.day.is_faultless]
         axes.scatter(
-            [play.at for play in broken],
-            [play.day.worth for play in broken],
+            [run.at for run in broken],
+            [run.day.worth for run in broken],
             marker='x',
             color='black',
             zorder=3,
         )
     figure.autofmt_xdate()
-    axes.set_ylim(LEAST_WORTH, 1.0)
+    axes.set_ylim(MIN_WORTH, 1.0)
     axes.set_ylabel('worth')
     _add_legend(figure, axes)
-    return _save(figure)
+    return _render_png(figure)
 
 
-def draw_losses(title: str, days: Sequence[JournalDay]) -> bytes:
-    """Draw for each day what was served, and the worth left after prices."""
-    figure, axes = _open_chart(title)
+def draw_worth_after_prices(title: str, days: Sequence[JournalDay]) -> bytes:
+    """Draw the share served of each day, and its worth after prices."""
+    figure, axes = _make_chart(title)
     names = [day.name for day in days]
     axes.bar(
         names,
         [day.served for day in days],
-        SHARE_BAR,
+        BAR_WIDTH,
         color='#d9d9d9',
         label='served in worth',
     )
     axes.bar(
         names,
         [day.worth for day in days],
-        SHARE_BAR / 2,
+        BAR_WIDTH / 2,
         color='#3b6ea5',
         label='worth',
     )
-    axes.set_ylabel('share of what was owed')
+    axes.set_ylabel('share of worth owed')
     _add_legend(figure, axes)
-    return _save(figure)
+    return _render_png(figure)
 
 
 def draw_prices(title: str, days: Sequence[JournalDay]) -> bytes:
-    """Draw for each day the largest prices paid, on top of each other."""
-    figure, axes = _open_chart(title)
+    """Draw the largest prices of each day as stacked bars."""
+    figure, axes = _make_chart(title)
     names = [day.name for day in days]
     bottoms = [0.0 for _ in days]
-    for what in _rank_prices(days):
-        heights = [_sum_price(day, what) for day in days]
-        axes.bar(names, heights, SHARE_BAR, bottom=bottoms, label=what)
+    for price in _rank_prices(days):
+        heights = [_sum_price(day, price) for day in days]
+        axes.bar(names, heights, BAR_WIDTH, bottom=bottoms, label=price)
         bottoms = [sum(pair) for pair in zip(bottoms, heights, strict=True)]
     axes.set_ylabel('worth paid')
     _add_legend(figure, axes)
-    return _save(figure)
+    return _render_png(figure)
 
 
 def draw_shares(title: str, days: Sequence[JournalDay]) -> bytes:
-    """Draw the share earned by kind of request and by data hall."""
-    figure, axes = _open_chart(title)
+    """Draw the earned share by kind of request and by data hall."""
+    figure, axes = _make_chart(title)
     for day in days:
         shares = [*day.by_class, *day.by_hall]
-        places = [place for place, share in enumerate(shares) if share]
+        positions = [
+            position for position, share in enumerate(shares) if share
+        ]
         axes.plot(
-            places,
-            [shares[place] or 0.0 for place in places],
+            positions,
+            [shares[position] or 0.0 for position in positions],
             marker='o',
             label=day.name,
         )
-    labels = _name_shares(days)
+    labels = _make_share_labels(days)
     axes.set_xticks(range(len(labels)), labels)
     axes.set_ylabel('share earned')
     _add_legend(figure, axes)
-    return _save(figure)
+    return _render_png(figure)
 
 
-def _name_shares(days: Sequence[JournalDay]) -> list[str]:
-    """Return what the places of the chart of shares are."""
+def _make_share_labels(days: Sequence[JournalDay]) -> list[str]:
+    """Return the axis labels of the chart of shares."""
     if not days:
         return []
-    kinds = [f'kind {place + 1}' for place in range(len(days[0].by_class))]
-    halls = [f'hall {place + 1}' for place in range(len(days[0].by_hall))]
+    kinds = [f'kind {index + 1}' for index in range(len(days[0].by_class))]
+    halls = [f'hall {index + 1}' for index in range(len(days[0].by_hall))]
     return kinds + halls
 
 
 def _add_legend(figure: Figure, axes: Any) -> None:
-    """Put a legend below a chart, where it hides nothing."""
+    """Add a legend below a chart, where it covers no data."""
     if axes.get_legend_handles_labels()[0]:
         figure.legend(
             loc='outside lower center',
@@ -158,45 +160,45 @@
         )
 
 
-def _open_chart(title: str) -> tuple[Figure, Any]:
+def _make_chart(title: str) -> tuple[Figure, Any]:
     figure = Figure((WIDTH, HEIGHT), DOTS_PER_INCH, layout='constrained')
     axes = figure.subplots()
     axes.set_title(title)
-    axes.grid(visible=True, axis='y', alpha=GRID_STRENGTH)
+    axes.grid(visible=True, axis='y', alpha=GRID_OPACITY)
     return figure, axes
 
 
-def _save(figure: Figure) -> bytes:
+def _render_png(figure: Figure) -> bytes:
     raw = io.BytesIO()
     figure.savefig(raw, format='png')
     return raw.getvalue()
 
 
-def _gather_plays(
+def _group_runs_by_day(
     entries: Iterable[JournalEntry],
-) -> dict[str, list[_Play]]:
-    """Return the plays of each standard day, by the day's name."""
-    plays = defaultdict(list)
+) -> dict[str, list[_DayRun]]:
+    """Return the runs of each standard day, by the day's name."""
+    runs = defaultdict(list)
     for entry in entries:
-        began_at = datetime.fromisoformat(entry.at[0])
+        started_at = datetime.fromisoformat(entry.at[0])
         for day in entry.days:
             if day.is_standard:
-                plays[day.name].append(_Play(began_at, day))
-    return plays
+                runs[day.name].append(_DayRun(started_at, day))
+    return runs
 
 
 def _rank_prices(days: Sequence[JournalDay]) -> list[str]:
-    """Return what took most worth over all days, the largest first."""
+    """Return the highest prices over all days, in descending order."""
     totals: dict[str, float] = defaultdict(float)
     for day in days:
-        for what, _amount, paid in day.prices:
-            totals[what] += paid or 0.0
+        for price, _amount, paid in day.prices:
+            totals[price] += paid or 0.0
     ranked = sorted(totals, key=lambda name: -totals[name])
-    return ranked[:MOST_PRICES]
+    return ranked[:MAX_PRICES]
 
 
 def _sum_price(day: JournalDay, name: str) -> float:
-    """Return the worth that was paid for one thing on a day."""
+    """Return the worth paid for one price of a day."""
     return sum(
-        paid or 0.0 for what, _amount, paid in day.prices if what == name
+        paid or 0.0 for price, _amount, paid in day.prices if price == name
     )
--- a/waywell/report/entries.py
+++ b/waywell/report/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the journal, as far as reports read them."""
+"""Entries of a journal, with the fields that reports use."""
 
 from __future__ import annotations
 
@@ -8,85 +8,89 @@
 
 from waywell.telemetry.events import log_warning
 
-DRAWN = ('fresh', 'hunt', 'mix')
-"""Beginnings of the names of days that were drawn."""
+RANDOM_DAY_PREFIXES = ('fresh', 'hunt', 'mix')
+"""Prefixes of the names of days that were generated at random."""
 
 Price = tuple[str, float, float | None]
-"""What was paid for, how much of it, and the worth that it took; none where
-nothing was owed."""
+"""Name of the price, amount, and worth paid for it.
+
+The worth is ``None`` if nothing was owed.
+"""
 
 
 class JournalDay(msgspec.Struct, frozen=True):
-    """One played day."""
+    """Results of one day."""
 
     name: str
-    """Name of the day, with its seed where it was drawn."""
+    """Name of the day, with the seed if it was generated at random."""
 
     worth: float = msgspec.field(name='G', default=0.0)
-    """Worth, less prices, as a share of what was owed."""
+    """Worth after prices, as a share of the worth owed."""
 
     served: float = 0.0
-    """Share of what was owed that was earned, before prices."""
+    """Worth earned before prices, as a share of the worth owed."""
 
     rules: dict[str, int] = {}
-    """Broken rules, with how often."""
+    """Number of violations by broken rule."""
 
     fault: str | None = None
-    """Why the day counts for nothing, if it does."""
+    """Why the day does not count, or ``None`` if it does."""
 
     by_class: tuple[float | None, ...] = ()
-    """Share earned by kind of request."""
+    """Earned share by kind of request; ``None`` where nothing was owed."""
 
     by_hall: tuple[float | None, ...] = msgspec.field(
         name='by_zone', default=()
     )
-    """Share earned by the callers' data hall."""
+    """Earned share by the callers' data hall; ``None`` as above."""
 
     prices: tuple[Price, ...] = ()
-    """What was paid."""
+    """Prices paid on the day."""
 
     @property
     def is_standard(self) -> bool:
-        """Return whether it is one of the site's own days, not drawn."""
-        return ' ' not in self.name and not self.name.startswith(DRAWN)
+        """Return whether this is a day of the site, not a random one."""
+        return ' ' not in self.name and not self.name.startswith(
+            RANDOM_DAY_PREFIXES
+        )
 
     @property
-    def is_sound(self) -> bool:
-        """Return whether it broke no rule and met no fault."""
+    def is_faultless(self) -> bool:
+        """Return whether the day has neither a broken rule nor a fault."""
         return not self.rules and self.fault is None
 
 
 class JournalEntry(msgspec.Struct, frozen=True):
-    """One run of the bench."""
+    """One run of the benchmark."""
 
     run_id: str = msgspec.field(name='id')
-    """Its id."""
+    """Id of the run, shown in reports."""
 
     at: tuple[str, str] = ('', '')
-    """When it began and ended; the end is empty where it was cut off."""
+    """Start and end in ISO 8601; the end is empty if it was interrupted."""
 
     command: str = msgspec.field(name='cmd', default='')
-    """What was played: a day, a score, a hunt."""
+    """Command of the benchmark, such as ``run``, ``score`` or ``hunt``."""
 
-    words: tuple[str, ...] = msgspec.field(name='argv', default=())
-    """Words of the command; the first names the site file."""
+    arguments: tuple[str, ...] = msgspec.field(name='argv', default=())
+    """Arguments of the command; the first is the path of the site file."""
 
     why: str = ''
-    """What it was played for."""
+    """Reason given for the run."""
 
     days: tuple[JournalDay, ...] = ()
-    """The days that were played to their end."""
+    """Days that ran to their end."""
 
     @property
     def site(self) -> str:
-        """Return the name of the site file."""
-        return Path(self.words[0]).stem if self.words else ''
+        """Return the name of the site file without its suffix."""
+        return Path(self.arguments[0]).stem if self.arguments else ''
 
 
 def read_journal(folder: Path) -> list[JournalEntry]:
-    """Return the entries of a journal, the oldest first.
+    """Return the entries of a journal, oldest first.
 
-    One that can't be read is left out, with a log line.
+    Unreadable entries are logged and left out.
     """
     entries = []
     for path in sorted(folder.glob('*.json')):
