--- a/tests/test_entry_partitions.py
+++ b/tests/test_entry_partitions.py
@@ -160,7 +160,7 @@
             hall=f'hall-{name[0]}',
             timing=QUICK,
             node={'peer_port': port},
-            top={'seeds': [f'127.0.0.1:{ports[seed]}']},
+            top_level={'seeds': [f'127.0.0.1:{ports[seed]}']},
         )
     for name in ports:
         wait_until(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -85,7 +85,7 @@
     assert refused.status in {503, 504}
     # A node that starts now gets the configuration from the others.
     seed = f'127.0.0.1:{pair.entries["entry-1"].ports["peer_port"]}'
-    pair.start_entry('entry-3', timing=QUICK, top={'seeds': [seed]})
+    pair.start_entry('entry-3', timing=QUICK, top_level={'seeds': [seed]})
     wait_number(pair, 'entry-3', number)
     for entry in ('entry-1', 'entry-2', 'entry-3'):
         wait_until(
--- a/waywell/bench/control.py
+++ b/waywell/bench/control.py
@@ -51,7 +51,9 @@
     """Start entry boxes in two halls and wait until they know each other."""
     names = [f'node-{number}' for number in range(count)]
     for number, name in enumerate(names):
-        bench.start_entry(name, hall=f'hall-{number % 2}', top={'history': ''})
+        bench.start_entry(
+            name, hall=f'hall-{number % 2}', top_level={'history': ''}
+        )
     bench.start_boxes([BoxSpec('app-1', fenced=False, labels={'pool': 'app'})])
     bench.apply(names[0], make_configuration())
     wait_known(bench, names)
--- a/waywell/bench/faults.py
+++ b/waywell/bench/faults.py
@@ -63,7 +63,7 @@
     for name in names:
         bench.start_entry(
             name,
-            top={'history': ''},
+            top_level={'history': ''},
             module=['waywell.bench.baselines', choice],
             limits={'requests': 64},
         )
--- a/waywell/bench/request.py
+++ b/waywell/bench/request.py
@@ -37,7 +37,7 @@
     tuple
         Caller port, port of the plain target, process id of the entry.
     """
-    bench.start_entry('entry-1', top={'history': ''})
+    bench.start_entry('entry-1', top_level={'history': ''})
     bench.start_boxes(
         [
             BoxSpec('box-1', labels={'pool': 'llm'}),
--- a/waywell/bench/size.py
+++ b/waywell/bench/size.py
@@ -39,7 +39,7 @@
     for name in names:
         bench.start_entry(
             name,
-            top={'history': ''},
+            top_level={'history': ''},
             timing={'probe': PROBE_SECONDS, 'evidence': 120},
         )
     return names
--- a/waywell/demo.py
+++ b/waywell/demo.py
@@ -1,8 +1,9 @@
-"""The main job from end to end: ``python -m waywell.demo``.
+"""End-to-end demo: ``python -m waywell.demo``.
 
-Two entry boxes, a platform stand-in and target stand-ins as processes of
-their own; a configuration applied by the command line; a caller that
-gets its streamed answer; a box killed, the group out of service and back.
+The demo starts two entry boxes, a stand-in for the platform and stand-ins for
+targets as separate processes, and applies a configuration with the command
+line.  A caller receives streamed answers through both entry boxes.  Then a box
+is killed, its group goes out of service, and the box and its group return.
 """
 
 from __future__ import annotations
@@ -57,20 +58,28 @@
 pause_seconds = 20.0
 load_seconds = 60.0
 """
-"""A first configuration; the hashes are filled in."""
+"""Template of the configuration, with gaps for the key hashes."""
 
 NOTE_PATH = '/services/cataloguer-llm/v1/chat/completions'
-"""A streamed request."""
+"""Path of the streamed request."""
 
 
-def say(text: str) -> None:
-    """Print a line."""
+def print_line(text: str) -> None:
+    """Print a line of progress and flush it."""
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
 
 
-def ask_note(caller: CallerClient, entry: int = 0) -> Answer:
-    """Ask for a condition note of a few tokens."""
+def request_note(caller: CallerClient, entry: int = 0) -> Answer:
+    """Send a request for a streamed answer of eight tokens.
+
+    Parameters
+    ----------
+    caller
+        Client that sends the request.
+    entry
+        Index of the entry box in the client's entry list.
+    """
     return caller.call(
         NOTE_PATH,
         'POST',
@@ -96,61 +105,66 @@
 
 
 def run_demo(bench: Bench, folder: Path) -> int:
-    """Run the path; return the exit code."""
+    """Run all steps of the demo; return the exit code."""
     for number in (1, 2):
         name = f'box-{number}'
         bench.start_box(BoxSpec(name, labels={'pool': 'notes'}))
-        say(f'box {name} is on the box list')
+        print_line(f'box {name} is on the box list')
     for number in (1, 2):
         bench.start_entry(f'entry-{number}')
-        say(f'entry box entry-{number} listens')
+        print_line(f'entry box entry-{number} is listening')
     if apply_configuration(bench, folder):
         return 1
     bench.wait_serving('entry-1', 'notes', 1)
     bench.wait_serving('entry-2', 'notes', 1)
-    say('the group of two boxes serves, as both entry boxes see it')
+    print_line('both entry boxes report that the group of two boxes serves')
     caller = bench.get_caller('entry-1')
     caller.refresh()
-    say(f'a caller asked for the entry list: {" ".join(caller.entries)}')
+    print_line(f'a caller fetched the entry list: {" ".join(caller.entries)}')
     for entry in range(2):
-        answer = ask_note(caller, entry)
+        answer = request_note(caller, entry)
         lines = answer.body.decode().count('data: ')
-        say(
+        print_line(
             f'through {caller.entries[entry]}: {answer.status}, {lines} events'
         )
-    return kill_and_return(bench, caller)
+    return kill_and_restart_box(bench, caller)
+
 
+def kill_and_restart_box(bench: Bench, caller: CallerClient) -> int:
+    """Kill a box, wait until its group is out of service, restart the box.
 
-def kill_and_return(bench: Bench, caller: CallerClient) -> int:
-    """Kill a box, see the group out of service, bring the box back."""
+    Return the highest exit code of the entry boxes.
+    """
     bench.targets['box-2'].kill()
-    say('box-2 is killed; the box list does not know yet')
+    print_line('box-2 was killed; the box list still shows it as live')
     refused = wait_until(
-        lambda: _ask_until(caller, 503),
-        'the group to be out of service',
+        lambda: _expect_status(caller, 503),
+        'the group to go out of service',
     )
-    say(f'a request is refused: {refused.read_json()["name"]}, not run')
+    print_line(f'a request is refused: {refused.read_json()["name"]}, not run')
     bench.set_box_state('box-2', 'lost')
     bench.start_box(BoxSpec('box-2', labels={'pool': 'notes'}))
-    say('box-2 is back with a new start; the group is formed again')
-    wait_until(lambda: _ask_until(caller, 200), 'the group to be back')
+    print_line('box-2 has restarted; its group is being formed again')
+    wait_until(lambda: _expect_status(caller, 200), 'the group to serve again')
     bench.wait_serving('entry-1', 'notes', 1)
     status = bench.read_status('entry-1')['group_sets']['notes']
-    say(f'the group serves; downtime so far: {status["downtime_seconds"]} s')
+    print_line(
+        f'the group serves; downtime so far: {status["downtime_seconds"]} s'
+    )
     for process in bench.entries.values():
         process.send_signal(signal.SIGTERM)
     codes = [process.wait() for process in bench.entries.values()]
-    say(f'entry boxes stopped gracefully, exit codes {codes}')
+    print_line(f'entry boxes stopped gracefully with exit codes {codes}')
     return max(codes)
 
 
-def _ask_until(caller: CallerClient, status: int) -> Answer | None:
-    answer = ask_note(caller)
+def _expect_status(caller: CallerClient, status: int) -> Answer | None:
+    answer = request_note(caller)
     return answer if answer.status == status else None
 
 
 def main() -> int:
-    """Run the demo in a folder that goes away."""
+    """Run the demo in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix='waywell-demo-') as folder:
         with Bench(Path(folder)) as bench:
             return run_demo(bench, Path(folder))
--- a/waywell/standins/__init__.py
+++ b/waywell/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for targets."""
+"""Stand-ins for the platform and for targets, for tests and the demo."""
--- a/waywell/standins/__main__.py
+++ b/waywell/standins/__main__.py
@@ -1,4 +1,8 @@
-"""Runs a stand-in as a process: ``platform``, or ``target NAME``."""
+"""Run a stand-in as a process: ``platform [PORT]`` or ``target NAME``.
+
+Options of a target are ``fenced=yes|no``, ``port=NUMBER`` and
+``history=FILE``.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +12,8 @@
 from twisted.internet import asyncioreactor
 
 
-def main(words: list[str]) -> int:
-    """Run the stand-in that the words name until it is killed."""
+def main(arguments: list[str]) -> int:
+    """Run the stand-in given by the arguments until it is killed."""
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
     asyncioreactor.install(loop)
@@ -18,13 +22,13 @@
     from waywell.standins.platform import open_platform  # noqa: PLC0415
     from waywell.standins.target import open_target  # noqa: PLC0415
 
-    kind = words[0]
+    kind = arguments[0]
     if kind == 'platform':
-        port, _ = open_platform(int(words[1]) if len(words) > 1 else 0)
+        port, _ = open_platform(int(arguments[1]) if len(arguments) > 1 else 0)
     else:
-        options = dict(word.split('=', 1) for word in words[2:])
+        options = dict(option.split('=', 1) for option in arguments[2:])
         port, _ = open_target(
-            words[1],
+            arguments[1],
             fenced=options.get('fenced', 'yes') == 'yes',
             port=int(options.get('port', '0')),
             history=options.get('history', ''),
--- a/waywell/standins/harness.py
+++ b/waywell/standins/harness.py
@@ -1,6 +1,7 @@
-"""Starts daemons and stand-ins as processes, for the demo and the tests.
+"""Harness that runs daemons and stand-ins as processes.
 
-Waiting is always for a condition, with a limit that only a hang meets.
+The demo, the benchmarks and the tests use it.  Every wait polls a condition
+and has a timeout that only a hang exceeds.
 """
 
 from __future__ import annotations
@@ -23,66 +24,75 @@
     import signal
     from collections.abc import Callable
 
-HANG_SECONDS = 30.0
-"""Seconds after which a wait counts as a hang."""
+HANG_TIMEOUT = 30.0
+"""Timeout of a wait, in seconds."""
 
-LOOK_SECONDS = 0.05
-"""Seconds between two looks at a condition."""
+POLL_SECONDS = 0.05
+"""Seconds between two checks of a condition."""
 
 OPERATOR_KEY = 'operator-key'
-"""Key of the operator in harness configurations."""
+"""Operator key in the configurations of the harness."""
 
 CALLER_KEY = 'caller-key'
-"""Key of the client account in harness configurations."""
+"""Client account key in the configurations of the harness."""
 
 _PORT = re.compile(r'(\w*port)=(\d+)')
 
 
 def hash_text(text: str) -> str:
-    """Return the SHA-256 of a text, as the configuration wants it."""
+    """Return the hexadecimal SHA-256 of a text, as configurations hold it."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def wait_until(
-    look: Callable[[], Any],
+    condition: Callable[[], Any],
     what: str,
-    seconds: float = HANG_SECONDS,
+    seconds: float = HANG_TIMEOUT,
 ) -> Any:
-    """Return the first true thing that a look finds.
+    """Return the first true value of a condition that is polled.
+
+    Parameters
+    ----------
+    condition
+        Called repeatedly until its value is true.
+    what
+        Description of the condition for the error.
+    seconds
+        Timeout.
 
     Raises
     ------
     TimeoutError
-        When none was found for so long that something hangs.
+        When the condition has not become true within the timeout.
     """
     ends_at = time.monotonic() + seconds
     while time.monotonic() < ends_at:
-        found = look()
+        found = condition()
         if found:
             return found
-        time.sleep(LOOK_SECONDS)
+        time.sleep(POLL_SECONDS)
     raise TimeoutError(f'waited {seconds} s for {what}')
 
 
 class Process:
-    """A process of ours, with its log in a file.
+    """A Python process whose output goes to a log file.
 
     Parameters
     ----------
-    words
-        Command after the interpreter.
+    arguments
+        Module and its arguments, passed to ``python -m``.
     log
-        File for its output and errors.
+        File for its standard output and error.
     """
 
-    def __init__(self, words: list[str], log: Path) -> None:
-        """Start it; its ports are waited for when they are asked for."""
+    def __init__(self, arguments: list[str], log: Path) -> None:
+        """Start the process; it may not listen yet."""
         self.log = log
-        self._words = words
+        self._arguments = arguments
         self._ports: dict[str, int] = {}
         with log.open('ab') as output:
             self._process = subprocess.Popen(
-                [sys.executable, '-m', *words],
+                [sys.executable, '-m', *arguments],
                 stderr=output,
                 stdout=output,
                 stdin=subprocess.DEVNULL,
@@ -90,9 +100,11 @@
 
     @property
     def ports(self) -> dict[str, int]:
-        """Return its ports, once it listens."""
+        """Return the ports by name, waiting until the process listens."""
         if not self._ports:
-            found = wait_until(self._find_ports, f'{self._words} to listen')
+            found = wait_until(
+                self._find_ports, f'{self._arguments} to listen'
+            )
             self._ports = found
         return self._ports
 
@@ -102,26 +114,26 @@
         return self._process.pid
 
     def is_running(self) -> bool:
-        """Answer whether it has not ended."""
+        """Return whether the process has not ended."""
         return self._process.poll() is None
 
     def is_stopped(self) -> bool:
-        """Answer whether it is frozen by SIGSTOP."""
+        """Return whether the process is stopped by SIGSTOP."""
         status = Path(f'/proc/{self.pid}/stat').read_text()
         return status.rpartition(')')[2].split()[0] == 'T'
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self._process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it at once and wait for its end."""
+        """Kill the process and wait for its end."""
         self._process.kill()
         self._process.wait()
 
     def wait(self) -> int:
-        """Return its exit code when it has ended."""
-        return self._process.wait(timeout=HANG_SECONDS)
+        """Wait for the end of the process; return its exit code."""
+        return self._process.wait(timeout=HANG_TIMEOUT)
 
     def _find_ports(self) -> dict[str, int]:
         if not self.is_running():
@@ -135,35 +147,35 @@
 
 @attrs.define
 class BoxSpec:
-    """A box to stand up."""
+    """Description of a box to start."""
 
     name: str
-    """Name."""
+    """Name of the box on the box list."""
 
     hall: str = 'hall-a'
-    """Data hall."""
+    """Data hall of the box."""
 
     domain: str = 'domain-a'
-    """Fabric domain."""
+    """Fabric domain of the box."""
 
     fenced: bool = True
-    """Whether its target checks fences."""
+    """Whether its target refuses requests of other epochs."""
 
     labels: dict[str, str] = attrs.Factory(dict)
-    """Labels."""
+    """Labels on the box list."""
 
 
 class Bench:
-    """A small system of processes on the loopback.
+    """A system of entry daemons and stand-ins on the loopback interface.
 
     Parameters
     ----------
     folder
-        Where logs, settings and histories go.
+        Folder for logs, settings and histories; temporary if not given.
     """
 
     def __init__(self, folder: Path | None = None) -> None:
-        """Start the platform stand-in."""
+        """Start the stand-in for the platform."""
         self._temporary = tempfile.TemporaryDirectory(prefix='waywell-')
         self.folder = folder or Path(self._temporary.name)
         self.processes: list[Process] = []
@@ -178,27 +190,27 @@
         self.platform_url = f'http://127.0.0.1:{port}'
 
     def __enter__(self) -> Bench:
-        """Return itself."""
+        """Return the bench."""
         return self
 
     def __exit__(self, *_error: object) -> None:
-        """End every process that was started."""
+        """Kill all processes."""
         self.close()
 
     def close(self) -> None:
-        """End every process that was started."""
+        """Kill all processes and remove the temporary folder."""
         for process in self.processes:
             if process.is_running():
                 process.kill()
         self._temporary.cleanup()
 
     def start_box(self, spec: BoxSpec) -> Process:
-        """Start a target and put its box on the box list."""
+        """Start a target and add its box to the box list."""
         self.start_boxes([spec])
         return self.targets[spec.name]
 
     def start_boxes(self, specs: list[BoxSpec]) -> None:
-        """Start several targets side by side."""
+        """Start several targets together, then add their boxes to the list."""
         for spec in specs:
             self._boots[spec.name] = self._boots.get(spec.name, 0) + 1
             self.restart_target(spec)
@@ -206,12 +218,12 @@
             self.set_box_state(spec.name, 'live')
 
     def restart_target(self, spec: BoxSpec) -> Process:
-        """Start a target of which the box list learns nothing."""
+        """Start a target, on its previous port if any, without listing it."""
         fenced = 'yes' if spec.fenced else 'no'
         history = self.folder / f'runs-{spec.name}.jsonl'
-        earlier = self.targets.get(spec.name)
-        port = earlier.ports['port'] if earlier else 0
-        words = [
+        previous = self.targets.get(spec.name)
+        port = previous.ports['port'] if previous else 0
+        arguments = [
             'waywell.standins',
             'target',
             spec.name,
@@ -220,23 +232,23 @@
             f'port={port}',
         ]
         number = len(self.processes)
-        process = self._start(words, f'target-{spec.name}-{number}')
+        process = self._start(arguments, f'target-{spec.name}-{number}')
         self.targets[spec.name] = process
         self.specs[spec.name] = spec
         return process
 
     def list_box_at_port(self, spec: BoxSpec, port: int) -> None:
-        """Put a box on the box list whose target a test plays itself."""
+        """Add a box to the box list whose target the caller provides."""
         self.specs[spec.name] = spec
         self._put_box(spec, port, 'live', boot=1)
 
     def relabel(self, name: str, labels: dict[str, str]) -> None:
-        """Set the labels of a box, as an operator would."""
+        """Change the labels of a box on the box list."""
         self.specs[name].labels = labels
         self.set_box_state(name, 'live')
 
     def set_box_state(self, name: str, state: str) -> None:
-        """Set the state of a box on the platform's box list."""
+        """Set the state of a box on the box list."""
         port = self.targets[name].ports['port']
         self._put_box(self.specs[name], port, state, self._boots[name])
 
@@ -245,27 +257,50 @@
         name: str,
         hall: str = 'hall-a',
         timing: dict[str, float] | None = None,
-        top: dict[str, Any] | None = None,
+        top_level: dict[str, Any] | None = None,
         limits: dict[str, float] | None = None,
         switch: str = '',
         module: list[str] | None = None,
         node: dict[str, int] | None = None,
     ) -> Process:
-        """Start an entry daemon, or one that a test has changed."""
-        plain: dict[str, Any] = {
+        """Start an entry daemon.
+
+        Parameters
+        ----------
+        name
+            Name of the entry box.
+        hall
+            Its data hall.
+        timing
+            Settings of the section ``timing``.
+        top_level
+            Settings outside of sections.
+        limits
+            Settings of the section ``limits``.
+        switch
+            Switch of ``tests.switched`` to start the daemon with.
+        module
+            Module and arguments that replace ``waywell``.
+        node
+            Further settings of the section ``node``.
+        """
+        top_settings: dict[str, Any] = {
             'history': f'{self.folder}/history-{name}.jsonl',
             'bootstrap_key_hashes': [hash_text(OPERATOR_KEY)],
-            **(top or {}),
+            **(top_level or {}),
         }
         lines = [
-            *(f'{key} = {json.dumps(put)}' for key, put in plain.items()),
+            *(
+                f'{key} = {json.dumps(setting)}'
+                for key, setting in top_settings.items()
+            ),
             f'[node]\nname = "{name}"\nhall = "{hall}"',
-            *(f'{key} = {put}' for key, put in (node or {}).items()),
+            *(f'{key} = {setting}' for key, setting in (node or {}).items()),
             f'[platform]\nurl = "{self.platform_url}"\ntimeout = 1.5',
             '[timing]',
-            *(f'{key} = {put}' for key, put in (timing or {}).items()),
+            *(f'{key} = {setting}' for key, setting in (timing or {}).items()),
             '[limits]',
-            *(f'{key} = {put}' for key, put in (limits or {}).items()),
+            *(f'{key} = {setting}' for key, setting in (limits or {}).items()),
         ]
         settings = self.folder / f'{name}.toml'
         settings.write_text('\n'.join(lines))
@@ -279,28 +314,28 @@
         return process
 
     def get_admin(self, name: str) -> AdminClient:
-        """Return a client of an entry's administration port."""
+        """Return a client for the administration port of an entry box."""
         port = self.entries[name].ports['admin_port']
         return AdminClient(f'http://127.0.0.1:{port}', OPERATOR_KEY)
 
     def get_caller(self, name: str, key: str = CALLER_KEY) -> CallerClient:
-        """Return a caller that begins at an entry."""
+        """Return a client whose entry list holds one entry box."""
         port = self.entries[name].ports['caller_port']
         client = CallerClient(f'http://127.0.0.1:{port}', key)
         client.entries = [f'http://127.0.0.1:{port}']
         return client
 
     def read_status(self, name: str) -> dict[str, Any]:
-        """Return an entry's status."""
+        """Return the status that an entry box reports."""
         return dict(self.get_admin(name).call('GET', '/v1/status').read_json())
 
     def apply(self, name: str, configuration: dict[str, Any]) -> Answer:
-        """Apply a configuration at an entry."""
+        """Apply a configuration through an entry box."""
         admin = self.get_admin(name)
         return admin.call('PUT', '/v1/configuration', configuration)
 
     def set_platform_faults(self, **faults: Any) -> dict[str, Any]:
-        """Set faults of the platform stand-in; return its counts."""
+        """Inject faults into the platform; return its counts of calls."""
         answer = call_http(
             f'{self.platform_url}/faults',
             'POST',
@@ -309,34 +344,37 @@
         return dict(answer.read_json())
 
     def set_target_faults(self, name: str, **faults: Any) -> dict[str, Any]:
-        """Set faults of a target; return its counts of runs."""
-        return dict(self._call_faults(name, faults)['runs'])
+        """Inject faults into a target; return its runs by request id."""
+        return dict(self._call_fault_endpoint(name, faults)['runs'])
 
     def read_target_counts(self, name: str) -> dict[str, Any]:
-        """Return what a target counts: runs, turned away, arrivals."""
-        return dict(self._call_faults(name, {}))
+        """Return the runs, rejections and arrival times of a target."""
+        return dict(self._call_fault_endpoint(name, {}))
 
     def count_serving(self, entry: str, group_set: str) -> int:
-        """Return how many groups of a set an entry sees serving."""
+        """Return the number of serving groups of a set at an entry box."""
         sets = self.read_status(entry)['group_sets']
         return int(sets.get(group_set, {}).get('serving', 0))
 
     def wait_serving(self, entry: str, group_set: str, count: int) -> None:
-        """Wait until so many groups of a set serve, as an entry sees it."""
+        """Wait until an entry box reports a number of serving groups."""
         wait_until(
             lambda: self.count_serving(entry, group_set) == count,
             f'{count} groups of {group_set} at {entry}',
         )
 
     def read_history(self, pattern: str) -> list[dict[str, Any]]:
-        """Return the lines of all history files of a pattern."""
+        """Return the events of all history files that match a glob pattern.
+
+        A last line without a line end is left out, as it may be incomplete.
+        """
         lines: list[dict[str, Any]] = []
         for path in sorted(self.folder.glob(pattern)):
-            whole = path.read_text().rpartition('\n')[0]
-            lines.extend(json.loads(line) for line in whole.splitlines())
+            complete = path.read_text().rpartition('\n')[0]
+            lines.extend(json.loads(line) for line in complete.splitlines())
         return lines
 
-    def _call_faults(self, name: str, faults: dict[str, Any]) -> Any:
+    def _call_fault_endpoint(self, name: str, faults: dict[str, Any]) -> Any:
         port = self.targets[name].ports['port']
         answer = call_http(
             f'http://127.0.0.1:{port}/standin/faults',
@@ -368,8 +406,8 @@
             json.dumps(body).encode(),
         )
 
-    def _start(self, words: list[str], name: str) -> Process:
-        process = Process(words, self.folder / f'{name}.log')
+    def _start(self, arguments: list[str], name: str) -> Process:
+        process = Process(arguments, self.folder / f'{name}.log')
         self.processes.append(process)
         return process
 
@@ -379,7 +417,17 @@
     boxes_per_group: int = 2,
     **changes: Any,
 ) -> dict[str, Any]:
-    """Return a small configuration: one model service, one plain one."""
+    """Return a configuration with a model service and a plain service.
+
+    Parameters
+    ----------
+    groups
+        Number of groups of the model service.
+    boxes_per_group
+        Number of boxes in each of these groups.
+    changes
+        Sections that replace or extend the configuration.
+    """
     configuration: dict[str, Any] = {
         'service': [
             {'name': 'llm', 'type': 'model', 'model': 'small'},
--- a/waywell/standins/target.py
+++ b/waywell/standins/target.py
@@ -1,8 +1,8 @@
-"""A small stand-in for a target: a model engine or a plain service.
+"""Stand-in for a target: a model engine or a plain service.
 
-It takes fenced orders, refuses work of another epoch, streams tokens as
-server-sent events, counts what it has run, and fails on purpose where a
-request's header or a call to ``/standin/faults`` says so.
+The target accepts fenced orders, refuses requests of another epoch, streams
+tokens as server-sent events and counts the requests that it has run.  Headers
+of a request and calls to ``/standin/faults`` inject faults.
 """
 
 from __future__ import annotations
@@ -32,94 +32,96 @@
     from twisted.web.http import Request
 
 STREAM_END = b'data: [DONE]\n\n'
-"""End marker of a streamed answer."""
+"""Last event of a streamed answer."""
 
 
 class TargetFaults(msgspec.Struct):
-    """What goes wrong on purpose."""
+    """Faults injected into a target."""
 
     slow: float = 0.0
-    """Seconds before the first byte of each answer."""
+    """Delay before the first byte of each answer, in seconds."""
 
     token_gap: float = 0.005
-    """Seconds between two tokens."""
+    """Delay between two tokens, in seconds."""
 
     cut_after: int = -1
-    """Bytes of the body after which an answer is cut, -1 for never."""
+    """Bytes of the body after which the connection is closed; -1 for never."""
 
     close_after_read: bool = False
-    """Close after the request was read and run, without an answer."""
+    """Whether requests are read and counted as run, then reset unanswered."""
 
     ends_under: str = ''
-    """Body of a request under which the process ends; empty for none."""
+    """Request body that crashes the process; empty for none."""
 
     ends_within: str = ''
-    """Text within a body under which the process ends; empty for none."""
+    """Text in a request body that crashes the process; empty for none."""
 
     rest: str = ''
-    """Seconds of rest that it asks for while it turns requests away; empty
-    where it takes them."""
+    """Value of ``Retry-After`` with which requests are rejected.
+
+    Empty to accept requests.
+    """
 
     limit: str = ''
-    """Requests a second that it says it takes; empty for no limit."""
+    """Reported limit in requests per second; empty for none."""
 
     ready: bool = True
-    """What it says of itself to probes."""
+    """Readiness reported to probes."""
 
 
 class TargetResource(Resource):
-    """Answers requests, orders and probes of one box.
+    """Handles requests, orders and probes of one box.
 
     Parameters
     ----------
     box
         Name of the box.
     fenced
-        Whether it checks the epoch of requests.
+        Whether requests of another epoch are refused.
     history
-        File to which each run is written, or an empty string.
+        File that records orders and runs, or an empty string for none.
     """
 
     isLeaf = True
 
     def __init__(self, box: str, fenced: bool, history: str = '') -> None:
-        """Start without an order."""
+        """Start without an order and without faults."""
         super().__init__()
         self.box = box
         self.runs: dict[str, int] = {}
         self.faults = TargetFaults()
         self.order: GroupOrder | None = None
         self.in_flight = 0
-        self.turned_away = 0
-        self.arrived_at: list[float] = []
+        self.rejected_count = 0
+        self.arrival_times: list[float] = []
         self._fenced = fenced
         self._history = history
 
     def render(self, request: Request) -> int:
-        """Answer one request."""
+        """Handle one HTTP request."""
         path = request.path.decode()
         if path == '/waywell/order':
-            self._take_order(request)
+            self._apply_order(request)
         elif path == '/waywell/health':
-            _answer(request, 200, self._describe())
+            _send_json(request, 200, self._make_probe_answer())
         elif path == '/standin/faults':
-            now = msgspec.to_builtins(self.faults)
+            current = msgspec.to_builtins(self.faults)
             raw = msgspec.json.decode(request.content.read() or b'{}')
-            self.faults = msgspec.convert({**now, **raw}, TargetFaults)
-            shown = {
+            self.faults = msgspec.convert({**current, **raw}, TargetFaults)
+            counts = {
                 'runs': self.runs,
-                'turned_away': self.turned_away,
-                'arrived_at': self.arrived_at,
+                'turned_away': self.rejected_count,
+                'arrived_at': self.arrival_times,
             }
-            _answer(request, 200, shown)
-        elif self._is_fenced_off(request):
+            _send_json(request, 200, counts)
+        elif self._is_refused_by_fence(request):
             request.setHeader(FENCE_HEADER.encode(), FENCE_REFUSED.encode())
-            _answer(request, 409, {'epoch': self._get_epoch()})
+            _send_json(request, 409, {'epoch': self._get_epoch()})
         else:
             self._run(request, path)
         return int(NOT_DONE_YET)
 
-    def _describe(self) -> ProbeAnswer:
+    def _make_probe_answer(self) -> ProbeAnswer:
         return ProbeAnswer(
             box=BoxId(self.box),
             group=self.order.group if self.order else None,
@@ -131,16 +133,16 @@
     def _get_epoch(self) -> Epoch:
         return self.order.epoch if self.order else Epoch(0)
 
-    def _take_order(self, request: Request) -> None:
+    def _apply_order(self, request: Request) -> None:
         order = msgspec.json.decode(request.content.read(), type=GroupOrder)
-        self._note('order', group=order.group, epoch=order.epoch)
+        self._record_event('order', group=order.group, epoch=order.epoch)
         if order.epoch < self._get_epoch():
-            _answer(request, 409, {'epoch': self._get_epoch()})
+            _send_json(request, 409, {'epoch': self._get_epoch()})
             return
         self.order = order
-        _answer(request, 200, {'epoch': order.epoch})
+        _send_json(request, 200, {'epoch': order.epoch})
 
-    def _is_fenced_off(self, request: Request) -> bool:
+    def _is_refused_by_fence(self, request: Request) -> bool:
         if not self._fenced:
             return False
         text = request.getHeader(EPOCH_HEADER) or '0'
@@ -149,41 +151,41 @@
         return int(text) != self.order.epoch
 
     def _run(self, request: Request, path: str) -> None:
-        self.arrived_at.append(time.monotonic())
+        self.arrival_times.append(time.monotonic())
         if self.faults.limit:
             request.setHeader(b'server-limit', self.faults.limit.encode())
         if self.faults.rest:
-            self._turn_away(request)
+            self._reject(request)
             return
         body = request.content.read()
         name = request.getHeader('waywell-request-id') or ''
         self.runs[name] = self.runs.get(name, 0) + 1
-        self._note(
+        self._record_event(
             'run',
             request=name,
             group=self.order.group if self.order else '',
             epoch=request.getHeader(EPOCH_HEADER) or '',
         )
-        if self._is_deadly(body.decode('latin-1')):
+        if self._is_crashing_body(body.decode('latin-1')):
             os._exit(1)
         self.in_flight += 1
-        answering = _Answering(self, request, body)
-        request.notifyFinish().addBoth(lambda _: answering.end())
-        reactor.callLater(self.faults.slow, answering.begin)
-
-    def _is_deadly(self, body: str) -> bool:
-        """Answer whether the process ends under a body."""
-        within = self.faults.ends_within
-        if within and within in body:
+        sender = _AnswerSender(self, request, body)
+        request.notifyFinish().addBoth(lambda _: sender.end())
+        reactor.callLater(self.faults.slow, sender.begin)
+
+    def _is_crashing_body(self, body: str) -> bool:
+        """Return whether a request body crashes the process."""
+        text = self.faults.ends_within
+        if text and text in body:
             return True
         return bool(body) and body == self.faults.ends_under
 
-    def _turn_away(self, request: Request) -> None:
-        self.turned_away += 1
+    def _reject(self, request: Request) -> None:
+        self.rejected_count += 1
         request.setHeader(b'retry-after', self.faults.rest.encode())
-        _answer(request, 503, {})
+        _send_json(request, 503, {})
 
-    def _note(self, event: str, **pairs: Any) -> None:
+    def _record_event(self, event: str, **pairs: Any) -> None:
         if not self._history:
             return
         line = {'event': event, 'at': time.time(), 'box': self.box, **pairs}
@@ -191,8 +193,8 @@
             history.write(b'%s\n' % msgspec.json.encode(line))
 
 
-class _Answering:
-    """One answer in the making."""
+class _AnswerSender:
+    """Sends the answer to one request."""
 
     def __init__(
         self,
@@ -204,11 +206,11 @@
         self._request = request
         self._body = body
         self._ended = False
-        self._left = int(request.getHeader('standin-tokens') or 0)
-        self._cut_after = int(
+        self._tokens_left = int(request.getHeader('standin-tokens') or 0)
+        self._cut_after_bytes = int(
             request.getHeader('standin-cut') or target.faults.cut_after,
         )
-        self._sent = 0
+        self._sent_bytes = 0
 
     def end(self) -> None:
         if not self._ended:
@@ -223,14 +225,14 @@
             return
         load = str(self._target.in_flight).encode()
         self._request.setHeader(LOAD_HEADER.encode(), load)
-        if self._left:
+        if self._tokens_left:
             self._request.setHeader(b'content-type', b'text/event-stream')
             self._stream()
         else:
-            self._reply()
+            self._send_whole()
 
-    def _reply(self) -> None:
-        """Answer with the size and hash of what was sent, and a padding."""
+    def _send_whole(self) -> None:
+        """Answer with the size and hash of the request body, and padding."""
         plain = {
             'box': self._target.box,
             'bytes': len(self._body),
@@ -246,29 +248,29 @@
     def _stream(self) -> None:
         if self._ended:
             return
-        if self._left <= 0:
+        if self._tokens_left <= 0:
             if self._write(STREAM_END):
                 self._request.finish()
             return
-        token = f'data: {{"token": {self._left}}}\n\n'
-        self._left -= 1
+        token = f'data: {{"token": {self._tokens_left}}}\n\n'
+        self._tokens_left -= 1
         if self._write(token.encode()):
             reactor.callLater(self._target.faults.token_gap, self._stream)
 
     def _write(self, raw: bytes) -> bool:
-        """Write, or cut the answer; answer whether it goes on."""
-        room = len(raw)
-        if self._cut_after >= 0:
-            room = max(0, self._cut_after - self._sent)
-        self._request.write(raw[:room])
-        self._sent += len(raw)
-        if room < len(raw):
+        """Write bytes up to the cut; return whether the answer continues."""
+        allowed = len(raw)
+        if self._cut_after_bytes >= 0:
+            allowed = max(0, self._cut_after_bytes - self._sent_bytes)
+        self._request.write(raw[:allowed])
+        self._sent_bytes += len(raw)
+        if allowed < len(raw):
             self._request.transport.loseConnection()
             return False
         return True
 
 
-def _answer(request: Request, status: int, body: Any) -> None:
+def _send_json(request: Request, status: int, body: Any) -> None:
     raw = msgspec.json.encode(body)
     request.setResponseCode(status)
     request.setHeader(b'content-type', b'application/json')
@@ -283,7 +285,7 @@
     port: int = 0,
     history: str = '',
 ) -> tuple[int, TargetResource]:
-    """Listen on a port of the loopback; return it and the resource."""
+    """Listen on a loopback port, 0 for any; return it and the resource."""
     resource = TargetResource(box, fenced, history)
     listening = reactor.listenTCP(port, Site(resource), interface='127.0.0.1')
     return listening.getHost().port, resource
