--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform's store and servers, in its own protocol."""
+"""Fakes of the platform's store and servers that speak its protocol."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
     from collections.abc import Callable
 
 HOST = 'shop.example'
-"""Host that the routes are for."""
+"""Host name of all routes."""
 
 KEY = 'key-of-shop'
-"""Key of the one client account."""
+"""API key of the only client account."""
 
 EVENTS = 6
-"""Events of a whole stream."""
+"""Number of events in a complete stream."""
 
 
 class _Handler(BaseHTTPRequestHandler):
     protocol_version = 'HTTP/1.1'
 
-    def log_message(self, *_words: object) -> None:
-        """Write nothing."""
+    def log_message(self, *_args: object) -> None:
+        """Log nothing."""
 
     def read_body(self) -> bytes:
         return self.rfile.read(int(self.headers.get('content-length', 0)))
@@ -50,13 +50,13 @@
         self.end_headers()
         self.wfile.write(raw)
 
-    def hang_up(self) -> None:
+    def drop_connection(self) -> None:
         self.close_connection = True
 
 
 class _Listener(ThreadingHTTPServer):
-    def handle_error(self, *_words: object) -> None:
-        """Write nothing: callers hang up as they like."""
+    def handle_error(self, *_args: object) -> None:
+        """Ignore errors, as callers may close connections at any time."""
 
 
 def _serve(handler: type[_Handler]) -> ThreadingHTTPServer:
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class StoreSnapshot:
-    """What a store held at a moment."""
+    """Content of a store at one moment."""
 
     objects: dict[tuple[str, str], dict[str, Any]]
     events: list[tuple[int, str, dict[str, Any], bool]]
@@ -76,10 +76,28 @@
 
 
 class Store:
-    """Keeps objects by kind and name; can go silent and misbehave."""
+    """Fake of the platform's store, with fault injection.
+
+    Attributes
+    ----------
+    is_down
+        Whether every call is closed without an answer.
+    delay_seconds
+        Delay before each call is handled.
+    drops_answers
+        Whether writes take effect without an answer.
+    refusal_status
+        HTTP status of the answers to all calls; 0 to handle them.
+    hidden_kinds
+        Kinds whose objects are missing from lists.
+    servers
+        Running servers by name.
+    violations
+        Orders that broke a promise about groups, as texts.
+    """
 
     def __init__(self) -> None:
-        """Listen."""
+        """Start listening."""
         self.is_down = False
         self.delay_seconds = 0.0
         self.drops_answers = False
@@ -97,16 +115,16 @@
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address that the store listens on."""
         return f'127.0.0.1:{self._server.server_address[1]}'
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._server.shutdown()
         self._server.server_close()
 
     def put(self, kind: str, name: str, spec: Any) -> dict[str, Any]:
-        """Write an object, whatever its revision."""
+        """Write an object regardless of its revision."""
         with self._changed:
             self._revision += 1
             found = {
@@ -127,53 +145,58 @@
             self._changed.notify_all()
 
     def forget_history(self) -> None:
-        """Drop the history: watches that go on from it are told so."""
+        """Drop the history; watches from older revisions are answered 410."""
         with self._changed:
             self._events.clear()
             self._forgotten = self._revision
             self._changed.notify_all()
 
     def take_snapshot(self) -> StoreSnapshot:
-        """Return what it holds now, to come back from later."""
+        """Return a snapshot for a later restoration."""
         with self._changed:
             return StoreSnapshot(
                 dict(self._objects), list(self._events), self._revision
             )
 
     def restore(
-        self, copy: StoreSnapshot, *again: tuple[str, str, Any]
+        self, snapshot: StoreSnapshot, *rewritten: tuple[str, str, Any]
     ) -> None:
-        """Come back from an older copy; revisions are given out again.
+        """Restore an older snapshot in a new era; revisions are reused.
 
         Parameters
         ----------
-        copy
-            What it holds then.
-        again
-            Kind, name and spec of what is written again before anyone asks.
+        snapshot
+            Content to restore.
+        rewritten
+            Kind, name and spec of objects that are written at once, before any
+            call is answered.
         """
         with self._changed:
             self._era += 1
-            self._objects = dict(copy.objects)
-            self._events = list(copy.events)
-            self._revision = copy.revision
-            for written in again:
-                self.put(*written)
+            self._objects = dict(snapshot.objects)
+            self._events = list(snapshot.events)
+            self._revision = snapshot.revision
+            for entry in rewritten:
+                self.put(*entry)
             self._changed.notify_all()
 
     def list_names(self, kind: str) -> set[str]:
         """Return the names of the objects of a kind."""
         with self._changed:
             return {
-                name for its_kind, name in self._objects if its_kind == kind
+                name
+                for stored_kind, name in self._objects
+                if stored_kind == kind
             }
 
-    def _list(self, kind: str) -> dict[str, Any]:
+    def _list_objects(self, kind: str) -> dict[str, Any]:
         with self._changed:
             items = [
                 found
-                for (its_kind, _name), found in sorted(self._objects.items())
-                if its_kind == kind and kind not in self.hidden_kinds
+                for (stored_kind, _name), found in sorted(
+                    self._objects.items()
+                )
+                if stored_kind == kind and kind not in self.hidden_kinds
             ]
             return {'items': items, 'current_rev': self._revision}
 
@@ -185,8 +208,8 @@
                     return None
                 events = [
                     {'removed': removed, 'object': found}
-                    for revision, its_kind, found, removed in self._events
-                    if revision > after and its_kind == kind
+                    for revision, stored_kind, found, removed in self._events
+                    if revision > after and stored_kind == kind
                 ]
                 left = ends_at - time.monotonic()
                 if events or left <= 0:
@@ -206,12 +229,12 @@
 
     def _make_handler(store) -> type[_Handler]:  # noqa: N805
         class Handler(_Handler):
-            def send_response(self, *words: Any) -> None:
-                super().send_response(*words)
+            def send_response(self, *args: Any) -> None:
+                super().send_response(*args)
                 self.send_header('Store-Era', str(store._era))
 
             def do_GET(self) -> None:
-                if self._is_cut():
+                if self._fail_if_injected():
                     return
                 parts = urlsplit(self.path)
                 _api, _objects, kind, *name = parts.path.strip('/').split('/')
@@ -225,10 +248,10 @@
                 elif 'watch' in query:
                     seconds = int(query['wait_ms']) / 1000
                     changes = store._watch(kind, int(query['watch']), seconds)
-                    if not self._is_cut():
+                    if not self._fail_if_injected():
                         self.answer(200 if changes else 410, changes)
                 else:
-                    self.answer(200, store._list(kind))
+                    self.answer(200, store._list_objects(kind))
 
             def do_PUT(self) -> None:
                 self._write(creates=False)
@@ -237,31 +260,31 @@
                 self._write(creates=True)
 
             def do_DELETE(self) -> None:
-                if self._is_cut():
+                if self._fail_if_injected():
                     return
                 _api, _objects, kind, name = (
                     urlsplit(self.path).path.strip('/').split('/')
                 )
-                is_there = name in store.list_names(kind)
-                if is_there:
+                exists = name in store.list_names(kind)
+                if exists:
                     store.remove(kind, name)
-                self.answer(200 if is_there else 404, {})
+                self.answer(200 if exists else 404, {})
 
             def _write(self, creates: bool) -> None:
                 body = json.loads(self.read_body())
-                if self._is_cut():
+                if self._fail_if_injected():
                     return
                 kind = urlsplit(self.path).path.split('/')[3]
                 outcome = store._write(kind, body, creates)
                 if store.drops_answers:
-                    self.hang_up()
+                    self.drop_connection()
                     return
                 self.answer(*outcome)
 
-            def _is_cut(self) -> bool:
-                """Answer whether the call gets no answer, or a refusal."""
+            def _fail_if_injected(self) -> bool:
+                """Fail the call if a fault is set; return whether it failed."""
                 if store.is_down:
-                    self.hang_up()
+                    self.drop_connection()
                     return True
                 time.sleep(store.delay_seconds)
                 if store.refusal_status:
@@ -272,10 +295,44 @@
 
 
 class Server:
-    """A server of the platform: engine of a group, or a plain service."""
+    """Fake of a server of the platform: an engine or a plain service.
+
+    Attributes
+    ----------
+    runs
+        Headers of the requests that were run, with their path.
+    arrivals
+        Time and attempt id of each request that arrived.
+    rest_answers
+        Time, seconds and attempt id of each rejection with ``Retry-After``.
+    retry_after
+        Value of ``Retry-After`` in rejections.
+    server_limit
+        Value of ``Server-Limit`` in all responses; empty for none.
+    is_leaving
+        Whether all responses have ``Server-Leaving``.
+    orders
+        Bodies of all orders received.
+    script
+        What happens to the next requests; an empty text is a normal answer.
+    orders_begun
+        Number of orders accepted.
+    unblocked
+        While cleared, answers that wait for it are delayed.
+    crashing_body
+        Body of a request that crashes the server; empty for none.
+    crashing_prompt_parts
+        Ids of prompt parts that crash the server.
+    rejected_path
+        Part of a path whose requests are answered 400; empty for none.
+    crashes
+        Time and attempt id of each crash.
+    on_crash
+        Called after a crash has closed all connections.
+    """
 
     def __init__(self, store: Store, name: str, service: str) -> None:
-        """Listen, and write the entry."""
+        """Start listening and write the entry to the store."""
         self.name = name
         self.runs: list[dict[str, str]] = []
         self.arrivals: list[tuple[float, str]] = []
@@ -318,24 +375,24 @@
 
     @property
     def arrival_count(self) -> int:
-        """Return how many requests have come."""
+        """Return the number of requests that arrived."""
         return len(self.arrivals)
 
     def write_entry(self) -> None:
-        """Write the entry as it is."""
+        """Write the current entry to the store."""
         self._store.put('servers', self.name, dict(self.entry))
 
     def get_port(self) -> int:
-        """Return the port that its entry tells."""
+        """Return the port in the entry."""
         return int(self.entry['address'].rpartition(':')[2])
 
     def close(self) -> None:
-        """Listen no more; the entry stays."""
+        """Stop listening; the entry stays in the store."""
         self._server.shutdown()
         self._server.server_close()
 
     def restart(self) -> None:
-        """Begin a new life under the same id; only the host keeps weights."""
+        """Start a new incarnation with the same id, keeping staged weights."""
         self.orders_begun = 0
         self.fence = 0
         self.members = []
@@ -344,33 +401,33 @@
         self.write_entry()
 
     def crash(self) -> None:
-        """Listen no more and be forgotten by the store."""
+        """Stop listening and remove the entry from the store."""
         self.close()
         self._store.servers.pop(self.name)
-        # A store that came back from a copy may lack the entry.
+        # A restored store may lack the entry.
         if self.name in self._store.list_names('servers'):
             self._store.remove('servers', self.name)
 
     def abort(self) -> None:
-        """End like a process that crashes; the entry stays for a while."""
+        """Close all connections, as a crash does; the entry stays."""
         self.has_ended = True
         self._server.socket.shutdown(socket.SHUT_RDWR)
-        for line in tuple(self._connections):
+        for connection in tuple(self._connections):
             try:
-                line.shutdown(socket.SHUT_RDWR)
+                connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # Its caller has hung up meanwhile.
+                # The caller has closed the connection in the meantime.
                 continue
         self.on_crash()
-        # The thread that accepts would try so for ever.
+        # Without this, the accepting thread would retry forever.
         threading.Thread(target=self.close, daemon=True).start()
 
     def get_group(self) -> dict[str, Any]:
-        """Return the group that it stands in, or nothing."""
+        """Return the group in the entry; empty for none."""
         return dict(self.entry.get('group') or {})
 
     def _find_violation(self, order: dict[str, Any]) -> str:
-        """Return the promise about groups that an order breaks, or nothing."""
+        """Return how an order breaks a promise about groups; empty if not."""
         group = self.get_group()
         mates = [
             server
@@ -378,11 +435,11 @@
             if server.get_group().get('name') == group.get('name')
         ]
         if order['operation'] == 'join' and group:
-            heads = [one for one in mates if one.get_group()['rank'] == 0]
+            heads = [mate for mate in mates if mate.get_group()['rank'] == 0]
             if any(head.get_group()['state'] == 'open' for head in heads):
                 return f'{self.name} joined while its group was open'
         if order['operation'] == 'open' and group:
-            ready = {one.name for one in mates}
+            ready = {mate.name for mate in mates}
             if ready != set(self.members):
                 return f'{self.name} opened with {sorted(ready)} ready'
         return ''
@@ -400,9 +457,9 @@
             self._store.violations.append(f'{self.name}: a join for any state')
         if expected is not None and expected != self.orders_begun:
             return 409
-        broken = self._find_violation(order)
-        if broken:
-            self._store.violations.append(broken)
+        violation = self._find_violation(order)
+        if violation:
+            self._store.violations.append(violation)
         if operation == 'stage':
             self.entry['staged'] = [order['model']]
         elif operation == 'join':
@@ -417,15 +474,15 @@
         elif group.get('name') != order['group']:
             return 409
         else:
-            word = {'open': 'open', 'close': 'ready'}.get(operation)
-            group = {**group, 'state': word} if word else {}
+            state = {'open': 'open', 'close': 'ready'}.get(operation)
+            group = {**group, 'state': state} if state else {}
         self.orders_begun += 1
         self.entry['group'] = group or None
         self.write_entry()
         return 200
 
     def make_report(self) -> dict[str, Any]:
-        """Return how it is now."""
+        """Return the body of a report."""
         return {
             'born': self.entry['born'],
             'seq_no': self.orders_begun,
@@ -433,9 +490,9 @@
         }
 
     def _crashes_on(self, body: bytes, headers: Any) -> bool:
-        """Answer whether it ends when it begins to answer a request."""
+        """Return whether a request crashes the server."""
         named = headers.get('X-Prompt-Prefix', '').split(',')[:-1]
-        parts = {one.partition(':')[0] for one in named}
+        parts = {part.partition(':')[0] for part in named}
         return bool(parts & self.crashing_prompt_parts) or (
             bool(body) and body == self.crashing_body
         )
@@ -450,8 +507,8 @@
                 server._connections.discard(self.connection)
                 super().finish()
 
-            def send_response(self, *words: Any) -> None:
-                super().send_response(*words)
+            def send_response(self, *args: Any) -> None:
+                super().send_response(*args)
                 if server.is_leaving:
                     self.send_header('Server-Leaving', '1')
                 if server.server_limit:
@@ -461,7 +518,7 @@
                 if self.path == '/api/report':
                     self.answer(200, server.make_report())
                 else:
-                    self._run()
+                    self._handle_request()
 
             def do_POST(self) -> None:
                 body = self.read_body()
@@ -477,53 +534,57 @@
                     attempt = self.headers['X-Request-Attempt-Id']
                     server.crashes.append((time.monotonic(), attempt))
                     server.abort()
-                    self.hang_up()
+                    self.drop_connection()
                 else:
-                    self._run()
+                    self._handle_request()
 
-            def _run(self) -> None:
+            def _handle_request(self) -> None:
                 attempt = self.headers['X-Request-Attempt-Id']
                 server.arrivals.append((time.monotonic(), attempt))
-                act = server.script.popleft() if server.script else ''
-                own = {
+                action = server.script.popleft() if server.script else ''
+                own_headers = {
                     'X-Request-Attempt-Id': attempt,
                     'X-Replica-Stamp': f'stamp-of-{server.name}',
                 }
-                if isinstance(act, BodyScript):
+                if isinstance(action, BodyScript):
                     server.runs.append({**self.headers, 'X-Path': self.path})
-                    act.send_response(self, own)
+                    action.send_response(self, own_headers)
                     return
-                if act == 'reject':
-                    self.answer(503, {}, {**own, 'X-Not-Executed': '1'})
+                if action == 'reject':
+                    self.answer(
+                        503, {}, {**own_headers, 'X-Not-Executed': '1'}
+                    )
                     return
-                if act == 'late-rest':
+                if action == 'late-rest':
                     server.unblocked.wait(20)
-                if act in {'rest', 'late-rest'}:
+                if action in {'rest', 'late-rest'}:
                     server.rest_answers.append(
                         (time.monotonic(), float(server.retry_after), attempt)
                     )
-                    own |= {'X-Not-Executed': '1'}
-                    own |= {'Retry-After': server.retry_after}
-                    self.answer(503, {}, own)
+                    own_headers |= {'X-Not-Executed': '1'}
+                    own_headers |= {'Retry-After': server.retry_after}
+                    self.answer(503, {}, own_headers)
                     return
                 server.runs.append({**self.headers, 'X-Path': self.path})
-                if act == 'reset':
-                    self.hang_up()
-                elif act == 'fail':
-                    self.answer(500, {}, own)
-                elif act == 'foreign':
+                if action == 'reset':
+                    self.drop_connection()
+                elif action == 'fail':
+                    self.answer(500, {}, own_headers)
+                elif action == 'foreign':
                     self.answer(
-                        200, b'!', {**own, 'X-Request-Attempt-Id': 'z'}
+                        200, b'!', {**own_headers, 'X-Request-Attempt-Id': 'z'}
                     )
                 elif 'X-Model' in self.headers:
-                    self._stream(act, own)
+                    self._send_stream(action, own_headers)
                 else:
                     server.unblocked.wait(20)
-                    self.answer(200, b'the whole answer', own)
+                    self.answer(200, b'the whole answer', own_headers)
 
-            def _stream(self, act: str, own: dict[str, str]) -> None:
+            def _send_stream(
+                self, action: str, own_headers: dict[str, str]
+            ) -> None:
                 self.send_response(200)
-                for name, text in own.items():
+                for name, text in own_headers.items():
                     self.send_header(name, text)
                 self.send_header('content-type', 'text/event-stream')
                 self.send_header('transfer-encoding', 'chunked')
@@ -531,16 +592,16 @@
                 first = int(self.headers.get('Last-Event-Id', 0)) + 1
                 for number in range(first, EVENTS + 1):
                     event = b'id: %d\ndata: t%d\n\n' % (number, number)
-                    if act == f'cut-{number}':
-                        self._chunk(event[:9])
-                        self.hang_up()
+                    if action == f'cut-{number}':
+                        self._send_chunk(event[:9])
+                        self.drop_connection()
                         return
-                    if act == f'wait-{number}':
+                    if action == f'wait-{number}':
                         server.unblocked.wait(20)
-                    self._chunk(event)
-                self._chunk(b'')
+                    self._send_chunk(event)
+                self._send_chunk(b'')
 
-            def _chunk(self, raw: bytes) -> None:
+            def _send_chunk(self, raw: bytes) -> None:
                 self.wfile.write(b'%x\r\n%s\r\n' % (len(raw), raw))
                 self.wfile.flush()
 
@@ -548,7 +609,7 @@
 
 
 def make_manifest(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return what the operators write."""
+    """Return the manifest that operators write."""
     route = {'host': HOST, 'latency_goal_ms': 400, 'max_attempts': 2}
     return {
         'version': version,
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The platform's small questions to a node."""
+"""Answers of the directory endpoint."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 )
 
 
-def test_an_entry_list_holds_what_clients_take_notice_of() -> None:
+def test_an_entry_list_is_limited_to_what_clients_read() -> None:
     addresses = [f'10.0.0.{number}:80' for number in range(MAX_ADDRESSES + 9)]
     handlers = make_directory_handlers(lambda _hall: addresses, 2.0)
     answer = handlers[RESOLVE_PATH]({'zone': 'hall-a'})
-    told = json.loads(answer.raw)
-    assert told['addresses'] == addresses[:MAX_ADDRESSES]
-    assert told['ttl_s'] == 2.0
+    body = json.loads(answer.raw)
+    assert body['addresses'] == addresses[:MAX_ADDRESSES]
+    assert body['ttl_s'] == 2.0
 
 
-def test_a_node_that_knows_no_entry_box_does_not_answer_with_none() -> None:
+def test_a_node_that_knows_no_entry_box_is_unavailable() -> None:
     handlers = make_directory_handlers(lambda _hall: [], 2.0)
     assert handlers[RESOLVE_PATH]({}).status == 503
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -1,4 +1,4 @@
-"""The operators' document on the platform."""
+"""Decoding of the operators' manifest."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from waywell.platform.manifest import decode_manifest
 from waywell.version.routes import RouteKind
 
-DOCUMENT = {
+MANIFEST = {
     'version': 7,
     'routes': [
         {
@@ -80,8 +80,8 @@
 }
 
 
-def test_a_document_becomes_a_table_of_routes() -> None:
-    table = decode_manifest(DOCUMENT)
+def test_a_manifest_is_decoded_into_a_table_of_routes() -> None:
+    table = decode_manifest(MANIFEST)
     stream, plain = table.routes
     assert table.version == 7
     assert stream.kind is RouteKind.STREAM
@@ -101,7 +101,7 @@
     assert table.holders['k2'].account == ServiceName('shop')
 
 
-def test_a_document_without_accounts_asks_for_no_key() -> None:
+def test_a_manifest_without_tenants_requires_no_key() -> None:
     table = decode_manifest({'version': 1})
     assert not table.has_accounts
 
@@ -111,28 +111,28 @@
     [
         {'version': None},
         {'routes': [{'name': 'r'}]},
-        {'routes': [{**DOCUMENT['routes'][1], 'kind': 'sometimes'}]},
+        {'routes': [{**MANIFEST['routes'][1], 'kind': 'sometimes'}]},
         {'services': 'none'},
         {'tenants': [{'api_keys': ['k']}]},
     ],
 )
-def test_a_document_that_is_not_understood_is_an_error(change: dict) -> None:
+def test_an_invalid_manifest_raises_a_value_error(change: dict) -> None:
     with pytest.raises(ValueError, match='.'):
-        decode_manifest({**DOCUMENT, **change})
+        decode_manifest({**MANIFEST, **change})
 
 
-JSON = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=8),
     lambda inner: (
         st.lists(inner, max_size=3)
-        | st.dictionaries(st.sampled_from(sorted(DOCUMENT)), inner, max_size=4)
+        | st.dictionaries(st.sampled_from(sorted(MANIFEST)), inner, max_size=4)
     ),
     max_leaves=12,
 )
 
 
-@given(spec=JSON)
-def test_any_value_is_decoded_or_refused(spec: object) -> None:
+@given(spec=JSON_VALUES)
+def test_any_value_is_decoded_or_raises_a_value_error(spec: object) -> None:
     try:
         table = decode_manifest(spec)
     except ValueError:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's list of servers."""
+"""Decoding of entries of the platform's list of servers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 }
 
 
-def test_an_entry_becomes_a_box() -> None:
+def test_an_entry_is_decoded_into_a_box() -> None:
     box = decode_server('i-1', ENTRY)
     assert (box.host, box.port) == ('10.128.0.9', 8080)
     assert box.staged == ('big',)
@@ -39,13 +39,13 @@
     assert decode_server('i-1', {**ENTRY, 'state': 'draining'}).leaving
 
 
-def test_an_entry_without_a_group_stands_in_none() -> None:
+def test_an_entry_without_a_group_has_no_standing() -> None:
     assert decode_server('i-1', {**ENTRY, 'group': None}).standing is None
     group = {**ENTRY['group'], 'name': ''}
     assert decode_server('i-1', {**ENTRY, 'group': group}).standing is None
 
 
-def test_staged_models_may_be_told_as_tables() -> None:
+def test_staged_models_may_be_given_as_tables() -> None:
     box = decode_server('i-1', {**ENTRY, 'staged': [{'name': 'small'}]})
     assert box.staged == ('small',)
 
@@ -59,18 +59,23 @@
         {'staged': [{'title': 'big'}]},
     ],
 )
-def test_an_entry_that_is_not_understood_is_an_error(change: dict) -> None:
+def test_an_invalid_entry_raises_a_value_error(change: dict) -> None:
     with pytest.raises(ValueError, match='.'):
         decode_server('i-1', {**ENTRY, **change})
 
 
 @given(
     key=st.sampled_from(sorted(ENTRY)),
-    made=st.none() | st.integers() | st.text(max_size=6) | st.lists(st.none()),
+    replacement=st.none()
+    | st.integers()
+    | st.text(max_size=6)
+    | st.lists(st.none()),
 )
-def test_any_entry_is_decoded_or_refused(key: str, made: object) -> None:
+def test_any_entry_is_decoded_or_raises_a_value_error(
+    key: str, replacement: object
+) -> None:
     try:
-        box = decode_server('i-1', {**ENTRY, key: made})
+        box = decode_server('i-1', {**ENTRY, key: replacement})
     except ValueError:
         return
     assert box.box == 'i-1'
