--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -282,7 +282,7 @@
                 self.answer(*outcome)
 
             def _fail_if_injected(self) -> bool:
-                """Fail the call if a fault is set; return whether it failed."""
+                """Fail the call if a fault is set; return whether one is."""
                 if store.is_down:
                     self.drop_connection()
                     return True
@@ -314,7 +314,14 @@
     orders
         Bodies of all orders received.
     script
-        What happens to the next requests; an empty text is a normal answer.
+        Actions for the next requests, one each: ``reject``, ``rest``,
+        ``late-rest``, ``reset``, ``fail``, ``foreign``, ``cut-N`` and
+        ``wait-N`` for event N of a stream, a script of the whole body, or an
+        empty text for a normal answer.
+    members
+        Names of the boxes in the last join order.
+    fence
+        Highest fencing token seen.
     orders_begun
         Number of orders accepted.
     unblocked
@@ -329,6 +336,10 @@
         Time and attempt id of each crash.
     on_crash
         Called after a crash has closed all connections.
+    has_ended
+        Whether the server has crashed.
+    entry
+        Entry in the list of servers, written by ``write_entry``.
     """
 
     def __init__(self, store: Store, name: str, service: str) -> None:
@@ -400,7 +411,7 @@
         self.entry['born'] += 1
         self.write_entry()
 
-    def crash(self) -> None:
+    def stop_and_delist(self) -> None:
         """Stop listening and remove the entry from the store."""
         self.close()
         self._store.servers.pop(self.name)
@@ -408,7 +419,7 @@
         if self.name in self._store.list_names('servers'):
             self._store.remove('servers', self.name)
 
-    def abort(self) -> None:
+    def crash(self) -> None:
         """Close all connections, as a crash does; the entry stays."""
         self.has_ended = True
         self._server.socket.shutdown(socket.SHUT_RDWR)
@@ -429,17 +440,17 @@
     def _find_violation(self, order: dict[str, Any]) -> str:
         """Return how an order breaks a promise about groups; empty if not."""
         group = self.get_group()
-        mates = [
+        peers = [
             server
             for server in self._store.servers.values()
             if server.get_group().get('name') == group.get('name')
         ]
         if order['operation'] == 'join' and group:
-            heads = [mate for mate in mates if mate.get_group()['rank'] == 0]
+            heads = [peer for peer in peers if peer.get_group()['rank'] == 0]
             if any(head.get_group()['state'] == 'open' for head in heads):
                 return f'{self.name} joined while its group was open'
         if order['operation'] == 'open' and group:
-            ready = {mate.name for mate in mates}
+            ready = {peer.name for peer in peers}
             if ready != set(self.members):
                 return f'{self.name} opened with {sorted(ready)} ready'
         return ''
@@ -533,7 +544,7 @@
                     server.runs.append({**self.headers, 'X-Path': self.path})
                     attempt = self.headers['X-Request-Attempt-Id']
                     server.crashes.append((time.monotonic(), attempt))
-                    server.abort()
+                    server.crash()
                     self.drop_connection()
                 else:
                     self._handle_request()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -525,7 +525,7 @@
         old = self.front.servers.pop(name)
         service = old.entry['service']
         self.front.gone.append(old)
-        old.crash()
+        old.stop_and_delist()
         self._servers += 1
         new = f'{name[:2]}-{self._servers}'
         server = Server(self.front.store, new, service)
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -120,7 +120,7 @@
 
 def test_outdated_entry_does_not_end_the_life_of_a_box(front: Front) -> None:
     node = start(front)
-    front.servers.pop('a2').crash()
+    front.servers.pop('a2').stop_and_delist()
     wait_until(
         lambda: 'a2' not in read_boxes(front, node), 'one remaining replica'
     )
--- a/waywell/platform/messages.py
+++ b/waywell/platform/messages.py
@@ -116,17 +116,17 @@
         box: FleetBox,
     ) -> RawHeaders:
         """Return the headers of a request to a server."""
-        own = {
+        added = {
             DEADLINE_HEADER: _encode_timeout(delivery.seconds),
             BOX_HEADER: box.box,
         }
         if delivery.account is not None:
-            own[TENANT_HEADER] = delivery.account
+            added[TENANT_HEADER] = delivery.account
         if delivery.priority is not None:
-            own[PRIORITY_HEADER] = str(delivery.priority)
+            added[PRIORITY_HEADER] = str(delivery.priority)
         if delivery.resume_after is not None:
-            own[RESUME_HEADER] = str(delivery.resume_after)
-        return _add_headers(ask.headers, own)
+            added[RESUME_HEADER] = str(delivery.resume_after)
+        return _add_headers(ask.headers, added)
 
     def make_forward_headers(
         self,
@@ -136,15 +136,15 @@
         resume_after: int | None,
     ) -> RawHeaders:
         """Return the headers of a request to another entry box."""
-        own = {
+        added = {
             DEADLINE_HEADER: _encode_timeout(seconds),
             FORWARDED_HEADER: mark.encode(),
         }
         if ask.api_key:
-            own[KEY_HEADER] = f'{KEY_SCHEME} {ask.api_key}'
+            added[KEY_HEADER] = f'{KEY_SCHEME} {ask.api_key}'
         if resume_after is not None:
-            own[RESUME_HEADER] = str(resume_after)
-        return _add_headers(ask.headers, own)
+            added[RESUME_HEADER] = str(resume_after)
+        return _add_headers(ask.headers, added)
 
     def read_mark(self, status: int, headers: RawHeaders) -> AnswerMetadata:
         """Return the metadata in the headers of a server's response."""
@@ -167,12 +167,12 @@
         )
 
 
-def _add_headers(headers: RawHeaders, own: dict[str, str]) -> RawHeaders:
+def _add_headers(headers: RawHeaders, added: dict[str, str]) -> RawHeaders:
     return (
         *headers,
         *(
             (name.encode(), text.encode('latin-1'))
-            for name, text in own.items()
+            for name, text in added.items()
         ),
     )
 
--- a/waywell/platform/objects.py
+++ b/waywell/platform/objects.py
@@ -145,25 +145,27 @@
     raise ValueError(foreign.error)
 
 
-def _make_stored_object(found: _Object, removed: bool = False) -> StoredObject:
-    meta = found.metadata
-    return StoredObject(meta.name, meta.revision, found.spec, removed)
+def _make_stored_object(
+    wire_object: _Object, removed: bool = False
+) -> StoredObject:
+    meta = wire_object.metadata
+    return StoredObject(meta.name, meta.revision, wire_object.spec, removed)
 
 
 def _decode_separately(raw: bytes) -> StorePage:
-    """Return a page decoded object by object, with the foreign ones apart."""
+    """Return a page decoded object by object, foreign ones separately."""
     try:
         page = msgspec.convert(_parse_leniently(raw), _PlainPage)
     except _DECODE_ERRORS as error:
         raise ValueError(str(error)) from error
-    read = [
+    decoded = [
         *(_read_plain(item, False) for item in page.items),
         *(_read_event(event) for event in page.events),
     ]
-    names = [item.name for item in read[: len(page.items)] if item.name]
+    names = [item.name for item in decoded[: len(page.items)] if item.name]
     return StorePage(
-        tuple(item for item in read if isinstance(item, StoredObject)),
-        tuple(item for item in read if isinstance(item, ForeignObject)),
+        tuple(item for item in decoded if isinstance(item, StoredObject)),
+        tuple(item for item in decoded if isinstance(item, ForeignObject)),
         page.has_more,
         page.current_rev,
         names[-1] if names else '',
@@ -202,9 +204,11 @@
 def _read_plain(plain: Any, removed: bool) -> StoredObject | ForeignObject:
     """Return the object, or a foreign one if it cannot be decoded."""
     if removed:
-        gone = _describe_foreign(plain, None)
-        if gone.name:
-            return StoredObject(gone.name, gone.revision, removed=True)
+        removed_object = _describe_foreign(plain, None)
+        if removed_object.name:
+            return StoredObject(
+                removed_object.name, removed_object.revision, removed=True
+            )
     try:
         # Encoding detects strings of invalid UTF-8 at any depth.
         msgspec.json.encode(plain)
--- a/waywell/platform/orders.py
+++ b/waywell/platform/orders.py
@@ -93,10 +93,10 @@
         result = await client.call('GET', REPORT_PATH)
         if isinstance(result, Failure):
             return None
-        answer = result.unwrap()
-        if answer.status != HTTPStatus.OK:
+        response = result.unwrap()
+        if response.status != HTTPStatus.OK:
             return None
-        return decode_report(box, answer.raw)
+        return decode_report(box, response.raw)
 
 
 def decode_result(status: int) -> OrderResult:
@@ -132,10 +132,10 @@
 
 
 def _parse_report(raw: bytes) -> BoxReport:
-    found = msgspec.json.decode(raw, type=_Report)
-    standing = None if found.group is None else decode_standing(found.group)
-    life = decode_incarnation(found.born)
-    return BoxReport(found.pace, found.seq_no, standing, life)
+    report = msgspec.json.decode(raw, type=_Report)
+    standing = None if report.group is None else decode_standing(report.group)
+    incarnation = decode_incarnation(report.born)
+    return BoxReport(report.pace, report.seq_no, standing, incarnation)
 
 
 def _make_client(box: FleetBox, seconds: float) -> HttpCalls:
--- a/waywell/platform/store.py
+++ b/waywell/platform/store.py
@@ -172,7 +172,7 @@
             if not page.last_name:
                 return Failure(PlatformFault.UNREADABLE)
             query['since_rev'] = page.last_name
-        changes = self._decoder.gather(kind, pages)
+        changes = self._decoder.merge_pages(kind, pages)
         # The watch delivers the changes made after the first page.
         return Success(
             msgspec.structs.replace(
@@ -233,7 +233,7 @@
         if isinstance(decoded, Failure):
             return decoded
         page = decoded.unwrap()
-        changes = self._decoder.gather(kinds[0], [page])
+        changes = self._decoder.merge_pages(kinds[0], [page])
         return Success(
             msgspec.structs.replace(changes, revision=page.revision),
         )
@@ -307,19 +307,19 @@
             OrderedDict()
         )
 
-    def gather(self, kind: Kind, pages: list[StorePage]) -> Changes:
-        """Return the content of pages, with 0 as the revision."""
-        found = [framed for page in pages for framed in page.objects]
-        foreign = [other for page in pages for other in page.foreign]
-        names = [other.name for other in foreign if other.name]
-        for unframed in foreign:
-            self._log_foreign(kind, unframed)
+    def merge_pages(self, kind: Kind, pages: list[StorePage]) -> Changes:
+        """Return the merged content of pages, without the store's revision."""
+        found = [readable for page in pages for readable in page.objects]
+        foreign = [unreadable for page in pages for unreadable in page.foreign]
+        names = [unreadable.name for unreadable in foreign if unreadable.name]
+        for unreadable in foreign:
+            self._log_foreign(kind, unreadable)
         nameless = len(foreign) - len(names)
         stored = []
-        for framed in found:
-            decoded = self.decode(kind, framed)
+        for readable in found:
+            decoded = self.decode(kind, readable)
             if decoded is None:
-                names.append(framed.name)
+                names.append(readable.name)
             else:
                 stored.append(decoded)
         return Changes(
