--- a/waywell/standins/harness.py
+++ b/waywell/standins/harness.py
@@ -25,7 +25,7 @@
     from collections.abc import Callable
 
 HANG_TIMEOUT = 30.0
-"""Timeout of a wait, in seconds."""
+"""Timeout of a wait in seconds, which only a hang should exceed."""
 
 POLL_SECONDS = 0.05
 """Seconds between two checks of a condition."""
