--- a/tests/test_server_orders.py
+++ b/tests/test_server_orders.py
@@ -40,7 +40,7 @@
     def make_calls(_box: FleetBox, _seconds: float) -> _FixedCalls:
         return _FixedCalls(outcome)
 
-    monkeypatch.setattr(server_orders, '_make_calls', make_calls)
+    monkeypatch.setattr(server_orders, '_make_client', make_calls)
     return asyncio.run(ServerOrders().send(LEAVE, 3))
 
 
