--- a/tests/soak.py
+++ b/tests/soak.py
@@ -21,8 +21,8 @@
 import fire
 
 from tests.broken_bodies import BodyScript, Ending, Framing
+from tests.fake_platform import KEY, Server, StoreSnapshot, make_manifest
 from tests.front_harness import WHOLE_STREAM, FrontHarness
-from tests.house import KEY, Server, StoreCopy, make_manifest
 from tests.limits import KNOWN_SECONDS, count_allowed, count_most
 from tests.relay import Direction, Relay
 from tests.replica_paths import Cut, ReplicaRelays
@@ -220,7 +220,7 @@
         self._return_share = return_share
         self._cut_share = cut_share
         self._truncated_share = truncated_share
-        self._copies: list[StoreCopy] = []
+        self._copies: list[StoreSnapshot] = []
         self._manifest = make_manifest()
         # Separate generators, so that seeds that failed before still draw the
         # same faults.
@@ -281,7 +281,7 @@
             for caller in callers:
                 caller.join()
             self._check_promises()
-            return self.violations + self.front.store.broken
+            return self.violations + self.front.store.violations
         finally:
             self._is_finished.set()
             for relay in (*self._list_relays(), self._replica_links):
@@ -358,14 +358,14 @@
         """
         if not self._return_share:
             return []
-        self._copies = [*self._copies, self.front.store.take_copy()][
+        self._copies = [*self._copies, self.front.store.take_snapshot()][
             -MAX_COPIES:
         ]
         if self._return_random.random() >= self._return_share:
             return []
         copy_count = self._return_random.randrange(len(self._copies)) + 1
         self._copies = self._copies[:copy_count]
-        self.front.store.go_back(self._copies[-1])
+        self.front.store.restore(self._copies[-1])
         delayed_actions = [(LAPSE_SECONDS, self._remove_lapsed_entries)]
         for write in (
             self._write_routes,
@@ -423,8 +423,8 @@
         server.entry['address'] = f'127.0.0.1:{relay.port}'
         server.write_entry()
         if self._prompt_share:
-            server.deadly_parts = frozenset((CRASHING_PART,))
-            server.when_ended = relay.refuse_new
+            server.crashing_prompt_parts = frozenset((CRASHING_PART,))
+            server.on_crash = relay.refuse_new
         return relay
 
     def _kill(self) -> Any:
@@ -457,14 +457,14 @@
         store = self.front.store
         kind = self.random.choice(('slow', 'loses', 'refuses', 'forgets'))
         if kind == 'slow':
-            store.slow_seconds = self.random.uniform(*DELAY_SECONDS)
-            return lambda: setattr(store, 'slow_seconds', 0.0)
+            store.delay_seconds = self.random.uniform(*DELAY_SECONDS)
+            return lambda: setattr(store, 'delay_seconds', 0.0)
         if kind == 'loses':
-            store.loses_answers = True
-            return lambda: setattr(store, 'loses_answers', False)
+            store.drops_answers = True
+            return lambda: setattr(store, 'drops_answers', False)
         if kind == 'refuses':
-            store.refusal = self.random.choice(REFUSAL_STATUSES)
-            return lambda: setattr(store, 'refusal', 0)
+            store.refusal_status = self.random.choice(REFUSAL_STATUSES)
+            return lambda: setattr(store, 'refusal_status', 0)
         store.forget_history()
         return None
 
@@ -509,7 +509,7 @@
         name = self._announcement_random.choice(sorted(self.front.servers))
         server = self.front.servers[name]
         if self._announcement_random.random() < 0.5:
-            server.rest_text = self._announcement_random.choice(REST_TEXTS)
+            server.retry_after = self._announcement_random.choice(REST_TEXTS)
             server.script.append('rest')
         else:
             server.is_leaving = True
@@ -521,15 +521,15 @@
         """Make a server report a limit unless one has a limit already."""
         now = time.monotonic()
         self._end_limits(now)
-        if any(period.server.limit_text for period in self._limit_periods):
+        if any(period.server.server_limit for period in self._limit_periods):
             return
         if self._limit_random.random() > LIMIT_SHARE:
             return
         name = self._limit_random.choice(sorted(self.front.servers))
         server = self.front.servers[name]
-        server.limit_text = self._limit_random.choice(LIMIT_TEXTS)
+        server.server_limit = self._limit_random.choice(LIMIT_TEXTS)
         ends_at = now + self._limit_random.uniform(*LIMIT_DURATION)
-        limit = float(server.limit_text)
+        limit = float(server.server_limit)
         self._limit_periods.append(_LimitPeriod(server, limit, ends_at))
 
     def _end_limits(self, due_at: float = float('inf')) -> None:
@@ -537,10 +537,10 @@
         now = time.monotonic()
         for period in self._limit_periods:
             is_gone = period.server.name not in self.front.servers
-            if period.server.limit_text and (
+            if period.server.server_limit and (
                 is_gone or period.ends_at <= due_at
             ):
-                period.server.limit_text = ''
+                period.server.server_limit = ''
                 period.ends_at = min(period.ends_at, now)
 
     def _record_interruption(self, process: Process) -> None:
@@ -562,7 +562,7 @@
         old = self.front.servers.pop(name)
         service = old.entry['service']
         self.front.removed_servers.append(old)
-        old.crash()
+        old.stop_and_delist()
         self._servers_started += 1
         new = f'{name[:2]}-{self._servers_started}'
         server = Server(self.front.store, new, service)
@@ -721,7 +721,7 @@
 
     def _record_reported_limit(self, process: Process, name: str) -> None:
         for period in self._limit_periods:
-            if period.server.name == name and period.server.limit_text:
+            if period.server.name == name and period.server.server_limit:
                 period.record_report(process, time.monotonic())
 
     def _check_promises(self) -> None:
@@ -766,7 +766,7 @@
             limit_period.end_span(process, time.monotonic())
         arrivals = [
             at
-            for at, attempt in limit_period.server.came
+            for at, attempt in limit_period.server.arrivals
             if limit_period.is_bound(self._front_by_attempt.get(attempt), at)
         ]
         if count_most(arrivals) > count_allowed(limit_period.limit):
@@ -777,7 +777,7 @@
 
     def _check_leaving(self, server: Server) -> None:
         """Check that nodes sent nothing to a server they knew was leaving."""
-        for _at, attempt in server.came:
+        for _at, attempt in server.arrivals:
             reporter = (self._front_by_attempt.get(attempt), server.name)
             sent_at = self._requests.get(attempt, ('', 0.0))[1]
             reported_at = self._leaving_reported_at.get(reporter, float('inf'))
@@ -790,12 +790,12 @@
         Servers behind a disturbed relay are not checked, because the relay
         may have lost the request for rest.
         """
-        for asked_at, seconds, attempt in server.asked_rest:
+        for asked_at, seconds, attempt in server.rest_answers:
             node = self._front_by_attempt.get(attempt)
             count = sum(
                 asked_at + REST_GRACE_SECONDS < at < asked_at + seconds
                 and self._front_by_attempt.get(other) is node
-                for at, other in server.came
+                for at, other in server.arrivals
             )
             if count > MAX_DURING_REST:
                 rest = f'the {seconds} s of rest requested from {attempt}'
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,8 +11,8 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
+from tests.fake_platform import HOST, KEY, make_manifest
 from tests.front_harness import WHOLE_STREAM, FrontHarness
-from tests.house import HOST, KEY, make_manifest
 from waywell.cli import EXIT_REFUSED, run_command
 from waywell.codes import Code
 from waywell.standins.harness import wait_until
@@ -165,7 +165,7 @@
     shared = deque([act])
     heads = front.list_heads()
     for server in heads:
-        server.goes_on.clear()
+        server.unblocked.clear()
         server.script = shared
         server.runs.clear()
     status, body, _answer = front.send_request(
@@ -224,7 +224,7 @@
 ) -> None:
     front, process = served
     for name in ('a1', 'a2'):
-        front.servers[name].goes_on.clear()
+        front.servers[name].unblocked.clear()
     answers: list[tuple[int, str | None]] = []
 
     def ask() -> None:
@@ -237,7 +237,7 @@
     process.send_signal(signal.SIGTERM)
     wait_until(lambda: not front.is_ready(process), 'the node to leave')
     for name in ('a1', 'a2'):
-        front.servers[name].goes_on.set()
+        front.servers[name].unblocked.set()
     thread.join()
     assert answers == [(200, 'close')]
     assert process.wait() == 0
@@ -255,7 +255,7 @@
     front, process = served
     for server in front.servers.values():
         server.script.append('wait-3')
-        server.goes_on.clear()
+        server.unblocked.clear()
     process.send_signal(signal.SIGTERM)
     wait_until(lambda: not front.is_ready(process), 'the node to leave')
     status, _body, answer = front.send_request(
@@ -292,7 +292,7 @@
     ]
     (member,) = [server for server in members if server is not head]
     for server in front.list_heads():
-        server.goes_on.clear()
+        server.unblocked.clear()
         server.script.append('wait-2')
     member.close()
     # Its entry stays in the store; only stalled streams show the loss.
@@ -328,7 +328,7 @@
     assert min(tokens[0] for tokens in given) == 1
     assert all(tokens[-1] == 2 for tokens in given)
     assert all(tokens == sorted(tokens) for tokens in given)
-    assert not front.store.broken
+    assert not front.store.violations
 
 
 def test_an_attempt_id_appears_in_all_its_log_lines(
--- a/tests/test_recover.py
+++ b/tests/test_recover.py
@@ -84,7 +84,7 @@
         200,
         WHOLE_STREAM,
     )
-    assert not front.store.broken
+    assert not front.store.violations
 
 
 def test_foreign_entries_in_the_store_do_not_affect_boxes(
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -13,8 +13,8 @@
 
 from returns.result import Result, Success
 
+from tests.fake_platform import KEY, StoreSnapshot, make_manifest
 from tests.front_harness import FrontHarness
-from tests.house import KEY, StoreCopy, make_manifest
 from tests.lone_gossip import LoneGossip
 from tests.loops import in_loop
 from tests.manual_clock import ManualClock
@@ -63,7 +63,7 @@
 def restore_and_wait(
     front: FrontHarness,
     node: Process,
-    copy: StoreCopy,
+    copy: StoreSnapshot,
     *objects: tuple[str, str, Any],
 ) -> None:
     """Restore the store; wait until a node has read all of it."""
@@ -76,7 +76,7 @@
         'a read newer than the copy',
     )
     seen = {**front.servers['m1'].entry, 'slots': 7}
-    front.store.go_back(copy, ('servers', 'm1', seen), *objects)
+    front.store.restore(copy, ('servers', 'm1', seen), *objects)
     wait_until(
         lambda: read_boxes(front, node)['m1']['places'] == 7,
         'a read after the restore',
@@ -87,7 +87,7 @@
     front: FrontHarness,
 ) -> None:
     node = start(front)
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     for number in range(40):
         front.store.put('others', f'o{number}', {})
     wait_until(
@@ -96,7 +96,7 @@
     )
     later = make_manifest(2, tenants=[{'name': 'new', 'api_keys': [KEY]}])
     objects = [('others', f'o{number}', {}) for number in range(400)]
-    front.store.go_back(copy, ('config', 'main', later), *objects)
+    front.store.restore(copy, ('config', 'main', later), *objects)
     wait_until(
         lambda: read_status(front, node)['routes_version'] == 2,
         'the version that was written after the restore',
@@ -109,7 +109,7 @@
 ) -> None:
     node = start(front)
     assert read_status(front, node)['store_era_since'] is None
-    restore_and_wait(front, node, front.store.take_copy())
+    restore_and_wait(front, node, front.store.take_snapshot())
     status = read_status(front, node)
     assert (status['store_era'], status['store_era_changes']) == (2, 1)
     assert status['store_era_since'] is not None
@@ -124,18 +124,18 @@
     front: FrontHarness,
 ) -> None:
     node = start(front)
-    front.servers.pop('a2').crash()
+    front.servers.pop('a2').stop_and_delist()
     wait_until(
         lambda: 'a2' not in read_boxes(front, node), 'one remaining replica'
     )
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     server = front.servers['a1']
     server.restart()
     wait_until(
         lambda: read_boxes(front, node)['a1']['incarnation'] == 2,
         'the new incarnation',
     )
-    server.goes_on.clear()
+    server.unblocked.clear()
     answers = []
     caller = threading.Thread(
         target=lambda: answers.append(front.send_request(node, '/match/1')[0])
@@ -145,7 +145,7 @@
     restore_and_wait(front, node, copy)
     # The box keeps running and writes its entry again a moment later.
     server.write_entry()
-    server.goes_on.set()
+    server.unblocked.set()
     caller.join()
     assert answers == [200]
 
@@ -154,7 +154,7 @@
     front: FrontHarness,
 ) -> None:
     node = start(front)
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     leaving = front.servers['a1']
     leaving.entry['state'] = 'draining'
     leaving.write_entry()
@@ -165,14 +165,14 @@
     restore_and_wait(front, node, copy)
     for _request in range(REQUESTS):
         assert front.send_request(node, '/stock/1')[0] == 200
-    assert not leaving.arrivals
+    assert not leaving.arrival_count
 
 
 def test_boxes_missing_from_the_copy_are_kept_until_they_write_again(
     tmp_path: Path,
 ) -> None:
     front = FrontHarness(tmp_path)
-    copy = front.store.take_copy()
+    copy = front.store.take_snapshot()
     front.add_servers()
     try:
         node = start(front)
--- a/waywell/bench/control.py
+++ b/waywell/bench/control.py
@@ -52,7 +52,9 @@
     """Start entry boxes in two data halls and wait for full membership."""
     names = [f'node-{number}' for number in range(count)]
     for number, name in enumerate(names):
-        bench.start_entry(name, hall=f'hall-{number % 2}', top={'history': ''})
+        bench.start_entry(
+            name, hall=f'hall-{number % 2}', top_level={'history': ''}
+        )
     bench.start_boxes([BoxSpec('app-1', fenced=False, labels={'pool': 'app'})])
     bench.apply(names[0], make_configuration())
     wait_until_known(bench, names)
--- a/waywell/bench/request.py
+++ b/waywell/bench/request.py
@@ -38,7 +38,7 @@
         Caller port of the entry box, port of the plain target, and process
         id of the entry box.
     """
-    bench.start_entry('entry-1', top={'history': ''})
+    bench.start_entry('entry-1', top_level={'history': ''})
     bench.start_boxes(
         [
             BoxSpec('box-1', labels={'pool': 'llm'}),
--- a/waywell/bench/size.py
+++ b/waywell/bench/size.py
@@ -41,7 +41,7 @@
     for name in names:
         bench.start_entry(
             name,
-            top={'history': ''},
+            top_level={'history': ''},
             timing={'probe': PROBE_SECONDS, 'evidence': 120},
         )
     return names
@@ -54,7 +54,7 @@
     port = bench.targets['app-1'].ports['port']
     for number in range(count):
         box = BoxSpec(f'box-{number:04}', labels={'pool': 'llm'})
-        bench.list_scripted(box, port)
+        bench.list_box_at_port(box, port)
 
 
 def form_groups(bench: Bench, names: list[str], groups: int) -> float:
