--- a/tests/replica_paths.py
+++ b/tests/replica_paths.py
@@ -84,7 +84,7 @@
         for thread in threads:
             thread.join()
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Restore the links."""
         self._how = None
         for relay in tuple(self._relays.values()):
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -333,7 +333,7 @@
         self._replica_links.cut(self._cut_random.choice(list(Cut)))
         seconds = self._cut_random.uniform(*FAULT_DURATION)
         self._links_restored_at = now + seconds
-        timer = threading.Timer(seconds, self._replica_links.mend)
+        timer = threading.Timer(seconds, self._replica_links.restore)
         timer.start()
         return [timer]
 
@@ -374,9 +374,7 @@
             delayed_actions.append(
                 (self._return_random.uniform(*REWRITE_DELAY), write)
             )
-        timers = [
-            threading.Timer(delay, action) for delay, action in delayed_actions
-        ]
+        timers = [threading.Timer(*delayed) for delayed in delayed_actions]
         for timer in timers:
             timer.start()
         return timers
@@ -594,9 +592,8 @@
         """End all faults and wait until every front serves again."""
         self.front.store.is_down = False
         self._end_limits()
-        for relay in self._list_relays():
+        for relay in (*self._list_relays(), self._replica_links):
             relay.restore()
-        self._replica_links.mend()
         # The first version does not contain the key that the check uses.
         self._change_routes()
         for server in tuple(self.front.servers.values()):
--- a/tests/test_partitioned_entries.py
+++ b/tests/test_partitioned_entries.py
@@ -197,7 +197,7 @@
 ) -> None:
     fleet.cut(how)
     fleet.wait_listed(CONNECTED_NODES)
-    fleet.relays.mend()
+    fleet.relays.restore()
     fleet.wait_listed((*CONNECTED_NODES, CUT_NODE))
     for service in SERVICES:
         assert fleet.call(CUT_NODE, service, 0).status == 200
--- a/tests/test_partitioned_nodes.py
+++ b/tests/test_partitioned_nodes.py
@@ -107,7 +107,7 @@
     assert run['Host'] == HOST
     assert 'Authorization' not in run
     assert int(run['X-Deadline-Ms']) <= 8000
-    fleet.paths.mend()
+    fleet.paths.restore()
 
 
 @pytest.mark.parametrize('how', Cut)
@@ -120,7 +120,7 @@
     fleet.wait_listed(2)
     assert f'127.0.0.1:{port}' not in fleet.list_addresses(fleet.connected[0])
     assert fleet.front.is_ready(fleet.cut)
-    fleet.paths.mend()
+    fleet.paths.restore()
     fleet.wait_listed(3)
 
 
@@ -130,7 +130,7 @@
     fleet.paths.cut(Cut.RESET)
     fleet.front.send_request(fleet.cut, '/stock/1')
     fleet.wait_listed(2)
-    fleet.paths.mend()
+    fleet.paths.restore()
     fleet.wait_listed(3)
     for process in fleet.connected:
         process.kill()
