--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -209,7 +209,7 @@
 
 def _explain_route(route: Route) -> str:
     """Return a sentence about the matching and retries of a route."""
-    key = 'no key is required' if route.public else 'a key is required'
+    key = 'no key is asked for' if route.public else 'a key is asked for'
     repeat = (
         'may be sent to another replica'
         if route.may_repeat
