--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -47,8 +47,8 @@
 
     @rule(life=lives, seconds=st.floats(0, 20))
     def ask_for_rest(self, life: BoxLife, seconds: float) -> None:
-        mark = AnswerMetadata(is_rejected=True, rest_seconds=seconds)
-        self.pressure.record(life, mark, self.now)
+        metadata = AnswerMetadata(is_rejected=True, rest_seconds=seconds)
+        self.pressure.record(life, metadata, self.now)
         ends_at = self.now + seconds
         self.ends[life] = max(ends_at, self.ends.get(life, 0.0))
 
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -18,10 +18,10 @@
 
 
 def make_fingerprint(
-    ask: DecodedRequest, account: AccountName | None
+    request: DecodedRequest, account: AccountName | None
 ) -> Fingerprint:
     return fingerprint.make_fingerprint(
-        ask.method, ask.target, ask.body, account
+        request.method, request.target, request.body, account
     )
 
 
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -58,8 +58,8 @@
     code: Code,
     ran: Ran = Ran.NOT_RUN,
 ) -> None:
-    mark = AnswerMetadata(refusal=PeerRefusal(code, ran, 0.7))
-    await harness.deliver_head(attempt, status=503, metadata=mark)
+    metadata = AnswerMetadata(refusal=PeerRefusal(code, ran, 0.7))
+    await harness.deliver_head(attempt, status=503, metadata=metadata)
 
 
 def run(scenario: Any) -> None:
--- a/tests/test_front_channel.py
+++ b/tests/test_front_channel.py
@@ -41,8 +41,10 @@
         self.transport = _Transport()
         self.channel.makeConnection(self.transport)
 
-    async def _serve(self, ask: DecodedRequest, _answer: AnswerWriter) -> None:
-        self.served.append(ask)
+    async def _serve(
+        self, request: DecodedRequest, _answer: AnswerWriter
+    ) -> None:
+        self.served.append(request)
 
     def advance(self, seconds: float) -> None:
         """Advance the clock in steps of a tenth of a second."""
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -35,23 +35,25 @@
     )
 
 
-def make_headers(ask: DecodedRequest, **changes: object) -> dict[bytes, bytes]:
+def make_headers(
+    request: DecodedRequest, **changes: object
+) -> dict[bytes, bytes]:
     delivery = DeliveryParameters(
         **{'account': AccountName('shop'), 'seconds': 2.5, **changes},
     )
-    headers = WIRE.make_headers(ask, delivery, make_box('i-1'))
+    headers = WIRE.make_headers(request, delivery, make_box('i-1'))
     by_name = {name.lower(): text for name, text in headers}
     assert len(by_name) == len(headers)
     return by_name
 
 
 def test_the_headers_of_a_request_are_read() -> None:
-    ask = read_ask()
-    assert ask.attempt_id == 'a1'
-    assert ask.path == '/notes/1'
-    assert ask.api_key == 'secret'
-    assert ask.timeout_seconds == 8.0
-    assert (ask.prompt_tokens, ask.answer_tokens) == (1460, 80)
+    request = read_ask()
+    assert request.attempt_id == 'a1'
+    assert request.path == '/notes/1'
+    assert request.api_key == 'secret'
+    assert request.timeout_seconds == 8.0
+    assert (request.prompt_tokens, request.answer_tokens) == (1460, 80)
 
 
 def test_identity_headers_of_the_caller_are_replaced() -> None:
@@ -101,11 +103,11 @@
     assert caught.value.ran.value == 'not_run'
 
 
-def test_the_marks_in_the_headers_of_an_answer_are_read() -> None:
-    ran = WIRE.read_mark(500, ((b'X-Request-Attempt-Id', b'a1'),))
+def test_the_metadata_in_the_headers_of_an_answer_is_read() -> None:
+    ran = WIRE.read_metadata(500, ((b'X-Request-Attempt-Id', b'a1'),))
     assert (ran.attempt_id, ran.is_rejected) == ('a1', False)
-    assert WIRE.read_mark(503, ((b'X-Not-Executed', b'1'),)).is_rejected
-    assert WIRE.read_mark(421, ()).is_misdirected
+    assert WIRE.read_metadata(503, ((b'X-Not-Executed', b'1'),)).is_rejected
+    assert WIRE.read_metadata(421, ()).is_misdirected
 
 
 @pytest.mark.parametrize(
@@ -127,14 +129,14 @@
     text: bytes,
     seconds: float,
 ) -> None:
-    mark = WIRE.read_mark(status, ((b'Retry-After', text),))
-    assert mark.rest_seconds == seconds
+    metadata = WIRE.read_metadata(status, ((b'Retry-After', text),))
+    assert metadata.rest_seconds == seconds
 
 
 def test_the_header_of_a_leaving_replica_is_read() -> None:
-    assert WIRE.read_mark(200, ((b'Server-Leaving', b'1'),)).is_leaving
-    assert not WIRE.read_mark(200, ((b'Server-Leaving', b'0'),)).is_leaving
-    assert not WIRE.read_mark(200, ()).is_leaving
+    assert WIRE.read_metadata(200, ((b'Server-Leaving', b'1'),)).is_leaving
+    assert not WIRE.read_metadata(200, ((b'Server-Leaving', b'0'),)).is_leaving
+    assert not WIRE.read_metadata(200, ()).is_leaving
 
 
 @given(
@@ -147,8 +149,8 @@
     name: bytes, text: bytes
 ) -> None:
     try:
-        ask = read_ask((name, text))
+        request = read_ask((name, text))
     except Refusal as refusal:
         assert refusal.code is Code.BAD_HEADER
         return
-    assert ask.attempt_id == 'a1'
+    assert request.attempt_id == 'a1'
--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -107,14 +107,14 @@
             for name, texts in self.requestHeaders.getAllRawHeaders()
             for text in texts
         )
-        ask = self.backend.wire.read_request(
+        request = self.backend.wire.read_request(
             self.method.decode('latin-1'),
             self.uri.decode('latin-1'),
             raw_headers,
             self.content.getvalue(),
         )
-        self.attempt_id = ask.attempt_id
-        await self.backend.serve(ask, _FrontAnswer(self))
+        self.attempt_id = request.attempt_id
+        await self.backend.serve(request, _FrontAnswer(self))
         self.backend.report(self, Code.OK, Ran.RAN)
 
 
--- a/waywell/connection/wire_format.py
+++ b/waywell/connection/wire_format.py
@@ -43,7 +43,7 @@
     @abc.abstractmethod
     def make_headers(
         self,
-        ask: DecodedRequest,
+        request: DecodedRequest,
         delivery: DeliveryParameters,
         box: FleetBox,
     ) -> RawHeaders:
@@ -52,7 +52,7 @@
     @abc.abstractmethod
     def make_forward_headers(
         self,
-        ask: DecodedRequest,
+        request: DecodedRequest,
         mark: ForwardingHeader,
         seconds: float,
         resume_after: int | None,
@@ -61,7 +61,7 @@
 
         Parameters
         ----------
-        ask
+        request
             Request of the caller.
         mark
             Name of the forwarding node, and the number of replicas to which
@@ -74,5 +74,7 @@
         """
 
     @abc.abstractmethod
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMetadata:
+    def read_metadata(
+        self, status: int, headers: RawHeaders
+    ) -> AnswerMetadata:
         """Decode what a replica reports about its answer."""
--- a/waywell/membership/gossip.py
+++ b/waywell/membership/gossip.py
@@ -149,7 +149,7 @@
         now = self._clock.read()
         self._beats += 1
         self._publish_changes(self.table.tick(now))
-        self._send_beat(now)
+        self._send_heartbeat(now)
         self._suspect_silent(now)
         self._dial_neighbours(now)
         if self._beats % REJOIN_BEATS == 0:
@@ -216,7 +216,7 @@
             if message.is_complete:
                 self._send_missing(received.node, message.records)
             return
-        self._process_beat(received.node, message)
+        self._process_heartbeat(received.node, message)
 
     def dial(self, host: str, peer_port: int) -> None:
         """Open a stream to an entry box that may be unknown."""
@@ -233,11 +233,11 @@
             ),
         }
 
-    def _process_beat(self, node: NodeId, beat: Heartbeat) -> None:
+    def _process_heartbeat(self, node: NodeId, heartbeat: Heartbeat) -> None:
         now = self._clock.read()
         self._received_at[node] = now
-        self._reached_at = max(self._reached_at, now - beat.platform_age)
-        if beat.digest == self.table.digest:
+        self._reached_at = max(self._reached_at, now - heartbeat.platform_age)
+        if heartbeat.digest == self.table.digest:
             self._mismatches.pop(node, None)
             return
         count = self._mismatches.get(node, 0) + 1
@@ -246,14 +246,14 @@
             full_view = MembershipRecords(self.table.records, is_complete=True)
             self._links.send(node, full_view)
 
-    def _send_beat(self, now: float) -> None:
-        beat = Heartbeat(
+    def _send_heartbeat(self, now: float) -> None:
+        heartbeat = Heartbeat(
             self.numbers.configuration,
             self.numbers.roster,
             self.table.digest,
             round(now - self._reached_at, 1),
         )
-        self._links.broadcast(beat)
+        self._links.broadcast(heartbeat)
 
     def _suspect_silent(self, now: float) -> None:
         for node in self._links.list_dialled():
--- a/waywell/platform/messages.py
+++ b/waywell/platform/messages.py
@@ -111,7 +111,7 @@
 
     def make_headers(
         self,
-        ask: DecodedRequest,
+        request: DecodedRequest,
         delivery: DeliveryParameters,
         box: FleetBox,
     ) -> RawHeaders:
@@ -126,11 +126,11 @@
             added[PRIORITY_HEADER] = str(delivery.priority)
         if delivery.resume_after is not None:
             added[RESUME_HEADER] = str(delivery.resume_after)
-        return _add_headers(ask.headers, added)
+        return _add_headers(request.headers, added)
 
     def make_forward_headers(
         self,
-        ask: DecodedRequest,
+        request: DecodedRequest,
         mark: ForwardingHeader,
         seconds: float,
         resume_after: int | None,
@@ -140,13 +140,15 @@
             DEADLINE_HEADER: _encode_timeout(seconds),
             FORWARDED_HEADER: mark.encode(),
         }
-        if ask.api_key:
-            added[KEY_HEADER] = f'{KEY_SCHEME} {ask.api_key}'
+        if request.api_key:
+            added[KEY_HEADER] = f'{KEY_SCHEME} {request.api_key}'
         if resume_after is not None:
             added[RESUME_HEADER] = str(resume_after)
-        return _add_headers(ask.headers, added)
+        return _add_headers(request.headers, added)
 
-    def read_mark(self, status: int, headers: RawHeaders) -> AnswerMetadata:
+    def read_metadata(
+        self, status: int, headers: RawHeaders
+    ) -> AnswerMetadata:
         """Return the metadata in the headers of a server's response."""
         texts = {
             name.decode('latin-1').lower(): text.decode('latin-1')
--- a/waywell/request/backpressure.py
+++ b/waywell/request/backpressure.py
@@ -41,22 +41,24 @@
         self._rests: dict[BoxLife, float] = {}
         self._leaving: dict[BoxLife, float] = {}
 
-    def record(self, life: BoxLife, mark: AnswerMetadata, now: float) -> None:
+    def record(
+        self, life: BoxLife, metadata: AnswerMetadata, now: float
+    ) -> None:
         """Record the backpressure signals of an answer.
 
         Parameters
         ----------
         life
             Box that answered, with its incarnation.
-        mark
+        metadata
             Metadata of the answer.
         now
             Current time, in seconds.
         """
-        if mark.is_leaving:
+        if metadata.is_leaving:
             self._record_leaving(life, now)
-        if mark.rest_seconds:
-            self._record_rest(life, mark.rest_seconds, now)
+        if metadata.rest_seconds:
+            self._record_rest(life, metadata.rest_seconds, now)
 
     def get_remaining_rest(self, life: BoxLife, now: float) -> float:
         """Return the seconds until a box's rest period ends; 0 without one."""
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -188,7 +188,7 @@
         self, status: int, headers: RawHeaders
     ) -> AnswerMetadata:
         """Return the metadata from the head of an answer."""
-        return self._dependencies.wire.read_mark(status, headers)
+        return self._dependencies.wire.read_metadata(status, headers)
 
     def on_connected(self, now: float) -> None:
         """Record that a connection was established."""
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -485,8 +485,8 @@
         """Record what the head of an answer states about its group."""
         now = self._parts.clock.read()
         if answer.rest_seconds:
-            mark = AnswerMetadata(rest_seconds=answer.rest_seconds)
-            self._parts.backpressure.record(make_life(group), mark, now)
+            metadata = AnswerMetadata(rest_seconds=answer.rest_seconds)
+            self._parts.backpressure.record(make_life(group), metadata, now)
         if answer.limit is not None:
             self._parts.permits.record_limit(
                 make_life(group), group.hall, answer.limit, started_at
--- a/waywell/request/hedge_timeouts.py
+++ b/waywell/request/hedge_timeouts.py
@@ -54,7 +54,7 @@
 def compute_hedge_timeouts(
     route: Route,
     engine: Engine | None,
-    ask: DecodedRequest,
+    request: DecodedRequest,
     usual_pause: float = 0.0,
 ) -> HedgeTimeouts:
     """Return the hedge timeouts of an attempt.
@@ -65,7 +65,7 @@
         Route of the request, with its latency and gap goals.
     engine
         Engine of the route's service, if it has one.
-    ask
+    request
         Request to be sent.
     usual_pause
         Longest usual pause of a healthy replica, in seconds.  Resuming the
@@ -79,15 +79,19 @@
     gap = max(MIN_GAP_SECONDS, gap_goal * MIN_GAP_FRACTION, usual_pause)
     gap = max(MIN_GAP_SECONDS, min(gap, gap_goal * MAX_GAP_FRACTION))
     return HedgeTimeouts(
-        goal * FIRST_EVENT_FRACTION, gap, _estimate_first_event(engine, ask)
+        goal * FIRST_EVENT_FRACTION,
+        gap,
+        _estimate_first_event(engine, request),
     )
 
 
-def _estimate_first_event(engine: Engine | None, ask: DecodedRequest) -> float:
+def _estimate_first_event(
+    engine: Engine | None, request: DecodedRequest
+) -> float:
     if engine is None or not engine.read_per_second:
         return 0.0
-    model = engine.find_model(ask.model)
+    model = engine.find_model(request.model)
     pace = model.pace if model else 1.0
-    reading = ask.prompt_tokens / engine.read_per_second
+    reading = request.prompt_tokens / engine.read_per_second
     step = engine.step_seconds * engine.steps_a_pass
     return (reading + step) * pace
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -86,7 +86,7 @@
         All other metadata of the replica concerns only the peer, which has
         applied it.
         """
-        metadata = self._dependencies.wire.read_mark(status, headers)
+        metadata = self._dependencies.wire.read_metadata(status, headers)
         if metadata.attempt_id:
             return AnswerMetadata(metadata.attempt_id)
         return AnswerMetadata(refusal=read_refusal(headers))
