--- a/tests/forwarder_harness.py
+++ b/tests/forwarder_harness.py
@@ -116,7 +116,7 @@
     def __init__(self, kind: RouteKind = RouteKind.STREAM) -> None:
         self.clock = ManualClock()
         self.connects_at_once = True
-        self.book = ReplicaTable()
+        self.replica_table = ReplicaTable()
         self.attempts: list[Attempt] = []
         self.answer = RecordedAnswer()
         self.refusal: Refusal | None = None
@@ -162,7 +162,7 @@
                 chooser=ReplicaChooser(
                     HallName('port'), SharedLoads(), Random(1)
                 ),
-                book=self.book,
+                replica_table=self.replica_table,
                 budget=self.budget,
                 paths=self.paths,
                 node='own',
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -49,13 +49,13 @@
     def __init__(self, are_links_sound: bool = True) -> None:
         self.clock = ManualClock()
         self.links = _RecordingLinks()
-        self.book = ReplicaTable()
+        self.replica_table = ReplicaTable()
         self.doubted: list[GroupId] = []
         self.resumed: list[GroupId] = []
         self.due: list[tuple[float, Callable[[], None]]] = []
         self.doubts = Doubts(
             self.links,
-            self.book,
+            self.replica_table,
             self.clock,
             DoubtListeners(self.doubted.append, self.resumed.append),
             lambda seconds, callback: self.due.append(
@@ -84,7 +84,7 @@
     bench.doubts.raise_doubt(REPLICA)
     assert len(bench.links.skipped_nodes) == 1
     assert bench.doubted == [REPLICA.group]
-    assert bench.book.get(REPLICA.key).streak == 1
+    assert bench.replica_table.get(REPLICA.key).streak == 1
 
 
 def test_a_doubt_is_repeated_when_the_replica_stays_silent() -> None:
@@ -97,16 +97,19 @@
 
 def test_a_doubt_is_ignored_while_the_replica_sends_output() -> None:
     bench = Bench()
-    bench.book.record_message(REPLICA.key, bench.clock.now)
+    bench.replica_table.record_message(REPLICA.key, bench.clock.now)
     bench.receive('d1')
-    assert bench.book.get(REPLICA.key).backoff_until == 0
+    assert bench.replica_table.get(REPLICA.key).backoff_until == 0
 
 
 def test_any_number_of_failures_is_counted() -> None:
-    book = ReplicaTable()
+    replica_table = ReplicaTable()
     for _failure in range(5000):
-        book.record_failure(REPLICA.key, 1.0)
-    assert book.get(REPLICA.key).backoff_until == 1.0 + MAX_BACKOFF_SECONDS
+        replica_table.record_failure(REPLICA.key, 1.0)
+    assert (
+        replica_table.get(REPLICA.key).backoff_until
+        == 1.0 + MAX_BACKOFF_SECONDS
+    )
 
 
 def test_a_doubt_is_withdrawn_once_the_replica_sends_output() -> None:
@@ -119,12 +122,12 @@
     """
     bench = Bench()
     bench.receive('d1')
-    assert bench.book.get(REPLICA.key).backoff_until > bench.clock.now
+    assert bench.replica_table.get(REPLICA.key).backoff_until > bench.clock.now
     bench.pass_time(LISTEN_INTERVAL / 2)
-    bench.book.record_event(REPLICA.key, bench.clock.now)
-    bench.book.get(REPLICA.key).backoff_until = bench.clock.now + 1.0
+    bench.replica_table.record_event(REPLICA.key, bench.clock.now)
+    bench.replica_table.get(REPLICA.key).backoff_until = bench.clock.now + 1.0
     bench.pass_time(LISTEN_INTERVAL)
-    assert bench.book.get(REPLICA.key).backoff_until == 0
+    assert bench.replica_table.get(REPLICA.key).backoff_until == 0
     assert bench.resumed == [REPLICA.group]
     assert isinstance(bench.links.messages[-1], ReplicaAlive)
 
@@ -135,7 +138,7 @@
     message = ReplicaAlive(REPLICA.group, BOX.box, Epoch(7))
     for node in ('n2', 'n3'):
         bench.doubts.on_received(PeerLinks.Received(NodeId(node), message))
-    assert bench.book.get(REPLICA.key).backoff_until == 0
+    assert bench.replica_table.get(REPLICA.key).backoff_until == 0
     assert bench.resumed == [REPLICA.group]
 
 
@@ -143,7 +146,7 @@
     """A request that is merely sent to the replica does not change that."""
     bench = Bench()
     bench.doubts.raise_doubt(REPLICA)
-    bench.book.get(REPLICA.key).heard_at = bench.clock.now + 0.1
+    bench.replica_table.get(REPLICA.key).heard_at = bench.clock.now + 0.1
     for _look in range(MAX_LISTEN_CHECKS + 2):
         bench.pass_time(LISTEN_INTERVAL)
     assert not bench.resumed
--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -227,7 +227,7 @@
         attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
         await partitioned.run_pending()
         assert not partitioned.quarantine.ended
-        assert not partitioned.book.list_loads()
+        assert not partitioned.replica_table.list_loads()
 
     run(scenario)
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -122,7 +122,9 @@
     assert len(harness.attempts) == 2
     assert list_numbers(harness.answer.body) == [1, 2]
     assert harness.answer.end == 'complete'
-    assert harness.book.get(harness.attempts[0].replica.key).streak == 1
+    assert (
+        harness.replica_table.get(harness.attempts[0].replica.key).streak == 1
+    )
 
 
 def test_no_more_replicas_are_tried_than_the_route_allows(
@@ -299,7 +301,9 @@
     assert harness.refusal.code is Code.TARGET_FAILED
     assert harness.refusal.ran is Ran.MAY_HAVE_RUN
     # The replica has not failed, as it was protected from the request.
-    assert not harness.book.get(harness.attempts[0].replica.key).streak
+    assert not harness.replica_table.get(
+        harness.attempts[0].replica.key
+    ).streak
 
 
 def test_a_begun_stream_continues_when_it_becomes_held_back(
--- a/tests/test_peer_chooser.py
+++ b/tests/test_peer_chooser.py
@@ -35,8 +35,8 @@
         self.members = MembershipTable(make_node('own', LLM), 2.0)
         for record in others:
             self.members.merge(record, 0.0)
-        self.book = ReplicaTable()
-        self.chooser = PeerChooser(self.members, self.book, Random(1))
+        self.replica_table = ReplicaTable()
+        self.chooser = PeerChooser(self.members, self.replica_table, Random(1))
 
     def choose(self, *tried: NodeRecord, service: ServiceName = LLM) -> str:
         keys = frozenset(make_peer_key(record) for record in tried)
@@ -55,7 +55,7 @@
     busy, idle = make_node('a'), make_node('b')
     bench = Bench(busy, idle)
     for _request in range(3):
-        bench.book.record_start(make_peer_key(busy))
+        bench.replica_table.record_start(make_peer_key(busy))
     counts = Counter(bench.choose() for _draw in range(400))
     assert counts['b'] > 2 * counts['a']
 
@@ -77,7 +77,7 @@
     first, second = make_node('a'), make_node('b')
     bench = Bench(first, second)
     assert bench.choose(first) == 'b'
-    bench.book.record_failure(make_peer_key(second), 9.9)
+    bench.replica_table.record_failure(make_peer_key(second), 9.9)
     assert bench.choose() == 'a'
     assert not bench.choose(first)
 
--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -74,7 +74,7 @@
     ----------
     links
         Streams to other nodes.
-    book
+    replica_table
         Observations of this node about each replica.
     clock
         Source of the current time.
@@ -89,7 +89,7 @@
     def __init__(
         self,
         links: PeerLinks,
-        book: ReplicaTable,
+        replica_table: ReplicaTable,
         clock: Clock,
         listeners: DoubtListeners,
         call_later: Scheduler = _call_later,
@@ -100,7 +100,7 @@
         self._verify = verify
         self._verifying: set[ReplicaKey] = set()
         self._links = links
-        self._book = book
+        self._replica_table = replica_table
         self._clock = clock
         self._listeners = listeners
         self._call_later = call_later
@@ -149,7 +149,9 @@
         if not self._is_new(key, now):
             return
         self._links.forward(message, received.node)
-        is_accepted = now - self._book.get(key).heard_at > RECENT_SECONDS
+        is_accepted = (
+            now - self._replica_table.get(key).heard_at > RECENT_SECONDS
+        )
         log_event(
             'doubt_received',
             group=message.group,
@@ -158,7 +160,7 @@
             believed=is_accepted,
         )
         if is_accepted:
-            self._book.record_failure(key, now)
+            self._replica_table.record_failure(key, now)
         self._open_doubt(key, message.group, now)
 
     async def _raise_if_links_work(self, replica: Replica) -> None:
@@ -188,7 +190,7 @@
         """Withdraw a doubt if the replica has sent output since then."""
         if key not in self._open_doubts:
             return
-        if self._book.get(key).event_at > doubted_at:
+        if self._replica_table.get(key).event_at > doubted_at:
             log_event('doubt_taken_back', group=group, box=key.box)
             self._links.broadcast(
                 ReplicaAlive(group, key.box, key.epoch, key.incarnation),
@@ -205,7 +207,7 @@
     def _close_doubt(self, key: ReplicaKey, group: GroupId) -> None:
         """Close a doubt and let the replica get requests again."""
         self._open_doubts.discard(key)
-        self._book.retract_failure(key)
+        self._replica_table.retract_failure(key)
         self._listeners.on_resumed(group)
 
     def _is_new(self, key: ReplicaKey, now: float) -> bool:
--- a/waywell/health/node_paths.py
+++ b/waywell/health/node_paths.py
@@ -33,7 +33,7 @@
     watch: PartitionWatch
     """Detects whether links to replicas are lost."""
 
-    peer_book: ReplicaTable
+    peer_table: ReplicaTable
     """Observations of this node about peers that forward its requests."""
 
 
@@ -97,18 +97,18 @@
     on_restored
         Called when lost links work again.
     """
-    peer_book = ReplicaTable()
+    peer_table = ReplicaTable()
     parts = PartitionParts(
         gossip,
         links,
         clock,
         boxes,
         random,
-        PeerChooser(gossip.table, peer_book, random),
+        PeerChooser(gossip.table, peer_table, random),
         _connect,
         on_restored,
     )
-    return NodePaths(PartitionWatch(parts), peer_book)
+    return NodePaths(PartitionWatch(parts), peer_table)
 
 
 async def _connect(box: FleetBox) -> bool:
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -87,7 +87,7 @@
         Routes and boxes in force at this node.
     clock
         Source of the monotonic time.
-    book
+    replica_table
         This node's requests in flight.
     loads
         Requests in flight that other nodes report.
@@ -106,7 +106,7 @@
         gossip: Gossip,
         cluster: ClusterView,
         clock: Clock,
-        book: ReplicaTable,
+        replica_table: ReplicaTable,
         loads: SharedLoads,
         intervals: PollIntervals,
         read_after: float = 0.0,
@@ -117,7 +117,7 @@
         self._gossip = gossip
         self._cluster = cluster
         self._clock = clock
-        self._book = book
+        self._replica_table = replica_table
         self._loads = loads
         self._intervals = intervals
         self._read_after = read_after
@@ -231,7 +231,7 @@
 
         A reader reports the requests of its whole hall.
         """
-        loads = Counter(self._book.list_loads())
+        loads = Counter(self._replica_table.list_loads())
         if self.is_reader():
             others = self._loads.list_nodes() - self._followers
             loads.update(self._loads.sum_loads(others))
@@ -333,7 +333,7 @@
 
     def _list_loads_except(self, peer: NodeId) -> tuple[BoxLoad, ...]:
         """Return all known requests in flight except those a node reported."""
-        loads = Counter(self._book.list_loads())
+        loads = Counter(self._replica_table.list_loads())
         loads.update(self._loads.sum_loads((peer,)))
         return _encode_loads(loads)
 
--- a/waywell/process/front.py
+++ b/waywell/process/front.py
@@ -113,7 +113,7 @@
         self.clock = SystemClock()
         self.metrics = Metrics()
         self.cluster = make_gated_cluster_view(settings.promises, adapter.eras)
-        self.book = ReplicaTable()
+        self.replica_table = ReplicaTable()
         self.backpressure = Backpressure()
         self.cluster.add_end_listener(self.backpressure.forget_ended)
         adapter.eras.listen(
@@ -278,14 +278,14 @@
             self.clock,
             ListedBoxes(self.cluster),
             self._random,
-            self.book.clear_backoffs,
+            self.replica_table.clear_backoffs,
         )
         self.feed = Feed(
             self.links,
             self.gossip,
             self.cluster,
             self.clock,
-            self.book,
+            self.replica_table,
             self.loads,
             intervals,
             self._get_first_read_time(),
@@ -308,13 +308,13 @@
             timing.lease,
             FormingSources(
                 self._read_demand,
-                partial(count_in_flight_at, self.book, self.loads),
+                partial(count_in_flight_at, self.replica_table, self.loads),
                 self.paths.watch,
             ),
         )
         self.doubts = Doubts(
             self.links,
-            self.book,
+            self.replica_table,
             self.clock,
             DoubtListeners(
                 partial(self._notify_forming, FormingDuty.GroupDoubted),
@@ -377,9 +377,9 @@
                     self.presence.count_nodes,
                     self.turns.get_limit,
                 ),
-                book=self.book,
+                replica_table=self.replica_table,
                 paths=self.paths.watch,
-                peer_book=self.paths.peer_book,
+                peer_table=self.paths.peer_table,
                 node=node.name,
                 budget=self.budget,
                 clock=self.clock,
@@ -430,7 +430,7 @@
 
     def _read_demand(self, now: float) -> Mapping[Any, float]:
         loads = self.loads.sum_loads()
-        loads.update(self.book.list_loads())
+        loads.update(self.replica_table.list_loads())
         in_flight = count_by_model(loads, self.cluster.fleet)
         return self.demand.observe(in_flight, now)
 
@@ -532,7 +532,7 @@
         """Drop the records of replicas that a newer box list doesn't have."""
         if self.cluster.fleet_serial != self._cleaned_serial:
             self._cleaned_serial = self.cluster.fleet_serial
-            self.book.forget_others(self.cluster.list_replica_keys())
+            self.replica_table.forget_others(self.cluster.list_replica_keys())
             self.paths.watch.table.retain(
                 box.life for box in self.cluster.fleet.boxes.values()
             )
--- a/waywell/process/front_operations.py
+++ b/waywell/process/front_operations.py
@@ -152,7 +152,7 @@
         now = node.clock.read()
         replicas = []
         for replica in node.cluster.list_replicas(share.service, model):
-            record = node.book.get(replica.key)
+            record = node.replica_table.get(replica.key)
             replicas.append(
                 {
                     'box': replica.key.box,
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -24,9 +24,9 @@
     """Destination of one attempt, which also records its outcome."""
 
     key: ReplicaKey
-    """Key under which ``book`` keeps records of the destination."""
+    """Key under which ``replica_table`` keeps records of the destination."""
 
-    book: ReplicaTable
+    replica_table: ReplicaTable
     """This node's records of load, failures and silence."""
 
     replica: Replica | None = None
@@ -81,7 +81,7 @@
     def on_silent(self) -> None:
         """Report that the destination sends nothing although it has work."""
 
-    def on_broken(self, *, has_begun: bool, is_over: bool) -> None:
+    def on_broken(self, *, has_begun: bool, has_ended: bool) -> None:
         """Report that an attempt failed after bytes were sent."""
 
     def on_misdirected(self) -> None:
@@ -116,7 +116,7 @@
         """Prepare the destination without acquiring a permit."""
         self.replica: Replica = replica
         self.key = replica.key
-        self.book = dependencies.book
+        self.replica_table = dependencies.replica_table
         self._dependencies = dependencies
         self._context = context
         self._permit: Permit | None = None
@@ -216,19 +216,19 @@
 
     def on_failed(self, now: float) -> None:
         """Record that an attempt failed, was truncated or was rejected."""
-        self.book.record_failure(self.key, now)
+        self.replica_table.record_failure(self.key, now)
 
     def on_silent(self) -> None:
         """Report that the destination sends nothing although it has work."""
         self._dependencies.raise_doubt(self.replica)
 
-    def on_broken(self, *, has_begun: bool, is_over: bool) -> None:
+    def on_broken(self, *, has_begun: bool, has_ended: bool) -> None:
         """Report that an attempt failed after bytes were sent."""
         self._dependencies.guard.record_broken_attempt(
             self.replica,
             self._context.traits,
             has_begun=has_begun,
-            has_ended=is_over,
+            has_ended=has_ended,
         )
 
     def on_misdirected(self) -> None:
@@ -241,4 +241,4 @@
 
     def on_first_piece(self, ratio: float) -> None:
         """Record the time to the first piece, divided by the expected time."""
-        self.book.record_first_event(self.key, ratio)
+        self.replica_table.record_first_event(self.key, ratio)
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -43,7 +43,7 @@
     ) -> None:
         """Reserve the remaining sends of the request for the peer."""
         self.key = make_peer_key(peer)
-        self.book = dependencies.peer_book
+        self.replica_table = dependencies.peer_table
         self._dependencies = dependencies
         self._context = context
         self._peer = peer
--- a/waywell/request/request_attempts.py
+++ b/waywell/request/request_attempts.py
@@ -120,7 +120,7 @@
             self.running.remove(attempt)
             self._dependencies.running.discard(attempt)
             destination = attempt.destination
-            destination.book.record_end(destination.key)
+            destination.replica_table.record_end(destination.key)
             attempt.stop()
 
     def drop_others(self, attempt: Attempt) -> None:
@@ -157,7 +157,7 @@
         """Return when the only attempt becomes due for a hedge, in seconds."""
         attempt = self.running[0]
         destination = attempt.destination
-        heard_at = destination.book.get(destination.key).heard_at
+        heard_at = destination.replica_table.get(destination.key).heard_at
         if attempt.has_begun:
             return heard_at + self.hedge_timeouts.gap
         return attempt.started_at + self.hedge_timeouts.first
@@ -171,15 +171,15 @@
             return
         attempt.started_at = now
         destination = attempt.destination
-        destination.book.get(destination.key).heard_at = now
+        destination.replica_table.get(destination.key).heard_at = now
 
     def record_silence(self, now: float) -> None:
         """Record replicas that are silent on all requests as failed."""
         for attempt in self.running:
             destination = attempt.destination
-            book, key = destination.book, destination.key
-            if book.is_silent(key, self.hedge_timeouts.gap, now):
-                book.record_failure(key, now)
+            replica_table, key = destination.replica_table, destination.key
+            if replica_table.is_silent(key, self.hedge_timeouts.gap, now):
+                replica_table.record_failure(key, now)
                 destination.on_silent()
                 self.log('silent', attempt, now)
 
@@ -259,11 +259,11 @@
         )
         self.running.append(attempt)
         self._dependencies.running.add(attempt)
-        record = destination.book.get(destination.key)
+        record = destination.replica_table.get(destination.key)
         if not record.in_flight:
             # Silence is measured only while the replica has work.
             record.heard_at = now
-        destination.book.record_start(destination.key)
+        destination.replica_table.record_start(destination.key)
         attempt.start(lambda: self._may_send(attempt), now)
         rests = round(max(0.0, record.backoff_until - now), 3)
         self.log(
@@ -319,7 +319,7 @@
         replica = self._dependencies.chooser.choose(
             self._dependencies.permits.filter_available(replicas, missed, now),
             self._context.tried,
-            self._dependencies.book,
+            self._dependencies.replica_table,
             now,
         )
         if replica is None:
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -70,7 +70,7 @@
     chooser: ReplicaChooser
     """Selects the replica for an attempt."""
 
-    book: ReplicaTable
+    replica_table: ReplicaTable
     """This node's records of load, failures and silence of replicas."""
 
     budget: ResendBudget
@@ -100,7 +100,7 @@
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
     """State of this node's links to replicas, and peers that can forward."""
 
-    peer_book: ReplicaTable = attrs.Factory(ReplicaTable)
+    peer_table: ReplicaTable = attrs.Factory(ReplicaTable)
     """This node's records of the peers that forward requests."""
 
     node: str = ''
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -88,7 +88,9 @@
             return
         now = self._dependencies.clock.read()
         self._record_pause(attempt, now)
-        attempt.destination.book.record_event(attempt.destination.key, now)
+        attempt.destination.replica_table.record_event(
+            attempt.destination.key, now
+        )
         if not self._is_next(piece):
             # Another attempt is ahead of this one, or it skipped an event.
             await self._fail(attempt, now, f'event_{piece.event.number}')
@@ -117,7 +119,9 @@
             # Its body can't continue the answer that was begun.
             await self._fail(attempt, now, f'status_{head.status}')
             return
-        attempt.destination.book.record_message(attempt.destination.key, now)
+        attempt.destination.replica_table.record_message(
+            attempt.destination.key, now
+        )
         if head.status >= MIN_SERVER_ERROR:
             attempt.destination.on_failed(now)
             if await self._retry(attempt, now, f'status_{head.status}'):
@@ -132,7 +136,7 @@
         now = self._dependencies.clock.read()
         if not end.outcome.is_complete:
             attempt.destination.on_broken(
-                has_begun=attempt.has_begun, is_over=False
+                has_begun=attempt.has_begun, has_ended=False
             )
             self._attempts.log(
                 'truncated', attempt, now, **end.outcome.describe()
@@ -165,15 +169,15 @@
             self._drop_quarantined(attempt, now)
             return
         if self._may_have_reached(fault):
-            is_over = fault.fault is SendFault.REPLICA_ENDED
+            has_ended = fault.fault is SendFault.REPLICA_ENDED
             attempt.destination.on_broken(
-                has_begun=attempt.has_begun, is_over=is_over
+                has_begun=attempt.has_begun, has_ended=has_ended
             )
             await self._fail(attempt, now, fault.fault.value)
             return
         if fault.fault is SendFault.NOT_SENT:
             destination = attempt.destination
-            destination.book.record_failure(destination.key, now)
+            destination.replica_table.record_failure(destination.key, now)
         self._attempts.log('not_sent', attempt, now, fault=fault.fault.value)
         self._attempts.drop(attempt)
         if self._attempts.running:
@@ -275,7 +279,7 @@
             self._context.sends -= destination.count_sends()
         is_fit = refusal.code not in _UNFIT_PEER_CODES
         if not is_fit:
-            destination.book.record_failure(destination.key, now)
+            destination.replica_table.record_failure(destination.key, now)
         self._attempts.drop(attempt)
         if self._attempts.running:
             return
@@ -300,7 +304,7 @@
         """Record how long a replica with work was silent."""
         if attempt.has_begun:
             destination = attempt.destination
-            heard_at = destination.book.get(destination.key).heard_at
+            heard_at = destination.replica_table.get(destination.key).heard_at
             destination.on_pause(now - heard_at)
 
     def _select_attempt(self, attempt: Attempt, now: float) -> None:
