--- a/waywell/health/doubts.py
+++ b/waywell/health/doubts.py
@@ -121,7 +121,7 @@
         self.spawn(self._raise_if_links_work(replica))
 
     def raise_doubt(self, replica: Replica) -> None:
-        """Tell the other nodes that a replica is silent."""
+        """Notify the other nodes that a replica is silent."""
         now = self._clock.read()
         if not self._is_new(replica.key, now):
             return
--- a/waywell/health/partition.py
+++ b/waywell/health/partition.py
@@ -295,7 +295,7 @@
         self._announce()
 
     def _announce(self) -> None:
-        """Tell the other nodes which services this one can't reach."""
+        """Notify the other nodes of services that this one can't reach."""
         lost = tuple(self.list_partitioned())
         gossip = self._parts.gossip
         if gossip.table.own.lost_services != lost:
--- a/waywell/knowledge/feed.py
+++ b/waywell/knowledge/feed.py
@@ -34,7 +34,7 @@
     from waywell.request.replica_table import ReplicaTable
     from waywell.request.shared_loads import SharedLoads
 
-MAX_OPEN_ASKS = 32
+MAX_PENDING_QUERIES = 32
 """Maximum number of unanswered queries that are tracked."""
 
 NEWER_ROUTES_ASKS = 2.0
@@ -61,7 +61,7 @@
     """Boxes as that node listed them."""
 
 
-class _OpenAsk(msgspec.Struct, frozen=True):
+class _PendingQuery(msgspec.Struct, frozen=True):
     """A query that has not been answered."""
 
     at: float
@@ -124,7 +124,7 @@
         self._own_record = gossip.table.own
         self._incarnation = self._own_record.incarnation
         self._serial = 0
-        self._open_asks: OrderedDict[int, _OpenAsk] = OrderedDict()
+        self._pending_queries: OrderedDict[int, _PendingQuery] = OrderedDict()
         self._box_lists = BoxListHistory()
         self._peer_list = _PeerBoxList()
         self._followers: set[NodeId] = set()
@@ -252,9 +252,11 @@
         base = (
             self._peer_list if self._peer_list.node == peer else _PeerBoxList()
         )
-        self._open_asks[self._serial] = _OpenAsk(now, base, wants_boxes)
-        while len(self._open_asks) > MAX_OPEN_ASKS:
-            self._open_asks.popitem(last=False)
+        self._pending_queries[self._serial] = _PendingQuery(
+            now, base, wants_boxes
+        )
+        while len(self._pending_queries) > MAX_PENDING_QUERIES:
+            self._pending_queries.popitem(last=False)
         ask = FeedRequest(
             self._serial,
             self._cluster.index.table.version,
@@ -338,15 +340,15 @@
         return _encode_loads(loads)
 
     def _apply_answer(self, peer: NodeId, answer: FeedAnswer) -> None:
-        open_ask = self._open_asks.pop(answer.number, None)
-        if open_ask is None:
+        pending_query = self._pending_queries.pop(answer.number, None)
+        if pending_query is None:
             return
-        self._apply_routes(peer, answer, open_ask.at)
+        self._apply_routes(peer, answer, pending_query.at)
         if peer == self._readers.own_reader:
             loads = _decode_loads(answer.loads)
             self._loads.update(peer, loads, self._clock.read())
-        if open_ask.wants_boxes:
-            self._apply_boxes(peer, answer, open_ask)
+        if pending_query.wants_boxes:
+            self._apply_boxes(peer, answer, pending_query)
         else:
             self._request_newer_boxes(peer, answer)
 
@@ -398,10 +400,10 @@
         self,
         peer: NodeId,
         answer: FeedAnswer,
-        open_ask: _OpenAsk,
+        pending_query: _PendingQuery,
     ) -> None:
         """Apply a peer's box list, or its changes to the list held here."""
-        base = open_ask.base
+        base = pending_query.base
         if not answer.is_whole and base.run != answer.incarnation:
             return
         fleet = base.fleet
@@ -410,7 +412,7 @@
         self._peer_list = _PeerBoxList(
             peer, answer.incarnation, answer.serial, fleet
         )
-        seen_at = open_ask.at - answer.boxes_age
+        seen_at = pending_query.at - answer.boxes_age
         self._cluster.update_fleet(fleet, seen_at, self._clock.read())
 
 
--- a/waywell/limits/rate_limiter.py
+++ b/waywell/limits/rate_limiter.py
@@ -188,7 +188,7 @@
         now = self._clock.read()
         if not self.limits.is_limited(life):
             return Permit()
-        held = self._take_held(life, now)
+        held = self._consume_held_permit(life, now)
         if held is not None:
             return held
         issuers = self._list_issuers(life, hall, now)
@@ -198,7 +198,7 @@
             grant = await self._request_permit(issuer, life, rank)
             if grant.permits:
                 self._hold(life, grant.permits, now + PERMIT_SECONDS)
-                return self._take_held(life, self._clock.read())
+                return self._consume_held_permit(life, self._clock.read())
             wait = min(wait, grant.retry_after)
         wait *= 0.5 + self._random.random()
         self._retry_at[life] = self._clock.read() + wait
@@ -273,7 +273,7 @@
             self._is_refresh_due = True
             self.post(self.Changed())
 
-    def _take_held(self, life: BoxLife, now: float) -> Permit | None:
+    def _consume_held_permit(self, life: BoxLife, now: float) -> Permit | None:
         """Return one of the permits that this node holds, if any."""
         held = self._held.get(life)
         if held is None or now >= held.expires_at or not held.permits:
--- a/waywell/request/destination.py
+++ b/waywell/request/destination.py
@@ -159,7 +159,7 @@
             self.key.life, self.replica.head.hall, self._context.priority
         )
         if self._permit is None:
-            self._context.permits_missed += 1
+            self._context.permits_denied += 1
         return self._permit is not None
 
     def may_send(self, now: float) -> bool:
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -364,7 +364,7 @@
             if permit is not None:
                 return choice, permit
             work.tried.add(group.group)
-            work.permits_missed += 1
+            work.permits_denied += 1
 
     def _choose(self, work: PendingRequest) -> Choice:
         """Choose a group, or raise a refusal if none can serve."""
@@ -423,7 +423,7 @@
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return False
-        if not self._parts.permits.may_ask(life, work.permits_missed, now):
+        if not self._parts.permits.may_ask(life, work.permits_denied, now):
             return False
         return self._parts.health.is_usable(group.group, group.epoch, now)
 
--- a/waywell/request/request_attempts.py
+++ b/waywell/request/request_attempts.py
@@ -315,9 +315,9 @@
         replicas = self._dependencies.backpressure.filter_available(
             self._list_replicas(), now
         )
-        missed = self._context.permits_missed
+        denied = self._context.permits_denied
         replica = self._dependencies.chooser.choose(
-            self._dependencies.permits.filter_available(replicas, missed, now),
+            self._dependencies.permits.filter_available(replicas, denied, now),
             self._context.tried,
             self._dependencies.replica_table,
             now,
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -159,8 +159,8 @@
     rejections: int = 0
     """Number of attempts that replicas rejected without running them."""
 
-    permits_missed: int = 0
-    """Number of replicas with a rate limit that granted no permit."""
+    permits_denied: int = 0
+    """Number of replicas with a rate limit that denied a permit."""
 
     last_event: int | None = None
     """Number of the last event that was relayed to the caller."""
--- a/waywell/request/submission.py
+++ b/waywell/request/submission.py
@@ -82,8 +82,8 @@
     tried: set[GroupId] = attrs.Factory(set)
     """Groups at which an attempt has failed."""
 
-    permits_missed: int = 0
-    """Number of groups with a rate limit that granted no permit."""
+    permits_denied: int = 0
+    """Number of groups with a rate limit that denied a permit."""
 
     may_have_run: bool = False
     """Whether a target may have received a byte of the request."""
