--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -23,7 +23,7 @@
 """Fabric domain of replicas without another one."""
 
 STALL_SECONDS = 6.0
-"""How long a head that has lost a member continues."""
+"""Seconds for which a head that has lost a member continues."""
 
 
 @attrs.frozen
--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -177,14 +177,14 @@
             self._writable = loop.create_future()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Let ``write`` continue: the send buffer has room again."""
+        """Resume ``write``: the send buffer has room again."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Let ``write`` continue: the caller has disconnected, which cancels
-        the request.
+        """Resume ``write``: the caller has disconnected, which cancels the
+        request.
         """
         self.resumeProducing()
 
--- a/waywell/quarantine/quarantine.py
+++ b/waywell/quarantine/quarantine.py
@@ -47,9 +47,10 @@
     from waywell.version.fleet import FleetBox, Replica
 
 BROADCAST_CLEARED_CRASHES = 2
-"""Minimum number of crashes attributed to a trait for which all nodes are told
-that it was served.  One crash interrupts some ten requests, and nearly all of
-them are served right after, so clearing a single crash is not announced."""
+"""Minimum number of crashes attributed to a trait for which all nodes are
+notified that it was served.  One crash interrupts some ten requests, and
+nearly all of them are served right after, so clearing a single crash is not
+announced."""
 
 PROBE_WAIT_SECONDS = 2.0
 """Delay in seconds before callers retry while one node tests whether a trait
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -504,7 +504,7 @@
         """Return the precise fault of a request that was not written.
 
         Backpressure that arrives while the request connects is reported as a
-        passed deadline and is told apart here.
+        passed deadline; this method distinguishes the two.
         """
         if fault is not DispatchFault.TOO_LATE:
             return fault
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -86,7 +86,7 @@
     """Returns the number of entry boxes that share the resend budget."""
 
     raise_doubt: Callable[[Replica], None]
-    """Tells the other nodes that a replica is silent."""
+    """Notifies the other nodes that a replica is silent."""
 
     metrics: RequestMetrics
     """Request counters and timers."""
--- a/waywell/request/resend_budget.py
+++ b/waywell/request/resend_budget.py
@@ -48,8 +48,8 @@
     """One node's share of the resend budget, by service.
 
     The ratio applies to this node's own requests; the slack is split evenly
-    among the nodes.  A node that hears of no others must be given the number
-    of nodes that it last knew.
+    among the nodes.  For a node that has lost contact with all others, callers
+    must pass the number of nodes that it last knew.
 
     Parameters
     ----------
--- a/waywell/version/box_report.py
+++ b/waywell/version/box_report.py
@@ -40,7 +40,7 @@
     """A report with the time of its arrival."""
 
     report: BoxReport
-    """What the box reported."""
+    """Report of the box."""
 
     read_at: float
-    """When the report was read, in seconds."""
+    """Time at which the report was read, in seconds."""
--- a/waywell/version/forming_memory.py
+++ b/waywell/version/forming_memory.py
@@ -34,19 +34,19 @@
     from waywell.version.routes import Engine
 
 ORDER_TIMEOUT_SECONDS = 2.5
-"""How long the effect of a sent order is awaited in the box list: two
+"""Seconds to wait until the box list shows the effect of a sent order: two
 heartbeats."""
 
 JOIN_TIMEOUT_SECONDS = 4.0
-"""How long boxes that were ordered into a group may fail to show it in the box
-list."""
+"""Seconds after which boxes that were ordered into a group must appear as its
+members in the box list."""
 
 ABANDONED_SECONDS = 15.0
-"""How long an abandoned group that is off the box list is remembered."""
+"""Seconds for which an abandoned group that is off the box list is kept."""
 
 UNFIT_RETRY_SECONDS = 0.5
-"""How long a box whose report contradicts its entry is left alone; by then the
-list or the report has caught up."""
+"""Seconds for which a box joins no group after its report contradicted its
+entry; by then the list or the report is up to date."""
 
 LOAD_TIMEOUT_FACTOR = 3.0
 """Multiple of a load's usual duration after which a load is given up."""
@@ -55,12 +55,12 @@
 """Time to join a group of the model that the box served last."""
 
 LOAD_RETRY_SECONDS = 2.0
-"""How long a box that did not accept a load is not asked again; a load takes
-some 12 seconds or more."""
+"""Seconds until a box that did not accept a load may get another order to
+load; a load takes some 12 seconds or more."""
 
 PACE_WINDOW_SECONDS = 5.0
-"""How long a load counts against the weight store's pace once nothing is known
-of it any more."""
+"""Maximum age in seconds at which a load of unknown state still counts against
+the weight store's pace."""
 
 STORE_PACE_SHARE = 0.9
 """Share of the weight store's pace that is used; the rest covers loads that a
--- a/waywell/version/life_tracker.py
+++ b/waywell/version/life_tracker.py
@@ -24,20 +24,20 @@
     from waywell.version.fleet import Fleet, FleetChange
 
 DEFAULT_STALL_SECONDS = 6.0
-"""How long a head continues without one of its members, if the deployment does
-not state it."""
+"""Seconds for which a head continues without one of its members, unless the
+deployment states another time."""
 
 STALL_MARGIN = 1.0
 """Seconds by which the box list may show a new life after its beginning, or a
 head may break after it should."""
 
 ENDED_LIFE_SECONDS = 60.0
-"""How long an ended incarnation is remembered: no entry of it is listed later
-than that, even by a store restored from an older copy."""
+"""Seconds for which an ended incarnation is remembered.  After that no entry
+of it is listed, even by a store restored from an older copy."""
 
 GONE_BOX_SECONDS = 15.0
-"""How long a box that is off the list is remembered: it may return, and no
-order to it is carried out later than that."""
+"""Seconds for which a box that is off the list is remembered.  It may return,
+and after that time no earlier order to it is carried out."""
 
 
 @attrs.frozen
--- a/waywell/version/regroup_planner.py
+++ b/waywell/version/regroup_planner.py
@@ -32,8 +32,8 @@
     from waywell.version.domain_changes import NewGroup
 
 INTENDED_GROUP_SECONDS = 8.0
-"""How long boxes are reserved for a group whose other members have yet to
-leave their groups; the longest streams end within it."""
+"""Seconds for which boxes are reserved for a group whose other members have
+yet to leave their groups; the longest streams end within that time."""
 
 DEMAND_WARMUP_SECONDS = 3.0
 """Time from a holder's first measured demand until it closes groups because of
--- a/waywell/version/regrouping.py
+++ b/waywell/version/regrouping.py
@@ -124,7 +124,7 @@
     closable: Counter[ModelName] = attrs.field(
         init=False, default=attrs.Factory(_count_closable, takes_self=True)
     )
-    """How many groups of each model may be closed now."""
+    """Number of groups of each model that may be closed now."""
 
     present_cost: float = attrs.field(
         init=False, default=attrs.Factory(_get_present_cost, takes_self=True)
--- a/waywell/version/routes.py
+++ b/waywell/version/routes.py
@@ -53,7 +53,7 @@
     """Path prefix, which begins and ends with a slash."""
 
     kind: RouteKind
-    """How its requests may run."""
+    """How often its requests may run and how they are answered."""
 
     timeout: float
     """Time after which a request is given up, in seconds."""
--- a/waywell/version/slow_groups.py
+++ b/waywell/version/slow_groups.py
@@ -1,8 +1,8 @@
 """Choice of the groups to dissolve because one of their boxes is slow.
 
-A group runs at the pace of its slowest box. Where the fast boxes of some slow
-groups, together with idle boxes, can form a whole group, these groups are
-closed and the next plan joins the fast boxes with each other.
+A group runs at the pace of its slowest box.  If the fast boxes of some slow
+groups and the idle boxes of their domain suffice for a whole group, the slow
+groups are closed, and the next plan forms a group of the fast boxes.
 """
 
 from __future__ import annotations
--- a/waywell/version/staging.py
+++ b/waywell/version/staging.py
@@ -20,9 +20,9 @@
     from waywell.version.routes import EngineModel
 
 REPLACE_RATIO = 2.0
-"""How many times more a box must be worth to the model that it loads than to
-the one that the load evicts from its host, so that loads don't undo each
-other."""
+"""Minimum ratio between a box's worth to the model that it loads and its worth
+to the model that the load evicts from its host.  It keeps loads from undoing
+each other."""
 
 SERVING_LOAD_SHARE = 0.5
 """Share of the weight store's concurrent loads that serving boxes may use: a
