--- a/tests/test_forwarded_requests.py
+++ b/tests/test_forwarded_requests.py
@@ -58,8 +58,8 @@
     code: Code,
     ran: Ran = Ran.NOT_RUN,
 ) -> None:
-    mark = AnswerMetadata(refusal=PeerRefusal(code, ran, 0.7))
-    await harness.deliver_head(attempt, status=503, metadata=mark)
+    metadata = AnswerMetadata(refusal=PeerRefusal(code, ran, 0.7))
+    await harness.deliver_head(attempt, status=503, metadata=metadata)
 
 
 def run(scenario: Any) -> None:
@@ -227,7 +227,7 @@
         attempt.post(Attempt.Fault(attempt, SendFault.BROKEN))
         await partitioned.run_pending()
         assert not partitioned.quarantine.ended
-        assert not partitioned.book.list_loads()
+        assert not partitioned.replica_table.list_loads()
 
     run(scenario)
 
--- a/waywell/connection/front.py
+++ b/waywell/connection/front.py
@@ -107,14 +107,14 @@
             for name, texts in self.requestHeaders.getAllRawHeaders()
             for text in texts
         )
-        ask = self.backend.wire.read_request(
+        request = self.backend.wire.read_request(
             self.method.decode('latin-1'),
             self.uri.decode('latin-1'),
             raw_headers,
             self.content.getvalue(),
         )
-        self.attempt_id = ask.attempt_id
-        await self.backend.serve(ask, _FrontAnswer(self))
+        self.attempt_id = request.attempt_id
+        await self.backend.serve(request, _FrontAnswer(self))
         self.backend.report(self, Code.OK, Ran.RAN)
 
 
@@ -177,14 +177,14 @@
             self._writable = loop.create_future()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Let ``write`` continue: the send buffer has room again."""
+        """Resume ``write``: the send buffer has room again."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Let ``write`` continue: the caller has disconnected, which cancels
-        the request.
+        """Resume ``write``: the caller has disconnected, which cancels the
+        request.
         """
         self.resumeProducing()
 
--- a/waywell/request/dispatcher.py
+++ b/waywell/request/dispatcher.py
@@ -364,7 +364,7 @@
             if permit is not None:
                 return choice, permit
             work.tried.add(group.group)
-            work.permits_missed += 1
+            work.permits_denied += 1
 
     def _choose(self, work: PendingRequest) -> Choice:
         """Choose a group, or raise a refusal if none can serve."""
@@ -423,7 +423,7 @@
         life = make_life(group)
         if not self._parts.backpressure.may_send(life, now):
             return False
-        if not self._parts.permits.may_ask(life, work.permits_missed, now):
+        if not self._parts.permits.may_ask(life, work.permits_denied, now):
             return False
         return self._parts.health.is_usable(group.group, group.epoch, now)
 
@@ -485,8 +485,8 @@
         """Record what the head of an answer states about its group."""
         now = self._parts.clock.read()
         if answer.rest_seconds:
-            mark = AnswerMetadata(rest_seconds=answer.rest_seconds)
-            self._parts.backpressure.record(make_life(group), mark, now)
+            metadata = AnswerMetadata(rest_seconds=answer.rest_seconds)
+            self._parts.backpressure.record(make_life(group), metadata, now)
         if answer.limit is not None:
             self._parts.permits.record_limit(
                 make_life(group), group.hall, answer.limit, started_at
@@ -504,7 +504,7 @@
         """Return the precise fault of a request that was not written.
 
         Backpressure that arrives while the request connects is reported as a
-        passed deadline and is told apart here.
+        passed deadline; this method distinguishes the two.
         """
         if fault is not DispatchFault.TOO_LATE:
             return fault
--- a/waywell/request/peer_destination.py
+++ b/waywell/request/peer_destination.py
@@ -43,7 +43,7 @@
     ) -> None:
         """Reserve the remaining sends of the request for the peer."""
         self.key = make_peer_key(peer)
-        self.book = dependencies.peer_book
+        self.replica_table = dependencies.peer_table
         self._dependencies = dependencies
         self._context = context
         self._peer = peer
@@ -86,7 +86,7 @@
         All other metadata of the replica concerns only the peer, which has
         applied it.
         """
-        metadata = self._dependencies.wire.read_mark(status, headers)
+        metadata = self._dependencies.wire.read_metadata(status, headers)
         if metadata.attempt_id:
             return AnswerMetadata(metadata.attempt_id)
         return AnswerMetadata(refusal=read_refusal(headers))
--- a/waywell/request/request_context.py
+++ b/waywell/request/request_context.py
@@ -70,7 +70,7 @@
     chooser: ReplicaChooser
     """Selects the replica for an attempt."""
 
-    book: ReplicaTable
+    replica_table: ReplicaTable
     """This node's records of load, failures and silence of replicas."""
 
     budget: ResendBudget
@@ -86,7 +86,7 @@
     """Returns the number of entry boxes that share the resend budget."""
 
     raise_doubt: Callable[[Replica], None]
-    """Tells the other nodes that a replica is silent."""
+    """Notifies the other nodes that a replica is silent."""
 
     metrics: RequestMetrics
     """Request counters and timers."""
@@ -100,7 +100,7 @@
     paths: ReplicaPaths = attrs.Factory(DirectPaths)
     """State of this node's links to replicas, and peers that can forward."""
 
-    peer_book: ReplicaTable = attrs.Factory(ReplicaTable)
+    peer_table: ReplicaTable = attrs.Factory(ReplicaTable)
     """This node's records of the peers that forward requests."""
 
     node: str = ''
@@ -159,8 +159,8 @@
     rejections: int = 0
     """Number of attempts that replicas rejected without running them."""
 
-    permits_missed: int = 0
-    """Number of replicas with a rate limit that granted no permit."""
+    permits_denied: int = 0
+    """Number of replicas with a rate limit that denied a permit."""
 
     last_event: int | None = None
     """Number of the last event that was relayed to the caller."""
