--- a/waywell/cli.py
+++ b/waywell/cli.py
@@ -186,7 +186,7 @@
     def report(
         self, journal: str = 'journal', out: str = 'report.html'
     ) -> str:
-        """Write a page of charts from a journal of experiment runs.
+        """Write a page of charts from a journal of benchmark runs.
 
         Requires the optional extra ``waywell[report]``.
         """
--- a/waywell/request/request_execution.py
+++ b/waywell/request/request_execution.py
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    parts
+    dependencies
         Collaborators of the forwarder.
     context
         State of the request.
